--- a/crates/fescuewell_forward/src/quota.rs
+++ b/crates/fescuewell_forward/src/quota.rs
@@ -27,8 +27,8 @@
 mod journals;
 mod loans;
 mod origin;
-pub mod pace;
 pub mod plan;
+pub mod rate_limit;
 pub mod row;
 mod waiting;
 
--- a/crates/fescuewell_forward/src/quota/row.rs
+++ b/crates/fescuewell_forward/src/quota/row.rs
@@ -6,7 +6,7 @@
 use snafu::Snafu;
 
 use super::era::Fence;
-use super::pace::Pace;
+use super::rate_limit::Pace;
 
 /// Leading byte of a ledger without eras, which the program version before reads as well: [`former`].
 const FORMER_LEDGER: u8 = 1;
@@ -142,7 +142,7 @@
     pub consumed: u64,
     /// What may be consumed beyond that at once.
     pub burst: u64,
-    /// What may be consumed beyond that each second after [`TIGHT_MS`](super::pace::TIGHT_MS),
+    /// What may be consumed beyond that each second after [`TIGHT_MS`](super::rate_limit::TIGHT_MS),
     pub rate: u64,
     /// up to this much,
     pub lump: u64,
