--- a/crates/fescuewell_forward/src/directory.rs
+++ b/crates/fescuewell_forward/src/directory.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::quota::era::Sign;
+use crate::quota::era::HolderStatus;
 use crate::quota::row::Usage;
 use crate::relay::{MOST_READING, READERS};
 
@@ -110,7 +110,7 @@
 
     /// What all instances say of their grants. Those without a fresh sign count only if they lived when the copy was made from which the
     /// store has come back: whoever was gone by then can have drawn nothing since.
-    pub fn signs(&self) -> Vec<Sign> {
+    pub fn signs(&self) -> Vec<HolderStatus> {
         let live: BTreeSet<&Arc<str>> = self.live().map(|(name, _)| name).collect();
         let former = self.members.values().filter(|member| member.era < self.era);
         let copied_ms = former.map(|member| member.at_ms).max().unwrap_or_default();
@@ -122,10 +122,10 @@
             if !(is_live || lived) {
                 continue;
             }
-            signs.push(Sign {
+            signs.push(HolderStatus {
                 holder: name.clone(),
                 era: member.era,
-                is_certain: member.is_certain,
+                knows_grants: member.is_certain,
                 is_live,
             });
         }
--- a/crates/fescuewell_forward/src/lib.rs
+++ b/crates/fescuewell_forward/src/lib.rs
@@ -32,6 +32,6 @@
 /// What nearly every user of this crate needs.
 pub mod prelude {
     pub use crate::config::{Configuration, Kind, Limits, Route, Service, Table, Tenant};
-    pub use crate::quota::{Quota, Verdict};
+    pub use crate::quota::{HoldOutcome, Quota};
     pub use crate::server::{Entry, Movement, Registry, Said, State};
 }
--- a/crates/fescuewell_forward/src/loan.rs
+++ b/crates/fescuewell_forward/src/loan.rs
@@ -20,22 +20,22 @@
 
 /// An instance wants tokens.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct LoanRequest {
     /// Drawn at random; an answer bears the same.
     pub id: u64,
     /// The client account.
     pub account: Arc<str>,
     /// Tokens that a request misses.
-    pub least: u64,
+    pub required_tokens: u64,
     /// Tokens that are wanted in all: what the next requests will miss as well.
-    pub tokens: u64,
+    pub wanted_tokens: u64,
     /// When it was sent, by the store's clock in milliseconds.
-    pub at_ms: u64,
+    pub sent_at_ms: u64,
 }
 
 /// What a lender gives.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct LoanResponse {
     /// The ask's.
     pub id: u64,
     /// Who lends.
@@ -43,7 +43,7 @@
     /// Tokens that the borrower may spend; 0 if there are none.
     pub tokens: u64,
     /// Tokens that the lender could still give now.
-    pub left: u64,
+    pub remaining: u64,
 }
 
 /// Answers asks of others.
@@ -56,21 +56,26 @@
 impl Lender {
     /// What to answer. Nothing for an ask that is stale or was answered before: a datagram may come twice, and each copy would
     /// cost tokens that nobody gets.
-    pub fn answer(&mut self, quota: &mut Quota, ask: &Ask, now_ms: u64) -> Option<Answer> {
+    pub fn respond(
+        &mut self,
+        quota: &mut Quota,
+        ask: &LoanRequest,
+        now_ms: u64,
+    ) -> Option<LoanResponse> {
         let store_ms = quota.store_time(now_ms);
         self.answered.retain(|_, stale_ms| store_ms < *stale_ms);
-        let is_fresh = ask.at_ms.abs_diff(store_ms) < STALE_MS;
+        let is_fresh = ask.sent_at_ms.abs_diff(store_ms) < STALE_MS;
         // One from a clock that is ahead becomes stale that much later.
-        let stale_ms = ask.at_ms.max(store_ms) + STALE_MS;
+        let stale_ms = ask.sent_at_ms.max(store_ms) + STALE_MS;
         if !is_fresh || self.answered.insert(ask.id, stale_ms).is_some() {
             return None;
         }
         let tokens = quota.lend(ask, now_ms);
-        Some(Answer {
+        Some(LoanResponse {
             id: ask.id,
             lender: quota.holder().clone(),
             tokens,
-            left: quota.spare(&ask.account, now_ms),
+            remaining: quota.available(&ask.account, now_ms),
         })
     }
 }
@@ -91,14 +96,14 @@
 
 impl Borrower {
     /// An ask for `least` tokens of an account, and for `more` beyond that; `id` is a random number.
-    pub fn ask(
+    pub fn request(
         &mut self,
         quota: &Quota,
         account: &Arc<str>,
         (least, more): (u64, u64),
         id: u64,
         now_ms: u64,
-    ) -> Ask {
+    ) -> LoanRequest {
         let tokens = least + more;
         self.open.retain(|_, open| now_ms < open.until_ms);
         let open = Open {
@@ -107,24 +112,24 @@
             until_ms: now_ms + OPEN_MS,
         };
         self.open.insert(id, open);
-        Ask {
+        LoanRequest {
             id,
             account: account.clone(),
-            least,
-            tokens,
-            at_ms: quota.store_time(now_ms),
+            required_tokens: least,
+            wanted_tokens: tokens,
+            sent_at_ms: quota.store_time(now_ms),
         }
     }
 
     /// Takes an answer: once, and only to an ask of this process. Returns whether it gave tokens.
-    pub fn take(&mut self, quota: &mut Quota, answer: &Answer, now_ms: u64) -> bool {
+    pub fn accept(&mut self, quota: &mut Quota, answer: &LoanResponse, now_ms: u64) -> bool {
         let Some(open) = self.open.remove(&answer.id) else {
             return false;
         };
         // More than was asked for can only be an error.
         let tokens = answer.tokens.min(open.tokens);
         quota.borrow(&open.account, tokens);
-        quota.lender_said(&open.account, &answer.lender, answer.left, now_ms);
+        quota.record_lender_remaining(&open.account, &answer.lender, answer.remaining, now_ms);
         tokens > 0
     }
 }
--- a/crates/fescuewell_forward/src/message.rs
+++ b/crates/fescuewell_forward/src/message.rs
@@ -1,15 +1,15 @@
 //! Sealed messages between instances.
 //!
 //! ```
-//! use fescuewell_forward::loan::Ask;
+//! use fescuewell_forward::loan::LoanRequest;
 //! use fescuewell_forward::message::{Key, Message};
 //!
-//! let ask = Ask {
+//! let ask = LoanRequest {
 //!     id: 1,
 //!     account: "group".into(),
-//!     least: 4_000,
-//!     tokens: 9_000,
-//!     at_ms: 5,
+//!     required_tokens: 4_000,
+//!     wanted_tokens: 9_000,
+//!     sent_at_ms: 5,
 //! };
 //! let key = Key::new([7; 32]);
 //! let bytes = key.seal(&Message::Ask(ask.clone()));
@@ -20,7 +20,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::crash;
-use crate::loan::{Answer, Ask};
+use crate::loan::{LoanRequest, LoanResponse};
 use crate::relay::Digest;
 
 /// Leading byte of every sealed message. A load report begins with the length of a name, which is never 0.
@@ -32,9 +32,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// Tokens are wanted.
-    Ask(Ask),
+    Ask(LoanRequest),
     /// Tokens are given or refused.
-    Answer(Answer),
+    Answer(LoanResponse),
     /// What changed in the list of backend servers.
     Digest(Digest),
     /// Requests that crash backend servers.
--- a/crates/fescuewell_forward/src/quota.rs
+++ b/crates/fescuewell_forward/src/quota.rs
@@ -11,13 +11,13 @@
 //! and knows an upper bound that grows with the time since, not with the grant.
 //!
 //! ```
-//! use fescuewell_forward::quota::{Quota, Verdict};
+//! use fescuewell_forward::quota::{Quota, HoldOutcome};
 //!
 //! let mut quota = Quota::new("entry-1".into(), 1);
 //! let group = "group".into();
-//! quota.prepaid(&group, Some(1_000));
+//! quota.set_prepaid(&group, Some(1_000));
 //! // Nothing was granted yet.
-//! assert_eq!(quota.hold(&group, 100, 0), Verdict::Short);
+//! assert_eq!(quota.hold(&group, 100, 0), HoldOutcome::InsufficientGrant);
 //! ```
 
 mod account;
@@ -37,7 +37,7 @@
 
 pub use account::Account;
 use clock::StoreClock;
-use era::{Fence, Roll, Sign};
+use era::{EraState, Fence, HolderStatus};
 use exposure::Exposure;
 pub use loans::Candidate;
 use plan::{Peer, Peers};
@@ -50,13 +50,13 @@
 
 /// Answer to a request for tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum HoldOutcome {
     /// They are held back for the request.
     Held,
     /// The grant covers it, and the pace will after the next journal, or in so many milliseconds if it ever does.
-    Later(Option<u64>),
+    RateLimited(Option<u64>),
     /// This instance has not enough; others, or the rest that nobody holds, may.
-    Short,
+    InsufficientGrant,
     /// What is left in the whole fleet does not cover it.
     Exhausted,
 }
@@ -72,17 +72,17 @@
     journal_at_ms: u64,
     adopted: bool,
     closing: bool,
-    is_named: bool,
+    is_advertised: bool,
     /// Number of holders to which callers are sent.
-    named: u64,
+    advertised_count: u64,
     burst_ms: u64,
     fresh_ms: u64,
     unanswered: Option<Journal>,
     may_be_written: bool,
-    roll: Roll,
-    /// Whether this process knows what it was granted; see [`era::Sign`].
-    is_certain: bool,
-    is_first: bool,
+    era_state: EraState,
+    /// Whether this process knows what it was granted; see [`era::HolderStatus`].
+    knows_grants: bool,
+    is_first_start: bool,
 }
 
 impl Quota {
@@ -97,63 +97,63 @@
             journal_at_ms: 0,
             adopted: false,
             closing: false,
-            is_named: true,
-            named: 1,
+            is_advertised: true,
+            advertised_count: 1,
             burst_ms: 0,
             fresh_ms: FRESH_MS,
             unanswered: None,
             may_be_written: false,
-            roll: Roll::default(),
-            is_certain: true,
-            is_first: false,
+            era_state: EraState::default(),
+            knows_grants: true,
+            is_first_start: false,
         }
     }
 
     /// The store's era that is gone by.
     pub fn era(&self) -> u32 {
-        self.roll.era()
+        self.era_state.era()
     }
 
     /// The store was first read in this era; see [`era`].
     pub fn begin_era(&mut self, era: u32, now_ms: u64) {
-        self.roll.enter(era, now_ms);
+        self.era_state.enter(era, now_ms);
     }
 
     /// Tells whether the whole fleet starts for the first time, so that no former process can have drawn anything.
-    pub fn set_first(&mut self, is_first: bool) {
-        self.is_first = is_first;
+    pub fn set_first_start(&mut self, is_first_start: bool) {
+        self.is_first_start = is_first_start;
     }
 
     /// Takes the fence as read.
-    pub fn learn_fence(&mut self, version: u64, fence: Fence) {
-        if version::era(version) == self.roll.era() || version == 0 {
-            self.roll.learn_fence(version, fence);
+    pub fn observe_fence(&mut self, version: u64, fence: Fence) {
+        if version::era(version) == self.era_state.era() || version == 0 {
+            self.era_state.observe_fence(version, fence);
         }
     }
 
     /// The fence and the version of its row: each transaction on ledgers expects it.
     pub fn fence(&self) -> (u64, &Fence) {
-        self.roll.fence()
+        self.era_state.fence()
     }
 
     /// The fence that should be written now.
     pub fn next_fence(&self, now_ms: u64) -> Option<Fence> {
         match self.adopted {
-            true => self.roll.next_fence(self.is_first, now_ms),
+            true => self.era_state.next_fence(self.is_first_start, now_ms),
             false => None,
         }
     }
 
     /// The store has come back from a copy in which the own journal's row has this version and content, and the accounts these rows.
     /// Grants and journals are written anew from here on.
-    pub fn restore(
+    pub fn handle_store_restore(
         &mut self,
         era: u32,
         journal: Option<(u64, Journal)>,
         ledgers: Vec<(Arc<str>, u64, Ledger)>,
         now_ms: u64,
     ) {
-        if !self.roll.enter(era, now_ms) {
+        if !self.era_state.enter(era, now_ms) {
             return;
         }
         let (version, journal) = journal.unwrap_or_default();
@@ -168,7 +168,7 @@
             .collect();
         let names: Vec<Arc<str>> = rows.keys().cloned().collect();
         for name in &names {
-            self.account(name);
+            self.account_mut(name);
         }
         let holder = self.holder.clone();
         for (name, account) in &mut self.accounts {
@@ -176,22 +176,22 @@
         }
     }
 
-    /// Takes the holders' signs; `lapse_ms` is the time in which one that lives gives the next.
-    pub fn hear(&mut self, signs: Vec<Sign>, lapse_ms: u64) {
-        self.roll.hear(signs, lapse_ms);
+    /// Takes the holders' statuses; `heartbeat_timeout_ms` is the time in which one that lives gives the next.
+    pub fn set_holder_statuses(&mut self, statuses: Vec<HolderStatus>, heartbeat_timeout_ms: u64) {
+        self.era_state.set_statuses(statuses, heartbeat_timeout_ms);
     }
 
-    /// The own sign of what was confirmed.
-    pub fn sign(&self) -> Sign {
+    /// The own status of what was confirmed.
+    pub fn holder_status(&self) -> HolderStatus {
         let is_confirmed = !self.accounts.values().any(Account::is_unconfirmed);
-        let era = self.roll.era();
-        Sign {
+        let era = self.era_state.era();
+        HolderStatus {
             holder: self.holder.clone(),
             era: match self.adopted && is_confirmed {
                 true => era,
                 false => era.saturating_sub(1),
             },
-            is_certain: self.is_certain,
+            knows_grants: self.knows_grants,
             is_live: true,
         }
     }
@@ -203,13 +203,13 @@
 
     /// Sets the demand, in milliseconds of it, that each journal lets through beside the requests that wait for it.
     /// A fleet that may journal rarely needs more.
-    pub fn set_burst(&mut self, burst_ms: u64) {
+    pub fn set_burst_ms(&mut self, burst_ms: u64) {
         self.burst_ms = burst_ms;
     }
 
     /// Takes a reading of the store's clock that was received at `now_ms` of the own steady clock.
-    pub fn clock(&mut self, store_ms: u64, now_ms: u64) {
-        self.clock.learn(store_ms, now_ms);
+    pub fn observe_store_clock(&mut self, store_ms: u64, now_ms: u64) {
+        self.clock.observe(store_ms, now_ms);
     }
 
     /// A moment of the own clock in the store's time, never ahead of it.
@@ -218,12 +218,12 @@
     }
 
     /// Sets an account's prepaid total, from a newer configuration.
-    pub fn prepaid(&mut self, account: &Arc<str>, total: Option<u64>) {
-        self.account(account).set_prepaid(total);
+    pub fn set_prepaid(&mut self, account: &Arc<str>, total: Option<u64>) {
+        self.account_mut(account).set_prepaid(total);
     }
 
     /// Accounts with a prepaid total.
-    pub fn names(&self) -> Vec<Arc<str>> {
+    pub fn prepaid_accounts(&self) -> Vec<Arc<str>> {
         let limited = self.accounts.iter();
         let limited = limited.filter(|(_, account)| account.prepaid().is_some());
         let mut names: Vec<Arc<str>> = limited.map(|(name, _)| name.clone()).collect();
@@ -232,44 +232,46 @@
     }
 
     /// Holds tokens back for one request.
-    pub fn hold(&mut self, account: &Arc<str>, tokens: u64, now_ms: u64) -> Verdict {
+    pub fn hold(&mut self, account: &Arc<str>, tokens: u64, now_ms: u64) -> HoldOutcome {
         let store_ms = self.clock.at(now_ms);
         let usable = self.adopted;
         let holder = self.holder.clone();
         let stale_ms = store_ms.saturating_sub(self.fresh_ms);
         let usable = usable.then_some(stale_ms);
-        let era = self.roll.era();
-        self.account(account)
+        let era = self.era_state.era();
+        self.account_mut(account)
             .hold(&holder, tokens, usable, store_ms, era)
     }
 
     /// Counts a request's demand, once, before it is held.
-    pub fn ask(&mut self, account: &Arc<str>, tokens: u64, now_ms: u64) {
-        self.account(account).ask(tokens, now_ms);
+    pub fn record_demand(&mut self, account: &Arc<str>, tokens: u64, now_ms: u64) {
+        self.account_mut(account).record_demand(tokens, now_ms);
     }
 
     /// Whether nothing is held that could be spent.
-    pub fn is_idle(&self) -> bool {
-        self.accounts.values().all(|account| account.left() == 0)
+    pub fn is_out_of_tokens(&self) -> bool {
+        self.accounts
+            .values()
+            .all(|account| account.remaining() == 0)
     }
 
     /// Accounts with a prepaid total that were asked for lately, or of which something is held or was used.
-    pub fn names_in_use(&mut self, now_ms: u64) -> Vec<Arc<str>> {
+    pub fn accounts_in_use(&mut self, now_ms: u64) -> Vec<Arc<str>> {
         let usages = self.usage(now_ms).into_iter();
         usages.map(|usage| usage.account).collect()
     }
 
     /// Accounts of which requests want more than the own grants cover.
-    pub fn short_names(&self) -> Vec<Arc<str>> {
+    pub fn accounts_with_unmet_demand(&self) -> Vec<Arc<str>> {
         let accounts = self.accounts.iter();
-        let short = accounts.filter(|(_, account)| account.need().is_some());
+        let short = accounts.filter(|(_, account)| account.unmet_demand().is_some());
         short.map(|(name, _)| name.clone()).collect()
     }
 
     /// Sets the age up to which a row tells that an account is exhausted, in milliseconds: some plans. Large fleets plan less
     /// often than small ones; with the time of a small one they tell callers of accounts at their end to come back in place of that
     /// nothing is left.
-    pub fn set_fresh(&mut self, fresh_ms: u64) {
+    pub fn set_ledger_max_age_ms(&mut self, fresh_ms: u64) {
         self.fresh_ms = fresh_ms.max(FRESH_MS);
     }
 
@@ -281,7 +283,7 @@
     }
 
     /// The account as it stands.
-    pub fn view(&self, account: &str) -> Option<&Account> {
+    pub fn account(&self, account: &str) -> Option<&Account> {
         self.accounts.get(account)
     }
 
@@ -306,31 +308,37 @@
     }
 
     /// From now on only holds that exist are kept; all else goes back with the next plan.
-    pub fn close(&mut self) {
+    pub fn begin_shutdown(&mut self) {
         self.closing = true;
     }
 
     /// Takes an account's row as it was in the store at `store_ms` of its clock.
-    pub fn learn(&mut self, account: &Arc<str>, version: u64, ledger: Ledger, store_ms: u64) {
-        let era = self.roll.era();
+    pub fn observe_ledger(
+        &mut self,
+        account: &Arc<str>,
+        version: u64,
+        ledger: Ledger,
+        store_ms: u64,
+    ) {
+        let era = self.era_state.era();
         if version::era(version) != era {
-            // Of a former era, or of one that is not gone by yet; see [`Quota::restore`].
+            // Of a former era, or of one that is not gone by yet; see [`Quota::handle_store_restore`].
             return;
         }
         let holder = self.holder.clone();
-        let account = self.account(account);
-        account.learn(&holder, version, ledger, store_ms, era);
+        let account = self.account_mut(account);
+        account.observe_ledger(&holder, version, ledger, store_ms, era);
     }
 
-    /// What the holders that gave a sign lately say of their use. `named` are those to which callers are sent.
-    pub fn set_peers(&mut self, said: &[(Arc<str>, Vec<Usage>)], named: &[Arc<str>]) {
-        self.is_named = named.is_empty() || named.contains(&self.holder);
-        let all = if named.is_empty() {
+    /// What the holders that gave a status lately say of their use. `advertised` are those to which callers are sent.
+    pub fn set_peers(&mut self, said: &[(Arc<str>, Vec<Usage>)], advertised: &[Arc<str>]) {
+        self.is_advertised = advertised.is_empty() || advertised.contains(&self.holder);
+        let all = if advertised.is_empty() {
             said.len()
         } else {
-            named.len()
+            advertised.len()
         };
-        self.named = all as u64;
+        self.advertised_count = all as u64;
         let mut by_account: HashMap<Arc<str>, Peers> = HashMap::new();
         for (holder, usages) in said {
             if *holder == self.holder {
@@ -339,8 +347,8 @@
             for usage in usages {
                 let peer = Peer {
                     consumed: usage.consumed,
-                    rate: usage.rate,
-                    is_named: named.is_empty() || named.contains(holder),
+                    demand_per_s: usage.demand_per_s,
+                    is_advertised: advertised.is_empty() || advertised.contains(holder),
                 };
                 let peers = by_account.entry(usage.account.clone()).or_default();
                 peers.insert(holder.clone(), peer);
@@ -360,7 +368,7 @@
                 continue;
             }
             let usage = account.usage(name.clone(), now_ms);
-            if usage.consumed > 0 || usage.rate > 0 || account.granted() > 0 {
+            if usage.consumed > 0 || usage.demand_per_s > 0 || account.granted() > 0 {
                 usages.push(usage);
             }
         }
@@ -375,12 +383,18 @@
         }
         let holder = self.holder.clone();
         let closing = self.closing;
-        let is_named = self.is_named;
+        let is_advertised = self.is_advertised;
         let account = self.accounts.get_mut(account)?;
-        account.plan(&holder, now_ms, (is_named, self.named), closing, &self.roll)
+        account.plan(
+            &holder,
+            now_ms,
+            (is_advertised, self.advertised_count),
+            closing,
+            &self.era_state,
+        )
     }
 
-    fn account(&mut self, name: &Arc<str>) -> &mut Account {
+    fn account_mut(&mut self, name: &Arc<str>) -> &mut Account {
         self.accounts.entry(name.clone()).or_default()
     }
 }
--- a/crates/fescuewell_forward/src/quota/account.rs
+++ b/crates/fescuewell_forward/src/quota/account.rs
@@ -3,12 +3,12 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use super::Verdict;
-use super::era::{self, Roll};
+use super::HoldOutcome;
+use super::era::{self, EraState};
 use super::loans::Said;
 use super::origin::Origin;
-use super::plan::{self, Need, Own, Peers};
-use super::rate_limit::{Pace, TIGHT_MS};
+use super::plan::{self, LocalHolder, Peers, UnmetDemand};
+use super::rate_limit::{BURST_ONLY_MS, RateLimit};
 use super::row::{Entry, Grant, Ledger, Usage};
 use super::waiting::Waiting;
 use crate::window::Window;
@@ -22,22 +22,22 @@
 /// That part is at most so many requests of the usual size,
 const SPARE_REQUESTS: u64 = 2;
 /// or the demand of the tight time, which the account then lives on.
-const SPARE_MS: u64 = TIGHT_MS;
-/// Pace promised after the tight time, in percent of the measured demand. Demand in a cut may be twice what it was; a
+const SPARE_MS: u64 = BURST_ONLY_MS;
+/// RateLimit promised after the tight time, in percent of the measured demand. Demand in a cut may be twice what it was; a
 /// restart at the end of an outage of the store is charged all of it.
 const PACE_PERCENT: u64 = 200;
-/// Seconds after the tight time in which all of the grant may be used, up to the lump. Cuts from the store last up to ten
+/// Seconds after the tight time in which all of the grant may be used, up to the bucket_size. Cuts from the store last up to ten
 /// seconds, and the requests of one account come to one instance in lumps.
 const USE_UP_S: u64 = 5;
-/// The lump: requests of the usual size that an instance may serve from its grant in a cut, however little demand it has
+/// The bucket_size: requests of the usual size that an instance may serve from its grant in a cut, however little demand it has
 /// measured,
 const LUMP_REQUESTS: f64 = 0.5;
 /// and so many standard deviations of the requests that it expects in [`LUMP_S`]: those of one account come one by one,
 /// so that their number varies by its square root.
 const LUMP_DEVIATIONS: f64 = 2.0;
-/// Time for which the lump allows for that, in seconds: a usual cut.
+/// Time for which the bucket_size allows for that, in seconds: a usual cut.
 const LUMP_S: f64 = 8.0;
-/// Pace promised beyond the lump, in percent of the measured demand.
+/// RateLimit promised beyond the bucket_size, in percent of the measured demand.
 ///
 /// A restart is charged for all that its process had promised, so the promise is no wider than the whole fleet needs: an
 /// instance whose luck exceeds it borrows from the others.
@@ -65,12 +65,12 @@
     pub(super) returning: Option<Returning>,
     pub(super) consumed: u64,
     recorded: u64,
-    paces: Vec<Pace>,
+    rate_limits: Vec<RateLimit>,
     pub(super) version: u64,
     pub(super) ledger: Ledger,
     pub(super) peers: Peers,
     demand: Window,
-    need: Option<Need>,
+    need: Option<UnmetDemand>,
     pub(super) waiting: Waiting,
     requests: Window,
     started_ms: Option<u64>,
@@ -90,7 +90,7 @@
             returning: None,
             consumed: 0,
             recorded: 0,
-            paces: Vec::new(),
+            rate_limits: Vec::new(),
             version: 0,
             ledger: Ledger::default(),
             peers: Peers::default(),
@@ -132,22 +132,22 @@
 
     /// Most that a restart of this process at `store_ms` would be charged.
     pub fn promised(&self, store_ms: u64) -> u64 {
-        self.ceiling(store_ms).min(self.granted)
+        self.limit(store_ms).min(self.granted)
     }
 
     /// What is left of the grant.
-    pub fn left(&self) -> u64 {
+    pub fn remaining(&self) -> u64 {
         self.granted().saturating_sub(self.consumed)
     }
 
     /// What no holder has been granted, as of the last reading.
-    pub fn free(&self) -> u64 {
+    pub fn unallocated(&self) -> u64 {
         let prepaid = self.prepaid.unwrap_or_default();
         prepaid.saturating_sub(self.ledger.total())
     }
 
     /// Tokens that requests wait for.
-    pub fn need(&self) -> Option<Need> {
+    pub fn unmet_demand(&self) -> Option<UnmetDemand> {
         self.need
     }
 
@@ -168,40 +168,40 @@
         stale_ms: Option<u64>,
         store_ms: u64,
         era: u32,
-    ) -> Verdict {
+    ) -> HoldOutcome {
         if self.prepaid.is_none() {
             // Nothing is counted against an account without a total.
-            return Verdict::Held;
+            return HoldOutcome::Held;
         }
         // What was borrowed goes first: it is lost with this process.
         let borrowed = self.credit.min(tokens);
         let own = tokens - borrowed;
-        let granted = own == 0 || (stale_ms.is_some() && own <= self.left());
-        if granted && own <= self.paced(store_ms) {
+        let granted = own == 0 || (stale_ms.is_some() && own <= self.remaining());
+        if granted && own <= self.limit_remaining(store_ms) {
             self.credit -= borrowed;
             self.consumed += own;
-            return Verdict::Held;
+            return HoldOutcome::Held;
         }
         if granted {
             self.waiting.add(tokens, store_ms);
             let total = self.consumed + tokens;
-            let times = self.paces.iter().map(|pace| pace.when(total));
+            let times = self.rate_limits.iter().map(|limit| limit.reached_at(total));
             let when = times.collect::<Option<Vec<u64>>>();
             let when = when.and_then(|times| times.into_iter().max());
-            return Verdict::Later(when.map(|when| when.saturating_sub(store_ms)));
+            return HoldOutcome::RateLimited(when.map(|when| when.saturating_sub(store_ms)));
         }
         if stale_ms.is_some_and(|stale_ms| self.is_exhausted(holder, tokens, stale_ms, era)) {
-            return Verdict::Exhausted;
+            return HoldOutcome::Exhausted;
         }
         let known = self.need.map_or(0, |need| need.tokens);
-        self.need = Some(Need {
+        self.need = Some(UnmetDemand {
             tokens: known.max(tokens),
         });
-        Verdict::Short
+        HoldOutcome::InsufficientGrant
     }
 
     /// Counts a request, whatever becomes of it.
-    pub(super) fn ask(&mut self, tokens: u64, now_ms: u64) {
+    pub(super) fn record_demand(&mut self, tokens: u64, now_ms: u64) {
         self.demand.add(now_ms, tokens);
         self.requests.add(now_ms, 1);
         self.started_ms.get_or_insert(now_ms);
@@ -219,15 +219,18 @@
         self.credit += freed - own;
     }
 
-    /// What the paces that may be in force leave.
-    pub(super) fn paced(&self, store_ms: u64) -> u64 {
-        self.ceiling(store_ms).saturating_sub(self.consumed)
+    /// What the rate_limits that may be in force leave.
+    pub(super) fn limit_remaining(&self, store_ms: u64) -> u64 {
+        self.limit(store_ms).saturating_sub(self.consumed)
     }
 
-    /// What the paces that may be in force allow in all.
-    fn ceiling(&self, store_ms: u64) -> u64 {
-        let ceilings = self.paces.iter().map(|pace| pace.ceiling(store_ms));
-        ceilings.min().unwrap_or(0)
+    /// What the rate_limits that may be in force allow in all.
+    fn limit(&self, store_ms: u64) -> u64 {
+        let limits = self
+            .rate_limits
+            .iter()
+            .map(|limit| limit.limit_at(store_ms));
+        limits.min().unwrap_or(0)
     }
 
     /// Whether the fleet as a whole has not enough for the request, as far as the rows tell. A row that was read
@@ -244,7 +247,7 @@
     }
 
     /// Takes the row as read at `store_ms` of the store's clock.
-    pub(super) fn learn(
+    pub(super) fn observe_ledger(
         &mut self,
         holder: &str,
         version: u64,
@@ -275,8 +278,8 @@
         burst_ms: u64,
         closing: bool,
     ) -> Entry {
-        let demand = self.rate(now_ms);
-        let left = self.left();
+        let demand = self.demand_per_s(now_ms);
+        let left = self.remaining();
         let typical = self.typical(now_ms);
         let consumed = self.consumed;
         let waiting = self.waiting.take(at_ms);
@@ -285,9 +288,9 @@
                 account,
                 consumed,
                 burst: 0,
-                rate: 0,
-                lump: 0,
-                steady: 0,
+                peak_rate: 0,
+                bucket_size: 0,
+                sustained_rate: 0,
             };
         }
         let wanted = (typical * SPARE_REQUESTS).max(demand * SPARE_MS / 1_000);
@@ -296,31 +299,31 @@
             account,
             consumed,
             burst: (demand * burst_ms / 1_000).max(spare) + waiting,
-            rate: (demand * PACE_PERCENT / 100).max(left / USE_UP_S),
-            lump: lump(demand, typical),
-            steady: demand * STEADY_PERCENT / 100,
+            peak_rate: (demand * PACE_PERCENT / 100).max(left / USE_UP_S),
+            bucket_size: bucket_size_for(demand, typical),
+            sustained_rate: demand * STEADY_PERCENT / 100,
         }
     }
 
     /// A journal with this entry may take effect from now on.
     pub(super) fn bind(&mut self, entry: &Entry, at_ms: u64) {
-        self.paces.push(Pace::new(entry, at_ms));
+        self.rate_limits.push(RateLimit::new(entry, at_ms));
     }
 
     /// The journal with this entry cannot take effect.
     pub(super) fn unbind(&mut self, entry: &Entry, at_ms: u64) {
-        let dropped = Pace::new(entry, at_ms);
-        self.paces.retain(|pace| *pace != dropped);
+        let dropped = RateLimit::new(entry, at_ms);
+        self.rate_limits.retain(|limit| *limit != dropped);
     }
 
     /// A journal with this entry is in force, and no earlier one can be any more.
     pub(super) fn rebind(&mut self, entry: &Entry, at_ms: u64) {
         self.recorded = entry.consumed;
-        self.paces.clear();
-        self.paces.push(Pace::new(entry, at_ms));
+        self.rate_limits.clear();
+        self.rate_limits.push(RateLimit::new(entry, at_ms));
     }
 
-    /// What the other holders said last; those who gave no sign lately are left out.
+    /// What the other holders said last; those who gave no status lately are left out.
     pub(super) fn set_peers(&mut self, peers: Peers) {
         self.peers = peers;
     }
@@ -330,7 +333,7 @@
         Usage {
             account,
             consumed: self.consumed,
-            rate: self.rate(now_ms),
+            demand_per_s: self.demand_per_s(now_ms),
         }
     }
 
@@ -338,41 +341,43 @@
         &mut self,
         holder: &Arc<str>,
         now_ms: u64,
-        (is_named, named): (bool, u64),
+        (is_advertised, advertised_count): (bool, u64),
         closing: bool,
-        roll: &Roll,
+        era_state: &EraState,
     ) -> Option<(u64, Ledger)> {
         let prepaid = self.prepaid?;
-        let era = roll.era();
-        if !roll.is_fenced() {
+        let era = era_state.era();
+        if !era_state.is_fenced() {
             return None;
         }
         if self.is_unconfirmed() {
             return Some((self.version, self.confirmed(holder, era)));
         }
         let is_settled = self.ledger.era >= era;
-        let ledger = match (roll.missed(), closing) {
-            (Some(missed), _) if is_settled => era::released(&self.ledger, era, missed),
+        let ledger = match (era_state.unconfirmed(), closing) {
+            (Some(unconfirmed), _) if is_settled => era::released(&self.ledger, era, unconfirmed),
             _ if is_settled => self.ledger.clone(),
-            (Some(missed), _) => era::settle(&self.ledger, &self.known, era, prepaid, missed),
+            (Some(unconfirmed), _) => {
+                era::settle(&self.ledger, &self.known, era, prepaid, unconfirmed)
+            }
             // A holder that ends may always give back; it draws nothing before the era is settled.
             (None, true) => self.ledger.clone(),
             (None, false) => return None,
         };
-        let own = Own {
+        let own = LocalHolder {
             holder: holder.clone(),
             granted: self.granted(),
             consumed: self.consumed,
-            rate: self.rate(now_ms),
+            demand_per_s: self.demand_per_s(now_ms),
             typical: self.typical(now_ms),
-            is_named,
-            named,
+            is_advertised,
+            advertised_count,
         };
         let may_draw = ledger.era >= era;
         let need = self.need.take().filter(|_| may_draw);
         let granted = match closing {
-            true => plan::closing(&ledger, &own, prepaid, need),
-            false => plan::grant(&ledger, &self.peers, &own, prepaid, need),
+            true => plan::grant_at_shutdown(&ledger, &own, prepaid, need),
+            false => plan::target_grant(&ledger, &self.peers, &own, prepaid, need),
         };
         // The row is settled for those who need it, so that they learn whether anything is left.
         let is_news = need.is_some() && !is_settled;
@@ -388,7 +393,7 @@
             });
         }
         let mut ledger = ledger;
-        ledger.set(Grant {
+        ledger.set_grant(Grant {
             holder: holder.clone(),
             granted,
             era,
@@ -396,7 +401,7 @@
         Some((self.version, ledger))
     }
 
-    pub(super) fn rate(&mut self, now_ms: u64) -> u64 {
+    pub(super) fn demand_per_s(&mut self, now_ms: u64) -> u64 {
         let since = self
             .started_ms
             .map_or(0, |started| now_ms.saturating_sub(started));
@@ -414,9 +419,9 @@
     }
 }
 
-/// What a journal lets an instance spend in a cut beyond its steady pace, for a demand in tokens a second and requests of
+/// What a journal lets an instance spend in a cut beyond its sustained_rate pace, for a demand in tokens a second and requests of
 /// `typical` tokens.
-fn lump(demand: u64, typical: u64) -> u64 {
+fn bucket_size_for(demand: u64, typical: u64) -> u64 {
     let expected = demand as f64 * LUMP_S / typical.max(1) as f64;
     let requests = LUMP_REQUESTS + LUMP_DEVIATIONS * expected.sqrt();
     (typical as f64 * requests) as u64
--- a/crates/fescuewell_forward/src/quota/clock.rs
+++ b/crates/fescuewell_forward/src/quota/clock.rs
@@ -11,8 +11,8 @@
 }
 
 impl StoreClock {
-    /// Takes a reading that was received at `now_ms` of the own steady clock.
-    pub fn learn(&mut self, store_ms: u64, now_ms: u64) {
+    /// Takes a reading that was received at `now_ms` of the own sustained_rate clock.
+    pub fn observe(&mut self, store_ms: u64, now_ms: u64) {
         let offset = store_ms as i64 - now_ms as i64;
         self.offset = Some(self.offset.map_or(offset, |known| known.max(offset)));
     }
--- a/crates/fescuewell_forward/src/quota/journals.rs
+++ b/crates/fescuewell_forward/src/quota/journals.rs
@@ -23,20 +23,21 @@
         self.unanswered = None;
         self.may_be_written = false;
         let holder = self.holder.clone();
-        let era = self.roll.era();
+        let era = self.era_state.era();
         // A journal of a former era may have been followed by others, which the copy of the store lacks.
         let is_current = journal.is_some_and(|journal| journal.era == era);
-        self.is_certain = match journal {
-            Some(journal) => is_current && journal.is_certain,
-            None => era == 0 || self.is_first,
+        self.knows_grants = match journal {
+            Some(journal) => is_current && journal.knows_grants,
+            None => era == 0 || self.is_first_start,
         };
-        let is_certain = self.is_certain;
+        let knows_grants = self.knows_grants;
         // An account whose ledger cannot be read now keeps what the journal says of it. Otherwise the next journal would
         // record nothing consumed, and once the ledger can be read again all of it would be spent a second time.
         for entry in journal.map_or(&[][..], |journal| &journal.entries) {
-            let consumed = journal.map_or(0, |journal| journal.bound(&entry.account, ended_ms));
-            let account = self.account(&entry.account);
-            match (era, is_certain) {
+            let consumed =
+                journal.map_or(0, |journal| journal.max_consumed(&entry.account, ended_ms));
+            let account = self.account_mut(&entry.account);
+            match (era, knows_grants) {
                 (0, _) => account.inherit(consumed),
                 (_, true) => account.inherit_own(consumed),
                 (_, false) => account.inherit_unknown(consumed),
@@ -46,26 +47,26 @@
             let confirmed = ledger.grant(&holder).filter(|grant| grant.era >= era);
             let is_confirmed = confirmed.is_some() || ledger.era >= era;
             let granted = ledger.granted(&holder);
-            let bound = journal.map_or(granted, |journal| journal.bound(&name, ended_ms));
-            let account = self.account(&name);
-            match (is_confirmed, is_certain) {
+            let bound = journal.map_or(granted, |journal| journal.max_consumed(&name, ended_ms));
+            let account = self.account_mut(&name);
+            match (is_confirmed, knows_grants) {
                 (true, _) if is_current || journal.is_none() => {
                     account.inherit_row(bound.min(granted), granted);
                 }
                 (false, true) => account.inherit_own(bound),
                 _ => account.inherit_unknown(granted.max(bound)),
             }
-            account.learn(&holder, row_version, ledger, ended_ms, era);
+            account.observe_ledger(&holder, row_version, ledger, ended_ms, era);
         }
         self.incarnation = journal.map_or(1, |journal| journal.incarnation + 1);
-        self.journal(now_ms)
+        self.next_journal(now_ms)
     }
 
     /// The journal as it should be written now; its pace binds from this moment on.
     ///
     /// While the answer to an earlier one is missing, that one is given again. A new one would bind as well,
     /// from its own moment on, and each try during an outage would start the tight time of the pace anew.
-    pub fn journal(&mut self, now_ms: u64) -> Journal {
+    pub fn next_journal(&mut self, now_ms: u64) -> Journal {
         if let Some(journal) = &self.unanswered {
             return journal.clone();
         }
@@ -75,7 +76,7 @@
     }
 
     /// Whether the answer to an earlier journal is missing.
-    pub fn is_journal_unanswered(&self) -> bool {
+    pub fn is_journal_pending(&self) -> bool {
         self.unanswered.is_some()
     }
 
@@ -94,8 +95,8 @@
         let journal = Journal {
             incarnation: self.incarnation,
             at_ms,
-            era: self.roll.era(),
-            is_certain: self.is_certain,
+            era: self.era_state.era(),
+            knows_grants: self.knows_grants,
             entries,
         };
         for entry in &journal.entries {
@@ -112,12 +113,12 @@
     }
 
     /// Nobody knows whether the journal was written; it may be written late.
-    pub fn journal_unknown(&mut self) {
+    pub fn journal_outcome_unknown(&mut self) {
         self.may_be_written = true;
     }
 
     /// This try certainly did not write the journal. Unless an earlier try may have, its pace binds no more.
-    pub fn journal_dropped(&mut self) {
+    pub fn journal_not_written(&mut self) {
         if self.may_be_written {
             return;
         }
@@ -147,7 +148,7 @@
 
     /// The journal's row is not what was expected: an earlier write of ours, whose reply was lost, took effect.
     /// Returns false if the row belongs to another incarnation: then this process must spend nothing more.
-    pub fn journal_found(&mut self, journal: &Journal, version: u64) -> bool {
+    pub fn resolve_journal_conflict(&mut self, journal: &Journal, version: u64) -> bool {
         if journal.incarnation != self.incarnation {
             self.adopted = false;
             return false;
--- a/crates/fescuewell_forward/src/quota/loans.rs
+++ b/crates/fescuewell_forward/src/quota/loans.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::{Account, Quota};
-use crate::loan::Ask;
+use crate::loan::LoanRequest;
 
 /// Time in milliseconds for which a lender keeps tokens for its own requests, by their present rate: until it has drawn more.
 const KEPT_MS: u64 = 2_000;
@@ -25,18 +25,20 @@
     /// The holder.
     pub holder: Arc<str>,
     /// What it may have, in tokens.
-    pub left: u64,
+    pub available: u64,
 }
 
 impl Quota {
     /// Gives tokens of the own grant away: they count as consumed from here on. What is asked for beyond the least is given
     /// only as far as the own requests of [`KEPT_MS`] do not need it.
-    pub fn lend(&mut self, ask: &Ask, now_ms: u64) -> u64 {
-        let spare = self.spare(&ask.account, now_ms);
-        let account = self.account(&ask.account);
-        let kept = account.rate(now_ms) * KEPT_MS / 1_000;
-        let most = spare.saturating_sub(kept).max(ask.least.min(spare));
-        let given = most.min(ask.tokens);
+    pub fn lend(&mut self, ask: &LoanRequest, now_ms: u64) -> u64 {
+        let spare = self.available(&ask.account, now_ms);
+        let account = self.account_mut(&ask.account);
+        let kept = account.demand_per_s(now_ms) * KEPT_MS / 1_000;
+        let most = spare
+            .saturating_sub(kept)
+            .max(ask.required_tokens.min(spare));
+        let given = most.min(ask.wanted_tokens);
         account.consume(given);
         given
     }
@@ -45,12 +47,15 @@
     /// pace does not.
     ///
     /// An idle holder's pace covers two requests. Without this it lent that much at each journal, while its grant stood unused.
-    pub fn make_room(&mut self, ask: &Ask, now_ms: u64) -> bool {
+    pub fn cover_in_next_journal(&mut self, ask: &LoanRequest, now_ms: u64) -> bool {
         let store_ms = self.clock.at(now_ms);
         let usable = self.adopted;
-        let account = self.account(&ask.account);
-        let wanted = ask.tokens.min(account.left());
-        if !usable || wanted < ask.least || ask.least <= account.paced(store_ms) {
+        let account = self.account_mut(&ask.account);
+        let wanted = ask.wanted_tokens.min(account.remaining());
+        if !usable
+            || wanted < ask.required_tokens
+            || ask.required_tokens <= account.limit_remaining(store_ms)
+        {
             return false;
         }
         account.waiting.add(wanted, store_ms);
@@ -58,38 +63,44 @@
     }
 
     /// Demand of an account at this instance, in tokens a second.
-    pub fn demand(&mut self, account: &Arc<str>, now_ms: u64) -> u64 {
-        self.account(account).rate(now_ms)
+    pub fn demand_per_s(&mut self, account: &Arc<str>, now_ms: u64) -> u64 {
+        self.account_mut(account).demand_per_s(now_ms)
     }
 
     /// What could be lent or held now of the own grant.
-    pub fn spare(&self, account: &str, now_ms: u64) -> u64 {
+    pub fn available(&self, account: &str, now_ms: u64) -> u64 {
         if !self.adopted {
             return 0;
         }
         let store_ms = self.clock.at(now_ms);
         let account = self.accounts.get(account);
-        account.map_or(0, |account| account.spare(store_ms))
+        account.map_or(0, |account| account.available(store_ms))
     }
 
     /// Takes tokens that another instance has counted as consumed.
     pub fn borrow(&mut self, account: &Arc<str>, tokens: u64) {
-        self.account(account).borrow(tokens);
+        self.account_mut(account).borrow(tokens);
     }
 
     /// Tokens that are missing for a request.
-    pub fn missing(&self, account: &str, tokens: u64, now_ms: u64) -> u64 {
-        let credit = self.accounts.get(account).map_or(0, Account::credit);
-        tokens.saturating_sub(credit + self.spare(account, now_ms))
+    pub fn shortfall(&self, account: &str, tokens: u64, now_ms: u64) -> u64 {
+        let credit = self.accounts.get(account).map_or(0, Account::borrowed);
+        tokens.saturating_sub(credit + self.available(account, now_ms))
     }
 
     /// Notes what a lender said that it could still give.
-    pub fn lender_said(&mut self, account: &Arc<str>, lender: &Arc<str>, left: u64, now_ms: u64) {
+    pub fn record_lender_remaining(
+        &mut self,
+        account: &Arc<str>,
+        lender: &Arc<str>,
+        left: u64,
+        now_ms: u64,
+    ) {
         let said = Said {
             left,
             until_ms: now_ms + SAID_MS,
         };
-        self.account(account).said.insert(lender.clone(), said);
+        self.account_mut(account).said.insert(lender.clone(), said);
     }
 
     /// Who may have tokens of an account, the richest first.
@@ -99,7 +110,7 @@
         };
         let mut candidates = account.candidates(now_ms);
         candidates.sort_by(|one, other| {
-            let richest_first = other.left.cmp(&one.left);
+            let richest_first = other.available.cmp(&one.available);
             richest_first.then_with(|| one.holder.cmp(&other.holder))
         });
         candidates
@@ -108,7 +119,7 @@
 
 impl Account {
     /// Borrowed and not held by a request yet.
-    pub fn credit(&self) -> u64 {
+    pub fn borrowed(&self) -> u64 {
         self.credit
     }
 
@@ -127,8 +138,8 @@
     }
 
     /// What the grant and the pace leave.
-    pub(super) fn spare(&self, store_ms: u64) -> u64 {
-        self.left().min(self.paced(store_ms))
+    pub(super) fn available(&self, store_ms: u64) -> u64 {
+        self.remaining().min(self.limit_remaining(store_ms))
     }
 
     fn candidates(&self, now_ms: u64) -> Vec<Candidate> {
@@ -147,7 +158,7 @@
             }
             candidates.push(Candidate {
                 holder: grant.holder.clone(),
-                left,
+                available: left,
             });
         }
         candidates
--- a/crates/fescuewell_forward/src/quota/origin.rs
+++ b/crates/fescuewell_forward/src/quota/origin.rs
@@ -46,7 +46,7 @@
         let former = std::mem::take(&mut self.ledger);
         for grant in former.grants {
             if self.known.granted(&grant.holder) < grant.granted {
-                self.known.set(grant);
+                self.known.set_grant(grant);
             }
         }
         if self.origin == Origin::Row {
--- a/crates/fescuewell_forward/src/quota/plan.rs
+++ b/crates/fescuewell_forward/src/quota/plan.rs
@@ -15,18 +15,18 @@
     /// Consumed or held back.
     pub consumed: u64,
     /// Demand in tokens a second.
-    pub rate: u64,
+    pub demand_per_s: u64,
     /// Whether callers are sent to it.
-    pub is_named: bool,
+    pub is_advertised: bool,
 }
 
-/// The other holders that gave a sign lately; all others count as absent: they get no part of what is left, and the
+/// The other holders that gave a status lately; all others count as absent: they get no part of what is left, and the
 /// whole of their grants counts as spent.
 pub type Peers = HashMap<Arc<str>, Peer>;
 
 /// The planning holder's own state.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Own {
+pub struct LocalHolder {
     /// Its name.
     pub holder: Arc<str>,
     /// What it may consume in all.
@@ -34,18 +34,18 @@
     /// Consumed or held back.
     pub consumed: u64,
     /// Demand in tokens a second.
-    pub rate: u64,
+    pub demand_per_s: u64,
     /// Mean size of its recent requests.
     pub typical: u64,
     /// Whether callers are sent to it.
-    pub is_named: bool,
+    pub is_advertised: bool,
     /// Number of holders to which callers are sent.
-    pub named: u64,
+    pub advertised_count: u64,
 }
 
 /// Tokens that waiting requests want.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Need {
+pub struct UnmetDemand {
     /// The largest of them.
     pub tokens: u64,
 }
@@ -56,11 +56,11 @@
 ///
 /// What nobody has asked for stays with nobody, where one transaction finds it. Without the bound the instances that callers are
 /// sent to drew all of an account before its first request, and those to which its callers came had 5% until the others had
-/// noticed and given back, two rounds of signs later.
+/// noticed and given back, two rounds of statuses later.
 const HORIZON_S: u64 = 16;
-/// Requests of the usual size that a named holder's part covers however little demand it has.
+/// Requests of the usual size that a advertised holder's part covers however little demand it has.
 const LEAST_REQUESTS: u64 = 4;
-/// Part of what is left, in percent, that all named holders together may hold without demand. In a fleet of 300 with 50 named ones
+/// Part of what is left, in percent, that all advertised holders together may hold without demand. In a fleet of 300 with 50 advertised ones
 /// four requests each would be all of a small account.
 const UNASKED_PERCENT: u64 = 25;
 /// A grant is changed only if it is off by so much, in percent. All instances use up their parts
@@ -81,7 +81,12 @@
 }
 
 /// The grant of a holder that is about to end: what it has used, and what a request waits for.
-pub fn closing(ledger: &Ledger, own: &Own, prepaid: u64, need: Option<Need>) -> u64 {
+pub fn grant_at_shutdown(
+    ledger: &Ledger,
+    own: &LocalHolder,
+    prepaid: u64,
+    need: Option<UnmetDemand>,
+) -> u64 {
     let free = prepaid.saturating_sub(ledger.total());
     let held = own.granted.saturating_sub(own.consumed);
     let need = need.map_or(0, |need| need.tokens);
@@ -92,7 +97,13 @@
 }
 
 /// What the own grant should be.
-pub fn grant(ledger: &Ledger, peers: &Peers, own: &Own, prepaid: u64, need: Option<Need>) -> u64 {
+pub fn target_grant(
+    ledger: &Ledger,
+    peers: &Peers,
+    own: &LocalHolder,
+    prepaid: u64,
+    need: Option<UnmetDemand>,
+) -> u64 {
     let used = own.consumed + used_by_others(ledger, &own.holder, peers);
     let left = prepaid.saturating_sub(used);
     let free = prepaid.saturating_sub(ledger.total());
@@ -115,28 +126,28 @@
 }
 
 /// Most that a holder has use for, by its demand.
-fn horizon(left: u64, own: &Own) -> u64 {
-    let demand = own.rate * HORIZON_S;
-    if !own.is_named {
+fn horizon(left: u64, own: &LocalHolder) -> u64 {
+    let demand = own.demand_per_s * HORIZON_S;
+    if !own.is_advertised {
         return demand;
     }
     let least = own.typical * LEAST_REQUESTS;
-    let unasked = left * UNASKED_PERCENT / 100 / own.named.max(1);
+    let unasked = left * UNASKED_PERCENT / 100 / own.advertised_count.max(1);
     demand.max(least.min(unasked))
 }
 
-/// Part of the mean demand, in percent, that counts for each named holder beside its own demand: the demand of a few
+/// Part of the mean demand, in percent, that counts for each advertised holder beside its own demand: the demand of a few
 /// seconds foretells that of the next ones only roughly.
 const COMMON_PERCENT: u64 = 25;
 
 /// The own part of what is left, by demand.
-fn share(left: u64, own: &Own, peers: &Peers) -> u64 {
-    let named = peers.values().filter(|peer| peer.is_named).count() as u64;
-    let named = named + u64::from(own.is_named);
-    let total: u64 = peers.values().map(|peer| peer.rate).sum::<u64>() + own.rate;
-    let common = total / named.max(1) * COMMON_PERCENT / 100 + 1;
-    let weight = u128::from(own.rate + if own.is_named { common } else { 0 });
-    let sum = u128::from(total + common * named);
+fn share(left: u64, own: &LocalHolder, peers: &Peers) -> u64 {
+    let advertised_count = peers.values().filter(|peer| peer.is_advertised).count() as u64;
+    let advertised_count = advertised_count + u64::from(own.is_advertised);
+    let total: u64 = peers.values().map(|peer| peer.demand_per_s).sum::<u64>() + own.demand_per_s;
+    let common = total / advertised_count.max(1) * COMMON_PERCENT / 100 + 1;
+    let weight = u128::from(own.demand_per_s + if own.is_advertised { common } else { 0 });
+    let sum = u128::from(total + common * advertised_count);
     let usable = u128::from(left * (100 - RESERVE_PERCENT) / 100);
     (usable * weight).checked_div(sum).unwrap_or_default() as u64
 }
--- a/crates/fescuewell_forward/src/quota/rate_limit.rs
+++ b/crates/fescuewell_forward/src/quota/rate_limit.rs
@@ -9,62 +9,65 @@
 
 /// Time after a journal for which the promise is tight, in milliseconds: the age of a journal, a restart and the first
 /// reading.
-pub const TIGHT_MS: u64 = 1_500;
+pub const BURST_ONLY_MS: u64 = 1_500;
 
 /// A ceiling of consumption that rises with time.
 ///
 /// ```text
-/// ceiling                      ______ steady
+/// ceiling                      ______ sustained_rate
 ///                     ________/
-///                    / rate, up to `lump`
+///                    / peak_rate, up to `bucket_size`
 ///  base + burst ____/
-///               0   TIGHT_MS         time since the journal
+///               0   BURST_ONLY_MS         time since the journal
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Pace {
+pub struct RateLimit {
     base: u64,
-    rate: u64,
-    lump: u64,
-    steady: u64,
+    peak_rate: u64,
+    bucket_size: u64,
+    sustained_rate: u64,
     at_ms: u64,
 }
 
-impl Pace {
+impl RateLimit {
     /// The pace of a journal entry.
     pub fn new(entry: &Entry, at_ms: u64) -> Self {
         Self {
             base: entry.consumed.saturating_add(entry.burst),
-            rate: entry.rate,
-            lump: entry.lump,
-            steady: entry.steady,
+            peak_rate: entry.peak_rate,
+            bucket_size: entry.bucket_size,
+            sustained_rate: entry.sustained_rate,
             at_ms,
         }
     }
 
     /// What may have been consumed in all by `store_ms`.
-    pub fn ceiling(&self, store_ms: u64) -> u64 {
+    pub fn limit_at(&self, store_ms: u64) -> u64 {
         let elapsed = store_ms.saturating_sub(self.at_ms);
-        let wide = elapsed.saturating_sub(TIGHT_MS);
-        let first = self.rate.saturating_mul(wide) / 1_000;
-        let later = self.steady.saturating_mul(wide) / 1_000;
-        let later = self.lump.saturating_add(later);
+        let wide = elapsed.saturating_sub(BURST_ONLY_MS);
+        let first = self.peak_rate.saturating_mul(wide) / 1_000;
+        let later = self.sustained_rate.saturating_mul(wide) / 1_000;
+        let later = self.bucket_size.saturating_add(later);
         self.base.saturating_add(first.min(later))
     }
 
     /// Earliest moment at which the ceiling reaches `total`; `None` if it never does.
-    pub fn when(&self, total: u64) -> Option<u64> {
+    pub fn reached_at(&self, total: u64) -> Option<u64> {
         let missing = total.saturating_sub(self.base);
         if missing == 0 {
             return Some(self.at_ms);
         }
-        let first = time(missing, self.rate)?;
-        let later = time(missing.saturating_sub(self.lump), self.steady)?;
-        Some(self.at_ms + TIGHT_MS + first.max(later))
+        let first = duration_ms(missing, self.peak_rate)?;
+        let later = duration_ms(
+            missing.saturating_sub(self.bucket_size),
+            self.sustained_rate,
+        )?;
+        Some(self.at_ms + BURST_ONLY_MS + first.max(later))
     }
 }
 
 /// Milliseconds, rounded up, in which a rate gives an amount.
-fn time(amount: u64, rate: u64) -> Option<u64> {
+fn duration_ms(amount: u64, rate: u64) -> Option<u64> {
     match (amount, rate) {
         (0, _) => Some(0),
         (_, 0) => None,
--- a/crates/fescuewell_forward/src/quota/row.rs
+++ b/crates/fescuewell_forward/src/quota/row.rs
@@ -6,7 +6,7 @@
 use snafu::Snafu;
 
 use super::era::Fence;
-use super::rate_limit::Pace;
+use super::rate_limit::RateLimit;
 
 /// Leading byte of a ledger without eras, which the program version before reads as well: [`former`].
 const FORMER_LEDGER: u8 = 1;
@@ -56,7 +56,7 @@
     /// Consumed or held back so far.
     pub consumed: u64,
     /// Demand in tokens a second.
-    pub rate: u64,
+    pub demand_per_s: u64,
 }
 
 /// All grants of one account.
@@ -85,7 +85,7 @@
     }
 
     /// Replaces a holder's grant.
-    pub fn set(&mut self, grant: Grant) {
+    pub fn set_grant(&mut self, grant: Grant) {
         let known = self.grants.iter_mut();
         match known.into_iter().find(|known| known.holder == grant.holder) {
             Some(known) => *known = grant,
@@ -142,12 +142,12 @@
     pub consumed: u64,
     /// What may be consumed beyond that at once.
     pub burst: u64,
-    /// What may be consumed beyond that each second after [`TIGHT_MS`](super::rate_limit::TIGHT_MS),
-    pub rate: u64,
+    /// What may be consumed beyond that each second after [`BURST_ONLY_MS`](super::rate_limit::BURST_ONLY_MS),
+    pub peak_rate: u64,
     /// up to this much,
-    pub lump: u64,
+    pub bucket_size: u64,
     /// and each second from there on.
-    pub steady: u64,
+    pub sustained_rate: u64,
 }
 
 /// A holder's own record for its next incarnation.
@@ -159,8 +159,8 @@
     pub at_ms: u64,
     /// Era of the store in which it was written. One of a former era may have been followed by others that are lost.
     pub era: u32,
-    /// Whether the writer knew what it was granted; see [`super::era::Sign`].
-    pub is_certain: bool,
+    /// Whether the writer knew what it was granted; see [`super::era::HolderStatus`].
+    pub knows_grants: bool,
     /// One for each account.
     pub entries: Vec<Entry>,
 }
@@ -172,9 +172,11 @@
     }
 
     /// Most that the writer can have consumed of an account by `store_ms`.
-    pub fn bound(&self, account: &str, store_ms: u64) -> u64 {
+    pub fn max_consumed(&self, account: &str, store_ms: u64) -> u64 {
         let entry = self.entry(account);
-        entry.map_or(0, |entry| Pace::new(entry, self.at_ms).ceiling(store_ms))
+        entry.map_or(0, |entry| {
+            RateLimit::new(entry, self.at_ms).limit_at(store_ms)
+        })
     }
 
     /// The row's bytes.
@@ -271,15 +273,15 @@
                 account: entry.account,
                 consumed: entry.consumed,
                 burst: entry.burst,
-                rate: entry.rate,
-                lump: u64::MAX,
-                steady: 0,
+                peak_rate: entry.rate,
+                bucket_size: u64::MAX,
+                sustained_rate: 0,
             });
             Self {
                 incarnation: journal.incarnation,
                 at_ms: journal.at_ms,
                 era: 0,
-                is_certain: true,
+                knows_grants: true,
                 entries: entries.collect(),
             }
         }
@@ -298,7 +300,7 @@
                 incarnation: journal.incarnation,
                 at_ms: journal.at_ms,
                 era: 0,
-                is_certain: true,
+                knows_grants: true,
                 entries: journal.entries,
             }
         }
--- a/crates/fescuewell_forward/tests/common/mod.rs
+++ b/crates/fescuewell_forward/tests/common/mod.rs
@@ -4,10 +4,10 @@
 
 use std::sync::Arc;
 
-use fescuewell_forward::loan::{Answer, Borrower, Lender};
-use fescuewell_forward::quota::era::{Fence, Sign};
+use fescuewell_forward::loan::{Borrower, Lender, LoanResponse};
+use fescuewell_forward::quota::era::{Fence, HolderStatus};
 use fescuewell_forward::quota::row::{Journal, Ledger};
-use fescuewell_forward::quota::{Quota, Verdict};
+use fescuewell_forward::quota::{HoldOutcome, Quota};
 use fescuewell_forward::version;
 
 /// The only account.
@@ -18,14 +18,14 @@
 
 /// A versioned row.
 #[derive(Debug, Clone, Default)]
-pub struct Cell<Content> {
+pub struct Row<Content> {
     pub version: u64,
     pub content: Option<Content>,
 }
 
 /// A write that may take effect later if its condition still holds.
 #[derive(Debug, Clone)]
-pub enum Late {
+pub enum DelayedWrite {
     /// Versions of the ledger and the fence, the ledger.
     Ledger(u64, u64, Ledger),
     Fence(u64, Fence),
@@ -34,25 +34,25 @@
 
 /// What the network does to one write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum WriteOutcome {
     /// Done and answered.
-    Done,
+    Committed,
     /// Done; the answer is lost.
-    Lost,
+    ReplyLost,
     /// Not answered, and done later if its condition still holds.
-    Late,
+    Delayed,
     /// Certainly not done.
-    Refused,
+    Rejected,
 }
 
 /// What the store holds at a moment.
 #[derive(Debug, Clone, Default)]
-pub struct Copy {
+pub struct Snapshot {
     number: u64,
-    ledger: Cell<Ledger>,
-    journals: Vec<Cell<Journal>>,
-    fence: Cell<Fence>,
-    signs: Vec<Option<(Sign, u64)>>,
+    ledger: Row<Ledger>,
+    journals: Vec<Row<Journal>>,
+    fence: Row<Fence>,
+    signs: Vec<Option<(HolderStatus, u64)>>,
 }
 
 #[derive(Debug, Default)]
@@ -61,13 +61,13 @@
     /// The count of writes.
     pub number: u64,
     /// The row that each transaction on the ledger expects.
-    pub fence: Cell<Fence>,
+    pub fence: Row<Fence>,
     /// The instances' signs, and when they were given.
-    pub signs: Vec<Option<(Sign, u64)>>,
+    pub signs: Vec<Option<(HolderStatus, u64)>>,
     pub now_ms: u64,
-    pub ledger: Cell<Ledger>,
-    pub journals: Vec<Cell<Journal>>,
-    pub late: Vec<Late>,
+    pub ledger: Row<Ledger>,
+    pub journals: Vec<Row<Journal>>,
+    pub late: Vec<DelayedWrite>,
 }
 
 impl Store {
@@ -86,7 +86,7 @@
             return false;
         }
         let version = self.next_version();
-        self.ledger = Cell {
+        self.ledger = Row {
             version,
             content: Some(ledger),
         };
@@ -95,7 +95,7 @@
 
     fn put_fence(&mut self, expected: u64, fence: Fence) {
         if self.fits(self.fence.version, expected) {
-            self.fence = Cell {
+            self.fence = Row {
                 version: self.next_version(),
                 content: Some(fence),
             };
@@ -103,8 +103,8 @@
     }
 
     /// All that the store holds.
-    pub fn copy(&self) -> Copy {
-        Copy {
+    pub fn snapshot(&self) -> Snapshot {
+        Snapshot {
             number: self.number,
             ledger: self.ledger.clone(),
             journals: self.journals.clone(),
@@ -114,7 +114,7 @@
     }
 
     /// The store comes back from a copy, in its next era: counts go back.
-    pub fn restore(&mut self, copy: &Copy) {
+    pub fn restore(&mut self, copy: &Snapshot) {
         self.era += 1;
         let era = self.era;
         let renew = |known: u64| version::join(era, version::number(known));
@@ -135,7 +135,7 @@
             return false;
         }
         let version = self.next_version();
-        self.journals[index] = Cell {
+        self.journals[index] = Row {
             version,
             content: Some(journal),
         };
@@ -143,13 +143,13 @@
     }
 
     /// A write that was held up arrives.
-    pub fn deliver_late(&mut self) {
+    pub fn deliver_delayed_write(&mut self) {
         match self.late.pop() {
-            Some(Late::Ledger(expected, fence, ledger)) => {
+            Some(DelayedWrite::Ledger(expected, fence, ledger)) => {
                 self.put_ledger(expected, fence, ledger);
             }
-            Some(Late::Fence(expected, fence)) => self.put_fence(expected, fence),
-            Some(Late::Journal(index, expected, journal)) => {
+            Some(DelayedWrite::Fence(expected, fence)) => self.put_fence(expected, fence),
+            Some(DelayedWrite::Journal(index, expected, journal)) => {
                 self.put_journal(index, expected, journal);
             }
             None => {}
@@ -172,44 +172,44 @@
 /// Time in which an instance that lives gives its next sign, in milliseconds.
 const LAPSE_MS: u64 = 3_500;
 
-pub struct World {
+pub struct Cluster {
     pub store: Store,
     pub instances: Vec<Instance>,
     pub prepaid: u64,
     /// Largest total that was ever in force.
-    pub most: u64,
+    pub max_prepaid: u64,
     pub account: Arc<str>,
     asks: u64,
     /// Answers that were held up, and whom they are for.
-    answers: Vec<(usize, Answer)>,
+    answers: Vec<(usize, LoanResponse)>,
 }
 
-impl World {
+impl Cluster {
     pub fn new(count: usize, prepaid: u64) -> Self {
-        let mut world = Self {
+        let mut cluster = Self {
             store: Store {
                 now_ms: 1_000,
-                journals: vec![Cell::default(); count],
+                journals: vec![Row::default(); count],
                 signs: vec![None; count],
                 ..Store::default()
             },
             instances: Vec::new(),
             prepaid,
-            most: prepaid,
+            max_prepaid: prepaid,
             account: ACCOUNT.into(),
             asks: 0,
             answers: Vec::new(),
         };
         for index in 0..count {
-            let instance = world.fresh(index, 0);
-            world.instances.push(instance);
+            let instance = cluster.fresh(index, 0);
+            cluster.instances.push(instance);
         }
-        world
+        cluster
     }
 
     fn fresh(&self, index: usize, used: u64) -> Instance {
         let mut quota = Quota::new(format!("entry-{index}").into(), 0);
-        quota.prepaid(&self.account, Some(self.prepaid));
+        quota.set_prepaid(&self.account, Some(self.prepaid));
         Instance {
             quota,
             started_ms: self.store.now_ms,
@@ -226,61 +226,67 @@
         if self.instances[index].quota.era() == era {
             return;
         }
-        let now_ms = self.local(index);
+        let now_ms = self.local_ms(index);
         let cell = &self.store.journals[index];
         let journal = cell.content.clone().map(|content| (cell.version, content));
         let ledger = &self.store.ledger;
         let row = ledger.content.clone();
         let rows = row.map(|row| (self.account.clone(), ledger.version, row));
         let quota = &mut self.instances[index].quota;
-        quota.restore(era, journal, rows.into_iter().collect(), now_ms);
+        quota.handle_store_restore(era, journal, rows.into_iter().collect(), now_ms);
         self.read_fence(index);
     }
 
     fn read_fence(&mut self, index: usize) {
         let fence = self.store.fence.clone();
         let quota = &mut self.instances[index].quota;
-        quota.learn_fence(fence.version, fence.content.unwrap_or_default());
+        quota.observe_fence(fence.version, fence.content.unwrap_or_default());
     }
 
     /// The instance writes the fence if that is due.
-    fn put_fence(&mut self, index: usize, fate: Fate) {
-        let now_ms = self.local(index);
+    fn put_fence(&mut self, index: usize, outcome: WriteOutcome) {
+        let now_ms = self.local_ms(index);
         let quota = &self.instances[index].quota;
         let expected = quota.fence().0;
         let Some(fence) = quota.next_fence(now_ms) else {
             return;
         };
-        match fate {
-            Fate::Late => return self.store.late.push(Late::Fence(expected, fence)),
-            Fate::Refused => return,
-            Fate::Done | Fate::Lost => self.store.put_fence(expected, fence),
+        match outcome {
+            WriteOutcome::Delayed => {
+                return self.store.late.push(DelayedWrite::Fence(expected, fence));
+            }
+            WriteOutcome::Rejected => return,
+            WriteOutcome::Committed | WriteOutcome::ReplyLost => {
+                self.store.put_fence(expected, fence)
+            }
         }
-        if fate == Fate::Done {
+        if outcome == WriteOutcome::Committed {
             self.read_fence(index);
         }
     }
 
     /// The instance gives its sign and reads those of the others.
-    pub fn sign(&mut self, index: usize) {
+    pub fn publish_status(&mut self, index: usize) {
         if !self.instances[index].quota.is_adopted() {
             return;
         }
         self.notice(index);
-        let sign = self.instances[index].quota.sign();
+        let sign = self.instances[index].quota.holder_status();
         self.store.signs[index] = Some((sign, self.store.now_ms));
         let now_ms = self.store.now_ms;
         let signs = self.store.signs.iter().flatten();
-        let signs = signs.map(|(sign, at_ms)| Sign {
+        let signs = signs.map(|(sign, at_ms)| HolderStatus {
             is_live: now_ms < at_ms + LAPSE_MS,
             ..sign.clone()
         });
         let signs = signs.collect();
-        self.instances[index].quota.hear(signs, LAPSE_MS);
+        self.instances[index]
+            .quota
+            .set_holder_statuses(signs, LAPSE_MS);
     }
 
     /// The own clock of an instance: it began with its process.
-    pub fn local(&self, index: usize) -> u64 {
+    pub fn local_ms(&self, index: usize) -> u64 {
         self.store.now_ms - self.instances[index].started_ms
     }
 
@@ -293,11 +299,11 @@
     }
 
     /// The instance takes over from its former process.
-    pub fn adopt(&mut self, index: usize, fate: Fate) {
+    pub fn adopt(&mut self, index: usize, outcome: WriteOutcome) {
         if self.instances[index].quota.is_adopted() {
             return;
         }
-        let now_ms = self.local(index);
+        let now_ms = self.local_ms(index);
         let known = self.store.journals[index].clone();
         let rows = self.store.ledger.content.clone();
         let rows: Vec<_> = rows
@@ -309,9 +315,9 @@
         let era = self.store.era;
         let fence = self.store.fence.clone();
         let quota = &mut self.instances[index].quota;
-        quota.clock(store_ms, now_ms);
+        quota.observe_store_clock(store_ms, now_ms);
         quota.begin_era(era, now_ms);
-        quota.learn_fence(fence.version, fence.content.unwrap_or_default());
+        quota.observe_fence(fence.version, fence.content.unwrap_or_default());
         let journal = quota.adopt(
             known.content.as_ref(),
             known.version,
@@ -319,52 +325,52 @@
             ended_ms,
             now_ms,
         );
-        self.write_journal(index, journal, fate);
+        self.commit_journal(index, journal, outcome);
     }
 
     /// The instance writes its journal.
-    pub fn journal(&mut self, index: usize, fate: Fate) {
+    pub fn write_journal(&mut self, index: usize, outcome: WriteOutcome) {
         if !self.instances[index].quota.is_adopted() {
             return;
         }
         self.notice(index);
-        let now_ms = self.local(index);
-        let journal = self.instances[index].quota.journal(now_ms);
-        self.write_journal(index, journal, fate);
+        let now_ms = self.local_ms(index);
+        let journal = self.instances[index].quota.next_journal(now_ms);
+        self.commit_journal(index, journal, outcome);
     }
 
-    fn write_journal(&mut self, index: usize, journal: Journal, fate: Fate) {
+    fn commit_journal(&mut self, index: usize, journal: Journal, outcome: WriteOutcome) {
         let expected = self.instances[index].quota.journal_version();
-        if fate == Fate::Late {
-            let late = Late::Journal(index, expected, journal);
+        if outcome == WriteOutcome::Delayed {
+            let late = DelayedWrite::Journal(index, expected, journal);
             self.store.late.push(late);
-            return self.instances[index].quota.journal_unknown();
+            return self.instances[index].quota.journal_outcome_unknown();
         }
-        if fate == Fate::Refused {
-            return self.instances[index].quota.journal_dropped();
+        if outcome == WriteOutcome::Rejected {
+            return self.instances[index].quota.journal_not_written();
         }
         let done = self.store.put_journal(index, expected, journal.clone());
         let cell = self.store.journals[index].clone();
         let store_ms = self.store.now_ms;
-        let now_ms = self.local(index);
+        let now_ms = self.local_ms(index);
         let quota = &mut self.instances[index].quota;
-        if fate == Fate::Lost {
-            return quota.journal_unknown();
+        if outcome == WriteOutcome::ReplyLost {
+            return quota.journal_outcome_unknown();
         }
-        quota.clock(store_ms, now_ms);
+        quota.observe_store_clock(store_ms, now_ms);
         match (done, cell.content) {
             (true, _) => quota.journal_written(&journal, cell.version),
             (false, Some(found)) => {
-                quota.journal_found(&found, cell.version);
+                quota.resolve_journal_conflict(&found, cell.version);
             }
             (false, None) => {}
         }
     }
 
     /// The instance hears what the others say of their use.
-    pub fn hear(&mut self, index: usize) {
+    pub fn exchange_usage(&mut self, index: usize) {
         let now_ms: Vec<u64> = (0..self.instances.len())
-            .map(|who| self.local(who))
+            .map(|who| self.local_ms(who))
             .collect();
         let mut said = Vec::new();
         for (who, instance) in self.instances.iter_mut().enumerate() {
@@ -377,36 +383,36 @@
     }
 
     /// The instance brings its grant to what its plan says.
-    pub fn plan(&mut self, index: usize, fate: Fate) {
+    pub fn plan(&mut self, index: usize, outcome: WriteOutcome) {
         if !self.instances[index].quota.is_adopted() {
             return;
         }
         self.notice(index);
-        let now_ms = self.local(index);
+        let now_ms = self.local_ms(index);
         let account = self.account.clone();
-        self.put_fence(index, fate);
+        self.put_fence(index, outcome);
         let quota = &mut self.instances[index].quota;
         let fence = quota.fence().0;
         let Some((expected, ledger)) = quota.plan(&account, now_ms) else {
             return;
         };
-        if fate == Fate::Late {
-            let late = Late::Ledger(expected, fence, ledger);
+        if outcome == WriteOutcome::Delayed {
+            let late = DelayedWrite::Ledger(expected, fence, ledger);
             return self.store.late.push(late);
         }
-        if fate == Fate::Refused {
+        if outcome == WriteOutcome::Rejected {
             return;
         }
         self.store.put_ledger(expected, fence, ledger);
-        if fate == Fate::Lost {
+        if outcome == WriteOutcome::ReplyLost {
             return;
         }
         let cell = self.store.ledger.clone();
         let store_ms = self.store.now_ms;
         let quota = &mut self.instances[index].quota;
-        quota.clock(store_ms, now_ms);
+        quota.observe_store_clock(store_ms, now_ms);
         let ledger = cell.content.unwrap_or_default();
-        quota.learn(&account, cell.version, ledger, store_ms);
+        quota.observe_ledger(&account, cell.version, ledger, store_ms);
     }
 
     /// The instance reads the account's row.
@@ -417,24 +423,26 @@
         let store_ms = self.store.now_ms;
         let account = self.account.clone();
         let quota = &mut self.instances[index].quota;
-        quota.learn(&account, cell.version, ledger, store_ms);
+        quota.observe_ledger(&account, cell.version, ledger, store_ms);
     }
 
     /// A request asks for tokens.
-    pub fn hold(&mut self, index: usize, tokens: u64) -> Verdict {
-        let now_ms = self.local(index);
+    pub fn hold(&mut self, index: usize, tokens: u64) -> HoldOutcome {
+        let now_ms = self.local_ms(index);
         let account = self.account.clone();
-        self.instances[index].quota.ask(&account, tokens, now_ms);
+        self.instances[index]
+            .quota
+            .record_demand(&account, tokens, now_ms);
         self.hold_again(index, tokens)
     }
 
     /// A request that was counted before asks once more.
-    fn hold_again(&mut self, index: usize, tokens: u64) -> Verdict {
-        let now_ms = self.local(index);
+    fn hold_again(&mut self, index: usize, tokens: u64) -> HoldOutcome {
+        let now_ms = self.local_ms(index);
         let account = self.account.clone();
         let instance = &mut self.instances[index];
         let verdict = instance.quota.hold(&account, tokens, now_ms);
-        if verdict == Verdict::Held {
+        if verdict == HoldOutcome::Held {
             instance.open.push(tokens);
         }
         verdict
@@ -442,18 +450,18 @@
 
     /// A request asks for tokens wherever the fleet can find them at once.
     pub fn serve(&mut self, index: usize, tokens: u64) -> bool {
-        if self.hold(index, tokens) == Verdict::Held {
+        if self.hold(index, tokens) == HoldOutcome::Held {
             return true;
         }
-        let now_ms = self.local(index);
+        let now_ms = self.local_ms(index);
         let candidates = self.instances[index].quota.candidates(ACCOUNT, now_ms);
         for candidate in candidates.iter().take(LENDERS) {
             let name = |instance: &Instance| *instance.quota.holder() == candidate.holder;
             let Some(lender) = self.instances.iter().position(name) else {
                 continue;
             };
-            self.loan(index, lender, tokens, Fate::Done);
-            if self.hold_again(index, tokens) == Verdict::Held {
+            self.borrow(index, lender, tokens, WriteOutcome::Committed);
+            if self.hold_again(index, tokens) == HoldOutcome::Held {
                 return true;
             }
         }
@@ -461,47 +469,51 @@
     }
 
     /// An instance borrows what it misses for a request. A refused loan is one whose ask is lost.
-    pub fn loan(&mut self, index: usize, lender: usize, tokens: u64, fate: Fate) {
-        let now_ms = self.local(index);
+    pub fn borrow(&mut self, index: usize, lender: usize, tokens: u64, outcome: WriteOutcome) {
+        let now_ms = self.local_ms(index);
         self.asks += 1;
         let id = self.asks;
         let borrower = &mut self.instances[index];
-        let missing = borrower.quota.missing(ACCOUNT, tokens, now_ms);
+        let missing = borrower.quota.shortfall(ACCOUNT, tokens, now_ms);
         if missing == 0 || index == lender {
             return;
         }
         let quota = &borrower.quota;
         let ask = borrower
             .borrower
-            .ask(quota, &self.account, (missing, 0), id, now_ms);
-        if fate == Fate::Refused {
+            .request(quota, &self.account, (missing, 0), id, now_ms);
+        if outcome == WriteOutcome::Rejected {
             return;
         }
-        let lender_ms = self.local(lender);
+        let lender_ms = self.local_ms(lender);
         let lending = &mut self.instances[lender];
-        let answer = lending.lender.answer(&mut lending.quota, &ask, lender_ms);
-        let again = lending.lender.answer(&mut lending.quota, &ask, lender_ms);
+        let answer = lending.lender.respond(&mut lending.quota, &ask, lender_ms);
+        let again = lending.lender.respond(&mut lending.quota, &ask, lender_ms);
         assert_eq!(again, None, "an ask is answered once");
-        let Some(answer) = answer.filter(|_| fate != Fate::Lost) else {
+        let Some(answer) = answer.filter(|_| outcome != WriteOutcome::ReplyLost) else {
             return;
         };
-        if fate == Fate::Late {
+        if outcome == WriteOutcome::Delayed {
             return self.answers.push((index, answer));
         }
         self.take(index, &answer);
     }
 
     /// An instance takes a lender's answer, and a copy of it.
-    fn take(&mut self, index: usize, answer: &Answer) {
-        let now_ms = self.local(index);
+    fn take(&mut self, index: usize, answer: &LoanResponse) {
+        let now_ms = self.local_ms(index);
         let borrower = &mut self.instances[index];
-        borrower.borrower.take(&mut borrower.quota, answer, now_ms);
-        let again = borrower.borrower.take(&mut borrower.quota, answer, now_ms);
+        borrower
+            .borrower
+            .accept(&mut borrower.quota, answer, now_ms);
+        let again = borrower
+            .borrower
+            .accept(&mut borrower.quota, answer, now_ms);
         assert!(!again, "an answer is taken once");
     }
 
     /// The last answer that was held up arrives.
-    pub fn deliver_answer(&mut self) {
+    pub fn deliver_delayed_response(&mut self) {
         if let Some((index, answer)) = self.answers.pop() {
             self.take(index, &answer);
         }
@@ -509,7 +521,7 @@
 
     /// What an instance counts as consumed.
     pub fn consumed(&self, index: usize) -> u64 {
-        let view = self.instances[index].quota.view(ACCOUNT);
+        let view = self.instances[index].quota.account(ACCOUNT);
         view.map_or(0, |account| account.consumed())
     }
 
@@ -528,14 +540,16 @@
     /// The operator changes the total; every instance learns of it.
     pub fn top_up(&mut self, tokens: u64) {
         self.prepaid += tokens;
-        self.most = self.most.max(self.prepaid);
+        self.max_prepaid = self.max_prepaid.max(self.prepaid);
         for instance in &mut self.instances {
-            instance.quota.prepaid(&self.account, Some(self.prepaid));
+            instance
+                .quota
+                .set_prepaid(&self.account, Some(self.prepaid));
         }
     }
 
     /// Used, and held by requests that may still use it.
-    pub fn exposed(&self) -> u64 {
+    pub fn tokens_in_use(&self) -> u64 {
         let each = self.instances.iter();
         each.map(|instance| instance.used + instance.open.iter().sum::<u64>())
             .sum()
--- a/crates/fescuewell_forward/tests/eras.rs
+++ b/crates/fescuewell_forward/tests/eras.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use common::{ACCOUNT, Fate, World};
-use fescuewell_forward::quota::Verdict;
+use common::{ACCOUNT, Cluster, WriteOutcome};
+use fescuewell_forward::quota::HoldOutcome;
 use fescuewell_forward::version;
 use proptest::prelude::*;
 
@@ -12,40 +12,40 @@
 const LAPSE_MS: u64 = 4_000;
 
 /// Instances that run and have drawn nothing yet.
-fn started(prepaid: u64) -> World {
-    let mut world = World::new(INSTANCES, prepaid);
+fn started(prepaid: u64) -> Cluster {
+    let mut cluster = Cluster::new(INSTANCES, prepaid);
     for index in 0..INSTANCES {
-        world.adopt(index, Fate::Done);
+        cluster.adopt(index, WriteOutcome::Committed);
     }
-    round(&mut world, &[0, 1, 2]);
-    world
+    round(&mut cluster, &[0, 1, 2]);
+    cluster
 }
 
 /// Instances sign, journal and plan as they do each second.
-fn round(world: &mut World, who: &[usize]) {
-    world.store.now_ms += 500;
+fn round(cluster: &mut Cluster, who: &[usize]) {
+    cluster.store.now_ms += 500;
     for index in who {
-        world.sign(*index);
+        cluster.publish_status(*index);
     }
     for index in who {
-        world.hear(*index);
-        world.plan(*index, Fate::Done);
-        world.journal(*index, Fate::Done);
+        cluster.exchange_usage(*index);
+        cluster.plan(*index, WriteOutcome::Committed);
+        cluster.write_journal(*index, WriteOutcome::Committed);
     }
 }
 
 /// An instance serves what it can of so many requests of a size, drawing as it goes; returns how many.
-fn serve(world: &mut World, index: usize, count: usize, tokens: u64) -> usize {
+fn serve(cluster: &mut Cluster, index: usize, count: usize, tokens: u64) -> usize {
     let mut served = 0;
     for _ in 0..count {
         for _ in 0..3 {
-            if world.hold(index, tokens) == Verdict::Held {
+            if cluster.hold(index, tokens) == HoldOutcome::Held {
                 served += 1;
                 break;
             }
-            world.hear(index);
-            world.plan(index, Fate::Done);
-            world.journal(index, Fate::Done);
+            cluster.exchange_usage(index);
+            cluster.plan(index, WriteOutcome::Committed);
+            cluster.write_journal(index, WriteOutcome::Committed);
         }
     }
     served
@@ -55,121 +55,141 @@
 /// that is older; another instance finds the same tokens free. Cause: the rows were believed.
 #[test]
 fn what_was_drawn_since_the_copy_is_not_drawn_again() {
-    let mut world = started(100_000);
-    let copy = world.store.copy();
-    serve(&mut world, 0, 9, 10_000);
+    let mut cluster = started(100_000);
+    let copy = cluster.store.snapshot();
+    serve(&mut cluster, 0, 9, 10_000);
 
-    world.store.restore(&copy);
+    cluster.store.restore(&copy);
     for _ in 0..20 {
-        round(&mut world, &[0, 1, 2]);
-        serve(&mut world, 1, 3, 10_000);
-        serve(&mut world, 2, 3, 10_000);
+        round(&mut cluster, &[0, 1, 2]);
+        serve(&mut cluster, 1, 3, 10_000);
+        serve(&mut cluster, 2, 3, 10_000);
     }
 
-    assert!(world.exposed() <= 100_000, "{}", world.exposed());
+    assert!(
+        cluster.tokens_in_use() <= 100_000,
+        "{}",
+        cluster.tokens_in_use()
+    );
 }
 
 /// The way back: what is really left can be drawn once all have confirmed their grants.
 #[test]
 fn what_is_left_is_drawn_after_a_while() {
-    let mut world = started(100_000);
-    let copy = world.store.copy();
-    let before = serve(&mut world, 0, 3, 10_000);
+    let mut cluster = started(100_000);
+    let copy = cluster.store.snapshot();
+    let before = serve(&mut cluster, 0, 3, 10_000);
 
-    world.store.restore(&copy);
-    world.store.now_ms += LAPSE_MS;
+    cluster.store.restore(&copy);
+    cluster.store.now_ms += LAPSE_MS;
     let mut after = 0;
     for _ in 0..20 {
-        round(&mut world, &[0, 1, 2]);
-        after += serve(&mut world, 1, 1, 10_000);
+        round(&mut cluster, &[0, 1, 2]);
+        after += serve(&mut cluster, 1, 1, 10_000);
     }
 
     assert_eq!(before, 3);
     assert!(after >= 5, "{after} of 7 that were left");
-    assert!(world.exposed() <= 100_000);
+    assert!(cluster.tokens_in_use() <= 100_000);
 }
 
 /// Symptom looked for: tokens are spent twice. Sequence: an instance draws and spends all, and is killed; the store comes back from a
 /// copy from before; the next process finds a journal without any of it.
 #[test]
 fn an_instance_that_died_in_the_lost_seconds_is_charged_for_all_that_it_may_have_drawn() {
-    let mut world = started(100_000);
-    let copy = world.store.copy();
-    serve(&mut world, 0, 9, 10_000);
+    let mut cluster = started(100_000);
+    let copy = cluster.store.snapshot();
+    serve(&mut cluster, 0, 9, 10_000);
 
-    world.store.restore(&copy);
-    world.restart(0, 500);
-    world.adopt(0, Fate::Done);
+    cluster.store.restore(&copy);
+    cluster.restart(0, 500);
+    cluster.adopt(0, WriteOutcome::Committed);
     for _ in 0..20 {
-        round(&mut world, &[0, 1, 2]);
+        round(&mut cluster, &[0, 1, 2]);
         for index in 0..INSTANCES {
-            serve(&mut world, index, 2, 10_000);
+            serve(&mut cluster, index, 2, 10_000);
         }
     }
 
-    assert!(world.exposed() <= 100_000, "{}", world.exposed());
+    assert!(
+        cluster.tokens_in_use() <= 100_000,
+        "{}",
+        cluster.tokens_in_use()
+    );
 }
 
 /// Symptom looked for: the same, with an instance that never comes back.
 #[test]
 fn an_instance_that_is_gone_is_charged_for_all_that_it_may_have_drawn() {
-    let mut world = started(100_000);
-    let copy = world.store.copy();
-    serve(&mut world, 0, 9, 10_000);
+    let mut cluster = started(100_000);
+    let copy = cluster.store.snapshot();
+    serve(&mut cluster, 0, 9, 10_000);
 
-    world.store.restore(&copy);
+    cluster.store.restore(&copy);
     for _ in 0..30 {
-        round(&mut world, &[1, 2]);
-        serve(&mut world, 1, 2, 10_000);
-        serve(&mut world, 2, 2, 10_000);
+        round(&mut cluster, &[1, 2]);
+        serve(&mut cluster, 1, 2, 10_000);
+        serve(&mut cluster, 2, 2, 10_000);
     }
 
-    assert!(world.exposed() <= 100_000, "{}", world.exposed());
+    assert!(
+        cluster.tokens_in_use() <= 100_000,
+        "{}",
+        cluster.tokens_in_use()
+    );
 }
 
 /// Symptom looked for: an instance that was cut off while the store came back spends what others have drawn meanwhile.
 #[test]
 fn an_instance_that_missed_the_change_goes_by_its_own_grant() {
-    let mut world = started(100_000);
-    let copy = world.store.copy();
-    serve(&mut world, 0, 2, 10_000);
+    let mut cluster = started(100_000);
+    let copy = cluster.store.snapshot();
+    serve(&mut cluster, 0, 2, 10_000);
 
-    world.store.restore(&copy);
+    cluster.store.restore(&copy);
     for _ in 0..20 {
-        round(&mut world, &[1, 2]);
-        serve(&mut world, 1, 2, 10_000);
-        while world.hold(0, 10_000) == Verdict::Held {}
+        round(&mut cluster, &[1, 2]);
+        serve(&mut cluster, 1, 2, 10_000);
+        while cluster.hold(0, 10_000) == HoldOutcome::Held {}
     }
     for _ in 0..10 {
-        round(&mut world, &[0, 1, 2]);
-        serve(&mut world, 0, 2, 10_000);
+        round(&mut cluster, &[0, 1, 2]);
+        serve(&mut cluster, 0, 2, 10_000);
     }
 
-    assert!(world.exposed() <= 100_000, "{}", world.exposed());
+    assert!(
+        cluster.tokens_in_use() <= 100_000,
+        "{}",
+        cluster.tokens_in_use()
+    );
 }
 
 /// Symptom looked for: tokens are free twice. Sequence: an instance gives tokens back, another draws them; the copy shows them with the
 /// first one still.
 #[test]
 fn what_was_given_back_is_not_spent_after_the_return_of_a_copy() {
-    let mut world = started(100_000);
-    serve(&mut world, 0, 2, 10_000);
-    let copy = world.store.copy();
+    let mut cluster = started(100_000);
+    serve(&mut cluster, 0, 2, 10_000);
+    let copy = cluster.store.snapshot();
     for _ in 0..20 {
-        world.settle(0, 0);
+        cluster.settle(0, 0);
     }
-    world.store.now_ms += 20_000;
-    round(&mut world, &[0, 1, 2]);
-    serve(&mut world, 1, 9, 10_000);
+    cluster.store.now_ms += 20_000;
+    round(&mut cluster, &[0, 1, 2]);
+    serve(&mut cluster, 1, 9, 10_000);
 
-    world.store.restore(&copy);
+    cluster.store.restore(&copy);
     for _ in 0..20 {
-        round(&mut world, &[0, 1, 2]);
-        serve(&mut world, 0, 3, 10_000);
-        serve(&mut world, 1, 3, 10_000);
+        round(&mut cluster, &[0, 1, 2]);
+        serve(&mut cluster, 0, 3, 10_000);
+        serve(&mut cluster, 1, 3, 10_000);
     }
 
-    assert!(world.exposed() <= 100_000, "{}", world.exposed());
+    assert!(
+        cluster.tokens_in_use() <= 100_000,
+        "{}",
+        cluster.tokens_in_use()
+    );
 }
 
 /// Symptom looked for: a draw of the new era vanishes from the row, and its tokens are drawn again. Sequence: a draw of the former era is on
@@ -177,29 +197,33 @@
 /// store compares numbers, and numbers are given out again.
 #[test]
 fn a_write_of_a_former_era_that_arrives_late_has_no_effect() {
-    let mut world = started(100_000);
-    let copy = world.store.copy();
-    world.store.number += 1_000;
-    serve(&mut world, 0, 2, 1_000);
-    let number = version::number(world.store.ledger.version);
-    world.read_ledger(1);
-    world.hold(1, 1_000);
-    world.plan(1, Fate::Late);
-
-    world.store.restore(&copy);
+    let mut cluster = started(100_000);
+    let copy = cluster.store.snapshot();
+    cluster.store.number += 1_000;
+    serve(&mut cluster, 0, 2, 1_000);
+    let number = version::number(cluster.store.ledger.version);
+    cluster.read_ledger(1);
+    cluster.hold(1, 1_000);
+    cluster.plan(1, WriteOutcome::Delayed);
+
+    cluster.store.restore(&copy);
     for _ in 0..10 {
-        round(&mut world, &[0, 1, 2]);
+        round(&mut cluster, &[0, 1, 2]);
     }
-    world.store.number = number - 1;
-    serve(&mut world, 0, 1, 75_000);
-    assert_eq!(version::number(world.store.ledger.version), number);
-    world.store.deliver_late();
+    cluster.store.number = number - 1;
+    serve(&mut cluster, 0, 1, 75_000);
+    assert_eq!(version::number(cluster.store.ledger.version), number);
+    cluster.store.deliver_delayed_write();
     for _ in 0..10 {
-        round(&mut world, &[1, 2]);
-        serve(&mut world, 2, 2, 10_000);
+        round(&mut cluster, &[1, 2]);
+        serve(&mut cluster, 2, 2, 10_000);
     }
 
-    assert!(world.exposed() <= 100_000, "{}", world.exposed());
+    assert!(
+        cluster.tokens_in_use() <= 100_000,
+        "{}",
+        cluster.tokens_in_use()
+    );
 }
 
 /// One thing that happens.
@@ -208,24 +232,24 @@
     Pass(u64),
     Hold(usize, u64),
     Settle(usize, u64),
-    Journal(usize, Fate),
-    Plan(usize, Fate),
+    Journal(usize, WriteOutcome),
+    Plan(usize, WriteOutcome),
     Sign(usize),
     Restart(usize, u64),
-    Adopt(usize, Fate),
+    Adopt(usize, WriteOutcome),
     Late,
-    Loan(usize, usize, u64, Fate),
+    Loan(usize, usize, u64, WriteOutcome),
     LateAnswer,
     Copy,
     Restore,
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn outcome() -> impl Strategy<Value = WriteOutcome> {
     prop_oneof![
-        7 => Just(Fate::Done),
-        1 => Just(Fate::Lost),
-        1 => Just(Fate::Late),
-        1 => Just(Fate::Refused),
+        7 => Just(WriteOutcome::Committed),
+        1 => Just(WriteOutcome::ReplyLost),
+        1 => Just(WriteOutcome::Delayed),
+        1 => Just(WriteOutcome::Rejected),
     ]
 }
 
@@ -235,12 +259,12 @@
         5 => (1u64..2_500).prop_map(Step::Pass),
         12 => (who.clone(), 1u64..9_000).prop_map(|(who, tokens)| Step::Hold(who, tokens)),
         3 => (who.clone(), 60u64..=100).prop_map(|(who, part)| Step::Settle(who, part)),
-        5 => (who.clone(), fate()).prop_map(|(who, fate)| Step::Journal(who, fate)),
-        8 => (who.clone(), fate()).prop_map(|(who, fate)| Step::Plan(who, fate)),
+        5 => (who.clone(), outcome()).prop_map(|(who, outcome)| Step::Journal(who, outcome)),
+        8 => (who.clone(), outcome()).prop_map(|(who, outcome)| Step::Plan(who, outcome)),
         8 => who.clone().prop_map(Step::Sign),
         1 => (who.clone(), 0u64..4_000).prop_map(|(who, down)| Step::Restart(who, down)),
-        3 => (who.clone(), fate()).prop_map(|(who, fate)| Step::Adopt(who, fate)),
-        3 => (who.clone(), who, 1u64..9_000, fate()).prop_map(|(who, lender, tokens, fate)| Step::Loan(who, lender, tokens, fate)),
+        3 => (who.clone(), outcome()).prop_map(|(who, outcome)| Step::Adopt(who, outcome)),
+        3 => (who.clone(), who, 1u64..9_000, outcome()).prop_map(|(who, lender, tokens, outcome)| Step::Loan(who, lender, tokens, outcome)),
         1 => Just(Step::LateAnswer),
         2 => Just(Step::Late),
         2 => Just(Step::Copy),
@@ -248,31 +272,31 @@
     ]
 }
 
-fn play(world: &mut World, copy: &mut Option<common::Copy>, step: &Step) {
+fn play(cluster: &mut Cluster, copy: &mut Option<common::Snapshot>, step: &Step) {
     match *step {
-        Step::Pass(ms) => world.store.now_ms += ms,
+        Step::Pass(ms) => cluster.store.now_ms += ms,
         Step::Hold(who, tokens) => {
-            world.hold(who, tokens);
+            cluster.hold(who, tokens);
         }
-        Step::Settle(who, percent) => world.settle(who, percent),
-        Step::Journal(who, fate) => world.journal(who, fate),
-        Step::Plan(who, fate) => {
-            world.hear(who);
-            world.plan(who, fate);
+        Step::Settle(who, percent) => cluster.settle(who, percent),
+        Step::Journal(who, outcome) => cluster.write_journal(who, outcome),
+        Step::Plan(who, outcome) => {
+            cluster.exchange_usage(who);
+            cluster.plan(who, outcome);
         }
-        Step::Sign(who) => world.sign(who),
-        Step::Restart(who, down_ms) => world.restart(who, down_ms),
-        Step::Adopt(who, fate) => world.adopt(who, fate),
-        Step::Late => world.store.deliver_late(),
-        Step::Loan(who, lender, tokens, fate) => {
-            world.loan(who, lender, tokens, fate);
-            world.hold(who, tokens);
+        Step::Sign(who) => cluster.publish_status(who),
+        Step::Restart(who, down_ms) => cluster.restart(who, down_ms),
+        Step::Adopt(who, outcome) => cluster.adopt(who, outcome),
+        Step::Late => cluster.store.deliver_delayed_write(),
+        Step::Loan(who, lender, tokens, outcome) => {
+            cluster.borrow(who, lender, tokens, outcome);
+            cluster.hold(who, tokens);
         }
-        Step::LateAnswer => world.deliver_answer(),
-        Step::Copy => *copy = Some(world.store.copy()),
+        Step::LateAnswer => cluster.deliver_delayed_response(),
+        Step::Copy => *copy = Some(cluster.store.snapshot()),
         Step::Restore => {
             if let Some(copy) = copy {
-                world.store.restore(copy);
+                cluster.store.restore(copy);
             }
         }
     }
@@ -285,23 +309,23 @@
     /// writes, copies of the store and returns from them, some of them twice in a row.
     #[test]
     fn never_more_than_prepaid_over_eras(steps in prop::collection::vec(step(), 1..160)) {
-        let mut world = started(60_000);
-        let mut copy = Some(world.store.copy());
+        let mut cluster = started(60_000);
+        let mut copy = Some(cluster.store.snapshot());
         for step in &steps {
-            play(&mut world, &mut copy, step);
-            prop_assert!(world.exposed() <= world.most, "{} of {} in {}", world.exposed(), world.most, ACCOUNT);
+            play(&mut cluster, &mut copy, step);
+            prop_assert!(cluster.tokens_in_use() <= cluster.max_prepaid, "{} of {} in {}", cluster.tokens_in_use(), cluster.max_prepaid, ACCOUNT);
         }
         // Whatever is free, or looks so, is used up now.
         for index in 0..INSTANCES {
-            world.adopt(index, Fate::Done);
+            cluster.adopt(index, WriteOutcome::Committed);
         }
         for _ in 0..12 {
-            world.store.deliver_late();
-            round(&mut world, &[0, 1, 2]);
+            cluster.store.deliver_delayed_write();
+            round(&mut cluster, &[0, 1, 2]);
             for index in 0..INSTANCES {
-                serve(&mut world, index, 2, 3_000);
+                serve(&mut cluster, index, 2, 3_000);
             }
-            prop_assert!(world.exposed() <= world.most, "{} of {} at the end", world.exposed(), world.most);
+            prop_assert!(cluster.tokens_in_use() <= cluster.max_prepaid, "{} of {} at the end", cluster.tokens_in_use(), cluster.max_prepaid);
         }
     }
 }
--- a/crates/fescuewell_forward/tests/loans.rs
+++ b/crates/fescuewell_forward/tests/loans.rs
@@ -2,35 +2,37 @@
 
 mod common;
 
-use common::{ACCOUNT, Fate, World};
-use fescuewell_forward::loan::{Ask, Borrower, Lender};
+use common::{ACCOUNT, Cluster, WriteOutcome};
+use fescuewell_forward::loan::{Borrower, Lender, LoanRequest};
 use fescuewell_forward::message::{Key, Message};
-use fescuewell_forward::quota::Verdict;
+use fescuewell_forward::quota::HoldOutcome;
 use proptest::prelude::*;
 
 /// Two instances, of which the first holds nearly all tokens.
-fn rich_and_poor() -> World {
-    let mut world = World::new(2, 400_000);
-    world.adopt(0, Fate::Done);
+fn rich_and_poor() -> Cluster {
+    let mut cluster = Cluster::new(2, 400_000);
+    cluster.adopt(0, WriteOutcome::Committed);
     // So much demand that its part is as much as there is.
     let account = ACCOUNT.into();
-    world.instances[0].quota.ask(&account, 40_000, 0);
-    world.plan(0, Fate::Done);
-    world.journal(0, Fate::Done);
-    world.adopt(1, Fate::Done);
-    world.hear(0);
-    world.hear(1);
-    world.read_ledger(1);
-    world
+    cluster.instances[0]
+        .quota
+        .record_demand(&account, 40_000, 0);
+    cluster.plan(0, WriteOutcome::Committed);
+    cluster.write_journal(0, WriteOutcome::Committed);
+    cluster.adopt(1, WriteOutcome::Committed);
+    cluster.exchange_usage(0);
+    cluster.exchange_usage(1);
+    cluster.read_ledger(1);
+    cluster
 }
 
-fn ask(world: &World, id: u64, tokens: u64) -> Ask {
-    Ask {
+fn ask(cluster: &Cluster, id: u64, tokens: u64) -> LoanRequest {
+    LoanRequest {
         id,
         account: ACCOUNT.into(),
-        least: tokens,
-        tokens,
-        at_ms: world.store.now_ms,
+        required_tokens: tokens,
+        wanted_tokens: tokens,
+        sent_at_ms: cluster.store.now_ms,
     }
 }
 
@@ -38,22 +40,22 @@
 /// tokens: they stood at an instance to which its callers did not come, and only the store moves grants.
 #[test]
 fn tokens_of_another_instance_serve_a_request_in_a_cut() {
-    let mut world = rich_and_poor();
+    let mut cluster = rich_and_poor();
 
-    let alone = world.hold(1, 5_000);
-    let together = world.serve(1, 5_000);
+    let alone = cluster.hold(1, 5_000);
+    let together = cluster.serve(1, 5_000);
 
-    assert_eq!(alone, Verdict::Short);
+    assert_eq!(alone, HoldOutcome::InsufficientGrant);
     assert!(together);
 }
 
 #[test]
 fn the_richest_lender_is_asked_first() {
-    let mut world = rich_and_poor();
-    let quota = &mut world.instances[1].quota;
+    let mut cluster = rich_and_poor();
+    let quota = &mut cluster.instances[1].quota;
 
     let before = quota.candidates(ACCOUNT, 0);
-    quota.lender_said(&ACCOUNT.into(), &"entry-0".into(), 0, 0);
+    quota.record_lender_remaining(&ACCOUNT.into(), &"entry-0".into(), 0, 0);
     let refused = quota.candidates(ACCOUNT, 1);
     let later = quota.candidates(ACCOUNT, 1_000);
 
@@ -66,29 +68,29 @@
 /// A datagram that came twice cost the lender the tokens twice, though only one answer was taken.
 #[test]
 fn an_ask_that_is_repeated_is_not_answered_again() {
-    let mut world = rich_and_poor();
-    let ask = ask(&world, 7, 1_000);
-    let now_ms = world.local(0);
+    let mut cluster = rich_and_poor();
+    let ask = ask(&cluster, 7, 1_000);
+    let now_ms = cluster.local_ms(0);
     let mut lender = Lender::default();
-    let quota = &mut world.instances[0].quota;
-    let before = quota.spare(ACCOUNT, now_ms);
+    let quota = &mut cluster.instances[0].quota;
+    let before = quota.available(ACCOUNT, now_ms);
 
-    let first = lender.answer(quota, &ask, now_ms);
-    let second = lender.answer(quota, &ask, now_ms);
+    let first = lender.respond(quota, &ask, now_ms);
+    let second = lender.respond(quota, &ask, now_ms);
 
     assert_eq!(first.map(|answer| answer.tokens), Some(1_000));
     assert_eq!(second, None);
-    assert_eq!(quota.spare(ACCOUNT, now_ms), before - 1_000);
+    assert_eq!(quota.available(ACCOUNT, now_ms), before - 1_000);
 }
 
 #[test]
 fn an_ask_of_long_ago_is_not_answered() {
-    let mut world = rich_and_poor();
-    let ask = ask(&world, 7, 1_000);
-    world.store.now_ms += 1_500;
-    let now_ms = world.local(0);
+    let mut cluster = rich_and_poor();
+    let ask = ask(&cluster, 7, 1_000);
+    cluster.store.now_ms += 1_500;
+    let now_ms = cluster.local_ms(0);
 
-    let answer = Lender::default().answer(&mut world.instances[0].quota, &ask, now_ms);
+    let answer = Lender::default().respond(&mut cluster.instances[0].quota, &ask, now_ms);
 
     assert_eq!(answer, None);
 }
@@ -97,30 +99,30 @@
 /// to an ask that it had not sent, twice.
 #[test]
 fn an_answer_to_nobody_gives_nothing() {
-    let mut world = rich_and_poor();
-    let ask = ask(&world, 7, 1_000);
-    let now_ms = world.local(0);
-    let quota = &mut world.instances[0].quota;
-    let answer = Lender::default().answer(quota, &ask, now_ms).unwrap();
+    let mut cluster = rich_and_poor();
+    let ask = ask(&cluster, 7, 1_000);
+    let now_ms = cluster.local_ms(0);
+    let quota = &mut cluster.instances[0].quota;
+    let answer = Lender::default().respond(quota, &ask, now_ms).unwrap();
     let mut borrower = Borrower::default();
-    let quota = &mut world.instances[1].quota;
+    let quota = &mut cluster.instances[1].quota;
 
-    let taken = borrower.take(quota, &answer, 0);
+    let taken = borrower.accept(quota, &answer, 0);
 
     assert!(!taken);
-    assert_eq!(quota.view(ACCOUNT).unwrap().credit(), 0);
+    assert_eq!(quota.account(ACCOUNT).unwrap().borrowed(), 0);
 }
 
 /// What a request did not use of borrowed tokens can be used by the next one.
 #[test]
 fn unused_borrowed_tokens_serve_the_next_request() {
-    let mut world = rich_and_poor();
-    assert!(world.serve(1, 5_000));
+    let mut cluster = rich_and_poor();
+    assert!(cluster.serve(1, 5_000));
 
-    world.settle(1, 20);
-    let next = world.hold(1, 4_000);
+    cluster.settle(1, 20);
+    let next = cluster.hold(1, 4_000);
 
-    assert_eq!(next, Verdict::Held);
+    assert_eq!(next, HoldOutcome::Held);
 }
 
 proptest! {
@@ -134,7 +136,7 @@
         bit in 8usize..400,
     ) {
         let key = Key::new([1; 32]);
-        let message = Message::Ask(Ask { id: 1, account: ACCOUNT.into(), least: 1, tokens: 2, at_ms: 3 });
+        let message = Message::Ask(LoanRequest { id: 1, account: ACCOUNT.into(), required_tokens: 1, wanted_tokens: 2, sent_at_ms: 3 });
         let mut sealed = key.seal(&message);
         let bit = bit % (8 * sealed.len());
 
--- a/crates/fescuewell_forward/tests/outage.rs
+++ b/crates/fescuewell_forward/tests/outage.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Fate, World};
+use common::{Cluster, WriteOutcome};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -45,7 +45,7 @@
 
 /// A fleet and the traffic of one account.
 struct Fleet {
-    world: World,
+    cluster: Cluster,
     random: SmallRng,
     rate: f64,
     ends: Vec<(u64, usize)>,
@@ -55,12 +55,12 @@
     fn new(rate: f64, seed: u64) -> Self {
         let used_before = rate * MEAN * BEFORE_MS as f64 / 1_000.0;
         let prepaid = (used_before + rate * MEAN * LEFT_S) as u64;
-        let mut world = World::new(PARTS.len(), prepaid);
+        let mut cluster = Cluster::new(PARTS.len(), prepaid);
         for index in 0..PARTS.len() {
-            world.adopt(index, Fate::Done);
+            cluster.adopt(index, WriteOutcome::Committed);
         }
         Self {
-            world,
+            cluster,
             random: SmallRng::seed_from_u64(seed),
             rate,
             ends: Vec::new(),
@@ -76,11 +76,11 @@
 
     /// Requests of one step; returns how many came and how many were served.
     fn traffic(&mut self) -> (u64, u64) {
-        let now_ms = self.world.store.now_ms;
+        let now_ms = self.cluster.store.now_ms;
         let (ended, open): (Vec<_>, Vec<_>) = self.ends.iter().partition(|end| end.0 <= now_ms);
         self.ends = open;
         for (_, index) in ended {
-            self.world.settle(index, 96);
+            self.cluster.settle(index, 96);
         }
         let mut asked = 0;
         let mut served = 0;
@@ -91,7 +91,7 @@
             }
             let tokens = self.size();
             asked += 1;
-            if self.world.serve(index, tokens) {
+            if self.cluster.serve(index, tokens) {
                 served += 1;
                 self.ends.push((now_ms + TAKES_MS, index));
             }
@@ -102,18 +102,18 @@
     /// Usual traffic, with journals and plans as the duties make them.
     fn usual(&mut self) {
         for step in 0..BEFORE_MS / STEP_MS {
-            self.world.store.now_ms += STEP_MS;
+            self.cluster.store.now_ms += STEP_MS;
             self.traffic();
             for index in 0..PARTS.len() {
                 // Spread out, so that no two write at the same moment.
                 let phase = step + 8 * index as u64;
                 if phase.is_multiple_of(25) {
-                    self.world.journal(index, Fate::Done);
+                    self.cluster.write_journal(index, WriteOutcome::Committed);
                 }
                 if phase.is_multiple_of(50) {
-                    self.world.read_ledger(index);
-                    self.world.hear(index);
-                    self.world.plan(index, Fate::Done);
+                    self.cluster.read_ledger(index);
+                    self.cluster.exchange_usage(index);
+                    self.cluster.plan(index, WriteOutcome::Committed);
                 }
             }
         }
@@ -122,25 +122,25 @@
     /// The store is out of reach, then all processes are killed and start again.
     fn outage(&mut self) -> Outcome {
         let mut outcome = Outcome {
-            left: self.world.prepaid - self.world.exposed(),
+            left: self.cluster.prepaid - self.cluster.tokens_in_use(),
             ..Outcome::default()
         };
         for _ in 0..OUTAGE_MS / STEP_MS {
-            self.world.store.now_ms += STEP_MS;
+            self.cluster.store.now_ms += STEP_MS;
             let (asked, served) = self.traffic();
             outcome.asked += asked;
             outcome.served += served;
         }
-        let used = self.world.exposed();
+        let used = self.cluster.tokens_in_use();
         for index in 0..PARTS.len() {
-            self.world.restart(index, 0);
+            self.cluster.restart(index, 0);
         }
-        self.world.store.now_ms += 1_000;
+        self.cluster.store.now_ms += 1_000;
         for index in 0..PARTS.len() {
-            self.world.adopt(index, Fate::Done);
+            self.cluster.adopt(index, WriteOutcome::Committed);
         }
         let charged: u64 = (0..PARTS.len())
-            .map(|index| self.world.consumed(index))
+            .map(|index| self.cluster.consumed(index))
             .sum();
         outcome.unused = charged
             .checked_sub(used)
--- a/crates/fescuewell_forward/tests/quota.rs
+++ b/crates/fescuewell_forward/tests/quota.rs
@@ -2,9 +2,9 @@
 
 mod common;
 
-use common::{ACCOUNT, Fate, World};
+use common::{ACCOUNT, Cluster, WriteOutcome};
 use fescuewell_forward::quota::row::{Entry, Grant, Journal, Ledger};
-use fescuewell_forward::quota::{Quota, Verdict};
+use fescuewell_forward::quota::{HoldOutcome, Quota};
 use proptest::prelude::*;
 
 /// One thing that happens.
@@ -13,24 +13,24 @@
     Pass(u64),
     Hold(usize, u64),
     Settle(usize, u64),
-    Journal(usize, Fate),
-    Plan(usize, Fate),
+    Journal(usize, WriteOutcome),
+    Plan(usize, WriteOutcome),
     Restart(usize, u64),
-    Adopt(usize, Fate),
+    Adopt(usize, WriteOutcome),
     TopUp(u64),
     Late,
-    Loan(usize, usize, u64, Fate),
+    Loan(usize, usize, u64, WriteOutcome),
     LateAnswer,
 }
 
 const INSTANCES: usize = 3;
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn outcome() -> impl Strategy<Value = WriteOutcome> {
     prop_oneof![
-        6 => Just(Fate::Done),
-        1 => Just(Fate::Lost),
-        1 => Just(Fate::Late),
-        1 => Just(Fate::Refused),
+        6 => Just(WriteOutcome::Committed),
+        1 => Just(WriteOutcome::ReplyLost),
+        1 => Just(WriteOutcome::Delayed),
+        1 => Just(WriteOutcome::Rejected),
     ]
 }
 
@@ -40,60 +40,62 @@
         4 => (1u64..2_500).prop_map(Step::Pass),
         12 => (who.clone(), 1u64..9_000).prop_map(|(who, tokens)| Step::Hold(who, tokens)),
         4 => (who.clone(), 60u64..=100).prop_map(|(who, part)| Step::Settle(who, part)),
-        5 => (who.clone(), fate()).prop_map(|(who, fate)| Step::Journal(who, fate)),
-        5 => (who.clone(), fate()).prop_map(|(who, fate)| Step::Plan(who, fate)),
+        5 => (who.clone(), outcome()).prop_map(|(who, outcome)| Step::Journal(who, outcome)),
+        5 => (who.clone(), outcome()).prop_map(|(who, outcome)| Step::Plan(who, outcome)),
         1 => (who.clone(), 0u64..4_000).prop_map(|(who, down)| Step::Restart(who, down)),
-        3 => (who.clone(), fate()).prop_map(|(who, fate)| Step::Adopt(who, fate)),
-        4 => (who.clone(), who, 1u64..9_000, fate()).prop_map(|(who, lender, tokens, fate)| Step::Loan(who, lender, tokens, fate)),
+        3 => (who.clone(), outcome()).prop_map(|(who, outcome)| Step::Adopt(who, outcome)),
+        4 => (who.clone(), who, 1u64..9_000, outcome()).prop_map(|(who, lender, tokens, outcome)| Step::Loan(who, lender, tokens, outcome)),
         1 => Just(Step::LateAnswer),
         1 => (1u64..6_000).prop_map(Step::TopUp),
         2 => Just(Step::Late),
     ]
 }
 
-fn play(world: &mut World, step: &Step) {
+fn play(cluster: &mut Cluster, step: &Step) {
     match *step {
-        Step::Pass(ms) => world.store.now_ms += ms,
+        Step::Pass(ms) => cluster.store.now_ms += ms,
         Step::Hold(who, tokens) => {
-            world.hold(who, tokens);
+            cluster.hold(who, tokens);
         }
-        Step::Settle(who, percent) => world.settle(who, percent),
-        Step::Journal(who, fate) => world.journal(who, fate),
-        Step::Plan(who, fate) => {
-            world.hear(who);
-            world.plan(who, fate);
+        Step::Settle(who, percent) => cluster.settle(who, percent),
+        Step::Journal(who, outcome) => cluster.write_journal(who, outcome),
+        Step::Plan(who, outcome) => {
+            cluster.exchange_usage(who);
+            cluster.plan(who, outcome);
         }
-        Step::Restart(who, down_ms) => world.restart(who, down_ms),
-        Step::Adopt(who, fate) => world.adopt(who, fate),
-        Step::TopUp(tokens) => world.top_up(tokens),
-        Step::Late => world.store.deliver_late(),
-        Step::Loan(who, lender, tokens, fate) => {
-            world.loan(who, lender, tokens, fate);
-            world.hold(who, tokens);
+        Step::Restart(who, down_ms) => cluster.restart(who, down_ms),
+        Step::Adopt(who, outcome) => cluster.adopt(who, outcome),
+        Step::TopUp(tokens) => cluster.top_up(tokens),
+        Step::Late => cluster.store.deliver_delayed_write(),
+        Step::Loan(who, lender, tokens, outcome) => {
+            cluster.borrow(who, lender, tokens, outcome);
+            cluster.hold(who, tokens);
         }
-        Step::LateAnswer => world.deliver_answer(),
+        Step::LateAnswer => cluster.deliver_delayed_response(),
     }
 }
 
 /// Instances that were asked for all of the total, so that their grants cover it.
-fn running(count: usize, prepaid: u64) -> World {
-    let mut world = World::new(count, prepaid);
+fn running(count: usize, prepaid: u64) -> Cluster {
+    let mut cluster = Cluster::new(count, prepaid);
     let account = ACCOUNT.into();
     for index in 0..count {
-        world.adopt(index, Fate::Done);
+        cluster.adopt(index, WriteOutcome::Committed);
         for _ in 0..100 {
             let tokens = prepaid / count as u64 / 100;
-            world.instances[index].quota.ask(&account, tokens, 0);
+            cluster.instances[index]
+                .quota
+                .record_demand(&account, tokens, 0);
         }
     }
     for _ in 0..2 {
         for index in 0..count {
-            world.hear(index);
-            world.plan(index, Fate::Done);
-            world.journal(index, Fate::Done);
+            cluster.exchange_usage(index);
+            cluster.plan(index, WriteOutcome::Committed);
+            cluster.write_journal(index, WriteOutcome::Committed);
         }
     }
-    world
+    cluster
 }
 
 proptest! {
@@ -104,16 +106,16 @@
     /// loan that two processes spend.
     #[test]
     fn never_more_than_prepaid(steps in prop::collection::vec(step(), 1..220)) {
-        let mut world = running(INSTANCES, 60_000);
+        let mut cluster = running(INSTANCES, 60_000);
 
         for step in &steps {
-            play(&mut world, step);
+            play(&mut cluster, step);
 
             prop_assert!(
-                world.exposed() <= world.most,
+                cluster.tokens_in_use() <= cluster.max_prepaid,
                 "after {step:?}: {} of {}",
-                world.exposed(),
-                world.most
+                cluster.tokens_in_use(),
+                cluster.max_prepaid
             );
         }
     }
@@ -129,32 +131,32 @@
             .into_iter()
             .filter(|step| !matches!(step, Step::Restart(..)))
             .collect();
-        let mut world = running(INSTANCES, 300_000);
+        let mut cluster = running(INSTANCES, 300_000);
         for step in &steps {
-            play(&mut world, step);
+            play(&mut cluster, step);
         }
         for who in 0..INSTANCES {
-            while !world.instances[who].open.is_empty() {
-                world.settle(who, 0);
+            while !cluster.instances[who].open.is_empty() {
+                cluster.settle(who, 0);
             }
-            world.adopt(who, Fate::Done);
+            cluster.adopt(who, WriteOutcome::Committed);
         }
 
-        let used: u64 = world.instances.iter().map(|instance| instance.used).sum();
+        let used: u64 = cluster.instances.iter().map(|instance| instance.used).sum();
         let mut granted = 0;
         for round in 0..4_000 {
             let who = round % INSTANCES;
-            world.store.now_ms += 50;
-            if world.hold(who, 1_000) == Verdict::Held {
+            cluster.store.now_ms += 50;
+            if cluster.hold(who, 1_000) == HoldOutcome::Held {
                 granted += 1_000;
             }
-            world.hear(who);
-            world.plan(who, Fate::Done);
-            world.plan(who, Fate::Done);
-            world.journal(who, Fate::Done);
+            cluster.exchange_usage(who);
+            cluster.plan(who, WriteOutcome::Committed);
+            cluster.plan(who, WriteOutcome::Committed);
+            cluster.write_journal(who, WriteOutcome::Committed);
         }
 
-        let left = world.prepaid - used;
+        let left = cluster.prepaid - used;
         prop_assert!(granted + 3_000 >= left * 9 / 10, "{granted} of {left}");
     }
 }
@@ -163,24 +165,32 @@
 /// grant is killed half a second after its journal and starts again. Cause: the whole grant counted as spent.
 #[test]
 fn a_restart_costs_a_small_part_of_the_grant() {
-    let mut world = running(1, 1_000_000);
-    let granted = world.instances[0].quota.view(ACCOUNT).unwrap().granted();
-
-    world.restart(0, 500);
-    world.adopt(0, Fate::Done);
-
-    let charged = world.instances[0].quota.view(ACCOUNT).unwrap().consumed();
+    let mut cluster = running(1, 1_000_000);
+    let granted = cluster.instances[0]
+        .quota
+        .account(ACCOUNT)
+        .unwrap()
+        .granted();
+
+    cluster.restart(0, 500);
+    cluster.adopt(0, WriteOutcome::Committed);
+
+    let charged = cluster.instances[0]
+        .quota
+        .account(ACCOUNT)
+        .unwrap()
+        .consumed();
     assert!(granted > 900_000);
     assert!(charged < granted / 10, "{charged} of {granted}");
 }
 
 /// Six seconds of requests at the first instance, each of which uses a hundredth of its tokens; then a journal.
-fn ask_for_a_while(world: &mut World, tokens: u64, every_ms: u64) {
+fn ask_for_a_while(cluster: &mut Cluster, tokens: u64, every_ms: u64) {
     for _ in 0..6_000 / every_ms {
-        world.store.now_ms += every_ms;
-        world.hold(0, tokens);
-        world.settle(0, 1);
-        world.journal(0, Fate::Done);
+        cluster.store.now_ms += every_ms;
+        cluster.hold(0, tokens);
+        cluster.settle(0, 1);
+        cluster.write_journal(0, WriteOutcome::Committed);
     }
 }
 
@@ -189,17 +199,30 @@
 /// process promised no bound but its whole grant for the time after 6.5 s without the store.
 #[test]
 fn a_kill_in_a_long_outage_is_charged_by_demand() {
-    let mut world = running(1, 10_000_000);
-    ask_for_a_while(&mut world, 5_000, 500);
-    let granted = world.instances[0].quota.view(ACCOUNT).unwrap().granted();
-    let before = world.instances[0].quota.view(ACCOUNT).unwrap().consumed();
-
-    world.store.now_ms += 14_000;
-    world.restart(0, 500);
-    world.adopt(0, Fate::Done);
+    let mut cluster = running(1, 10_000_000);
+    ask_for_a_while(&mut cluster, 5_000, 500);
+    let granted = cluster.instances[0]
+        .quota
+        .account(ACCOUNT)
+        .unwrap()
+        .granted();
+    let before = cluster.instances[0]
+        .quota
+        .account(ACCOUNT)
+        .unwrap()
+        .consumed();
+
+    cluster.store.now_ms += 14_000;
+    cluster.restart(0, 500);
+    cluster.adopt(0, WriteOutcome::Committed);
 
     // 10,000 tokens a second were asked for, so some 140,000 in that time.
-    let charged = world.instances[0].quota.view(ACCOUNT).unwrap().consumed() - before;
+    let charged = cluster.instances[0]
+        .quota
+        .account(ACCOUNT)
+        .unwrap()
+        .consumed()
+        - before;
     assert!(granted > 9_000_000);
     assert!(charged < 300_000, "{charged} of {granted}");
 }
@@ -209,17 +232,17 @@
 /// for each of them as if they still waited.
 #[test]
 fn requests_refused_in_an_outage_do_not_loosen_the_next_journal() {
-    let mut world = running(1, 10_000_000);
-    ask_for_a_while(&mut world, 5_000, 500);
+    let mut cluster = running(1, 10_000_000);
+    ask_for_a_while(&mut cluster, 5_000, 500);
     for _ in 0..400 {
-        world.store.now_ms += 20;
-        world.hold(0, 20_000);
+        cluster.store.now_ms += 20;
+        cluster.hold(0, 20_000);
     }
-    world.store.now_ms += 1_000;
+    cluster.store.now_ms += 1_000;
 
-    world.journal(0, Fate::Done);
+    cluster.write_journal(0, WriteOutcome::Committed);
 
-    let exposure = world.instances[0].quota.exposure(world.local(0));
+    let exposure = cluster.instances[0].quota.exposure(cluster.local_ms(0));
     let promised = exposure.promised - exposure.consumed;
     assert!(promised <= 1_000_000, "{promised}");
 }
@@ -229,13 +252,13 @@
 /// many came.
 #[test]
 fn a_busy_account_is_served_when_a_cut_begins() {
-    let mut world = running(1, 1_000_000);
-    ask_for_a_while(&mut world, 4_000, 100);
+    let mut cluster = running(1, 1_000_000);
+    ask_for_a_while(&mut cluster, 4_000, 100);
     let mut held = 0;
 
     for _ in 0..15 {
-        world.store.now_ms += 90;
-        if world.hold(0, 4_000) == Verdict::Held {
+        cluster.store.now_ms += 90;
+        if cluster.hold(0, 4_000) == HoldOutcome::Held {
             held += 1;
         }
     }
@@ -253,8 +276,8 @@
     let journal = Journal::decode(&bytes).unwrap();
 
     assert_eq!(journal.incarnation, 4);
-    assert_eq!(journal.bound(ACCOUNT, 5), 3);
-    assert_eq!(journal.bound(ACCOUNT, 5 + 1_500 + 2_000), 3 + 6);
+    assert_eq!(journal.max_consumed(ACCOUNT, 5), 3);
+    assert_eq!(journal.max_consumed(ACCOUNT, 5 + 1_500 + 2_000), 3 + 6);
 }
 
 #[test]
@@ -265,7 +288,7 @@
     let journal = Journal::decode(&bytes).unwrap();
 
     assert_eq!((journal.incarnation, journal.era), (4, 0));
-    assert_eq!(journal.bound(ACCOUNT, 5 + 1_500 + 2_000), 3 + 6);
+    assert_eq!(journal.max_consumed(ACCOUNT, 5 + 1_500 + 2_000), 3 + 6);
 }
 
 /// Symptom: a request of a dead process and one of its successor were paid from the same tokens. Sequence: the store
@@ -273,20 +296,24 @@
 /// last journal and not the pace.
 #[test]
 fn what_was_spent_during_a_cut_is_charged_after_a_restart() {
-    let mut world = running(1, 1_000_000);
-    ask_for_a_while(&mut world, 5_000, 100);
+    let mut cluster = running(1, 1_000_000);
+    ask_for_a_while(&mut cluster, 5_000, 100);
     let mut spent = 0;
     for _ in 0..80 {
-        world.store.now_ms += 100;
-        if world.hold(0, 5_000) == Verdict::Held {
+        cluster.store.now_ms += 100;
+        if cluster.hold(0, 5_000) == HoldOutcome::Held {
             spent += 5_000;
         }
     }
 
-    world.restart(0, 500);
-    world.adopt(0, Fate::Done);
+    cluster.restart(0, 500);
+    cluster.adopt(0, WriteOutcome::Committed);
 
-    let charged = world.instances[0].quota.view(ACCOUNT).unwrap().consumed();
+    let charged = cluster.instances[0]
+        .quota
+        .account(ACCOUNT)
+        .unwrap()
+        .consumed();
     assert!(spent > 300_000, "a cut must be survived: {spent}");
     assert!(charged >= spent, "{charged} for {spent}");
 }
@@ -296,21 +323,25 @@
 /// before; the late one takes effect and the process is killed. Cause: the journal under way did not bind.
 #[test]
 fn a_journal_on_its_way_binds() {
-    let mut world = running(1, 1_000_000);
-    world.store.now_ms += 5_000;
-    world.journal(0, Fate::Late);
+    let mut cluster = running(1, 1_000_000);
+    cluster.store.now_ms += 5_000;
+    cluster.write_journal(0, WriteOutcome::Delayed);
     let mut spent = 0;
     for _ in 0..40 {
-        if world.hold(0, 5_000) == Verdict::Held {
+        if cluster.hold(0, 5_000) == HoldOutcome::Held {
             spent += 5_000;
         }
     }
 
-    world.store.deliver_late();
-    world.restart(0, 100);
-    world.adopt(0, Fate::Done);
+    cluster.store.deliver_delayed_write();
+    cluster.restart(0, 100);
+    cluster.adopt(0, WriteOutcome::Committed);
 
-    let charged = world.instances[0].quota.view(ACCOUNT).unwrap().consumed();
+    let charged = cluster.instances[0]
+        .quota
+        .account(ACCOUNT)
+        .unwrap()
+        .consumed();
     assert!(charged >= spent, "{charged} for {spent}");
 }
 
@@ -318,14 +349,14 @@
 /// journal is tried. Cause: each try bound a new pace, whose tight time began anew.
 #[test]
 fn tries_during_a_cut_do_not_tighten_the_pace() {
-    let mut world = running(1, 1_000_000);
-    ask_for_a_while(&mut world, 20_000, 500);
+    let mut cluster = running(1, 1_000_000);
+    ask_for_a_while(&mut cluster, 20_000, 500);
     let mut held = 0;
 
     for _ in 0..16 {
-        world.store.now_ms += 500;
-        world.journal(0, Fate::Late);
-        if world.hold(0, 20_000) == Verdict::Held {
+        cluster.store.now_ms += 500;
+        cluster.write_journal(0, WriteOutcome::Delayed);
+        if cluster.hold(0, 20_000) == HoldOutcome::Held {
             held += 1;
         }
     }
@@ -334,16 +365,16 @@
 }
 
 /// Two seconds in which only the second instance is asked for tokens, until the first one hears of it.
-fn move_demand(world: &mut World) {
+fn move_demand(cluster: &mut Cluster) {
     for _ in 0..20 {
-        world.store.now_ms += 100;
-        world.hold(1, 9_000);
-        world.settle(1, 100);
-        world.journal(1, Fate::Done);
-        world.plan(1, Fate::Done);
+        cluster.store.now_ms += 100;
+        cluster.hold(1, 9_000);
+        cluster.settle(1, 100);
+        cluster.write_journal(1, WriteOutcome::Committed);
+        cluster.plan(1, WriteOutcome::Committed);
     }
-    world.read_ledger(0);
-    world.hear(0);
+    cluster.read_ledger(0);
+    cluster.exchange_usage(0);
 }
 
 /// Symptom: an overspend after a lost reply. Sequence: a return of tokens is on its way, late; the instance reads its
@@ -351,17 +382,29 @@
 /// instance went back to the grant that it had read.
 #[test]
 fn a_return_that_may_still_take_effect_binds() {
-    let mut world = running(2, 400_000);
-    let before = world.instances[0].quota.view(ACCOUNT).unwrap().granted();
-    move_demand(&mut world);
-
-    world.plan(0, Fate::Late);
-
-    let after = world.instances[0].quota.view(ACCOUNT).unwrap().granted();
+    let mut cluster = running(2, 400_000);
+    let before = cluster.instances[0]
+        .quota
+        .account(ACCOUNT)
+        .unwrap()
+        .granted();
+    move_demand(&mut cluster);
+
+    cluster.plan(0, WriteOutcome::Delayed);
+
+    let after = cluster.instances[0]
+        .quota
+        .account(ACCOUNT)
+        .unwrap()
+        .granted();
     assert!(after < before, "{after} of {before}");
-    world.read_ledger(0);
+    cluster.read_ledger(0);
     assert_eq!(
-        world.instances[0].quota.view(ACCOUNT).unwrap().granted(),
+        cluster.instances[0]
+            .quota
+            .account(ACCOUNT)
+            .unwrap()
+            .granted(),
         after
     );
 }
@@ -371,36 +414,51 @@
 /// the first one's in what binds.
 #[test]
 fn a_later_plan_does_not_loosen_a_return_on_its_way() {
-    let mut world = running(2, 400_000);
-    move_demand(&mut world);
-    world.plan(0, Fate::Late);
-    let returned = world.instances[0].quota.view(ACCOUNT).unwrap().granted();
-
-    world.top_up(100_000);
-    world.hold(0, returned + 10_000);
-    world.plan(0, Fate::Refused);
-
-    assert!(world.instances[0].quota.view(ACCOUNT).unwrap().granted() <= returned);
+    let mut cluster = running(2, 400_000);
+    move_demand(&mut cluster);
+    cluster.plan(0, WriteOutcome::Delayed);
+    let returned = cluster.instances[0]
+        .quota
+        .account(ACCOUNT)
+        .unwrap()
+        .granted();
+
+    cluster.top_up(100_000);
+    cluster.hold(0, returned + 10_000);
+    cluster.plan(0, WriteOutcome::Rejected);
+
+    assert!(
+        cluster.instances[0]
+            .quota
+            .account(ACCOUNT)
+            .unwrap()
+            .granted()
+            <= returned
+    );
 }
 
 /// Symptom: an overspend after a restart. Sequence: the first journal's reply is lost, requests are served, the
 /// takeover begins anew and forgets them. Cause: the row that the own write left was taken for a stranger's.
 #[test]
 fn a_first_journal_with_a_lost_reply_is_taken_as_written() {
-    let mut world = World::new(1, 100_000);
+    let mut cluster = Cluster::new(1, 100_000);
 
-    world.adopt(0, Fate::Lost);
-    world.adopt(0, Fate::Done);
+    cluster.adopt(0, WriteOutcome::ReplyLost);
+    cluster.adopt(0, WriteOutcome::Committed);
 
-    assert!(world.instances[0].quota.is_adopted());
-    world.plan(0, Fate::Done);
+    assert!(cluster.instances[0].quota.is_adopted());
+    cluster.plan(0, WriteOutcome::Committed);
     // The grant covers it, and the next journal lets it through.
-    assert_eq!(world.hold(0, 5_000), Verdict::Later(None));
-    world.journal(0, Fate::Done);
-    assert_eq!(world.hold(0, 5_000), Verdict::Held);
-    world.adopt(0, Fate::Done);
+    assert_eq!(cluster.hold(0, 5_000), HoldOutcome::RateLimited(None));
+    cluster.write_journal(0, WriteOutcome::Committed);
+    assert_eq!(cluster.hold(0, 5_000), HoldOutcome::Held);
+    cluster.adopt(0, WriteOutcome::Committed);
     assert_eq!(
-        world.instances[0].quota.view(ACCOUNT).unwrap().consumed(),
+        cluster.instances[0]
+            .quota
+            .account(ACCOUNT)
+            .unwrap()
+            .consumed(),
         5_000
     );
 }
@@ -409,54 +467,56 @@
 /// older one did not notice that its journal had a new writer.
 #[test]
 fn a_journal_of_another_incarnation_ends_spending() {
-    let mut world = running(1, 100_000);
-    let mut journal = world.store.journals[0].clone();
+    let mut cluster = running(1, 100_000);
+    let mut journal = cluster.store.journals[0].clone();
     let content = journal.content.as_mut().unwrap();
     content.incarnation += 1;
 
-    let kept = world.instances[0].quota.journal_found(content, 99);
+    let kept = cluster.instances[0]
+        .quota
+        .resolve_journal_conflict(content, 99);
 
     assert!(!kept);
-    assert_ne!(world.hold(0, 10), Verdict::Held);
+    assert_ne!(cluster.hold(0, 10), HoldOutcome::Held);
 }
 
 #[test]
 fn a_request_larger_than_all_that_is_left_is_refused_for_good() {
-    let mut world = running(2, 50_000);
+    let mut cluster = running(2, 50_000);
 
-    let verdict = world.hold(0, 60_000);
+    let verdict = cluster.hold(0, 60_000);
 
-    assert_eq!(verdict, Verdict::Exhausted);
+    assert_eq!(verdict, HoldOutcome::Exhausted);
 }
 
 #[test]
 fn an_account_without_a_total_is_never_refused() {
-    let mut world = running(1, 50_000);
+    let mut cluster = running(1, 50_000);
     let other = "unlimited".into();
-    world.instances[0].quota.prepaid(&other, None);
+    cluster.instances[0].quota.set_prepaid(&other, None);
 
-    let verdict = world.instances[0].quota.hold(&other, u64::MAX, 0);
+    let verdict = cluster.instances[0].quota.hold(&other, u64::MAX, 0);
 
-    assert_eq!(verdict, Verdict::Held);
+    assert_eq!(verdict, HoldOutcome::Held);
 }
 
 /// Symptom: a lowered total went on being spent. Sequence: the operator sets the total below what is out. Cause:
 /// grants were never given back.
 #[test]
 fn a_lowered_total_takes_grants_back() {
-    let mut world = running(2, 1_000_000);
-    world.prepaid = 100_000;
-    for instance in &mut world.instances {
-        instance.quota.prepaid(&world.account, Some(100_000));
+    let mut cluster = running(2, 1_000_000);
+    cluster.prepaid = 100_000;
+    for instance in &mut cluster.instances {
+        instance.quota.set_prepaid(&cluster.account, Some(100_000));
     }
 
     for who in [0, 1] {
-        world.hear(who);
-        world.plan(who, Fate::Done);
-        world.plan(who, Fate::Done);
+        cluster.exchange_usage(who);
+        cluster.plan(who, WriteOutcome::Committed);
+        cluster.plan(who, WriteOutcome::Committed);
     }
 
-    assert!(world.store.ledger.content.unwrap().total() <= 100_000);
+    assert!(cluster.store.ledger.content.unwrap().total() <= 100_000);
 }
 
 #[test]
@@ -473,14 +533,14 @@
         incarnation: 4,
         at_ms: 5,
         era: 3,
-        is_certain: false,
+        knows_grants: false,
         entries: vec![Entry {
             account: ACCOUNT.into(),
             consumed: 1,
             burst: 2,
-            rate: 3,
-            lump: 4,
-            steady: 5,
+            peak_rate: 3,
+            bucket_size: 4,
+            sustained_rate: 5,
         }],
     };
 
@@ -515,33 +575,33 @@
         incarnation: 1,
         at_ms: 1_000,
         era: 0,
-        is_certain: true,
+        knows_grants: true,
         entries: vec![Entry {
             account: account.clone(),
             consumed: 9_000,
             burst: 0,
-            rate: 0,
-            lump: 0,
-            steady: 0,
+            peak_rate: 0,
+            bucket_size: 0,
+            sustained_rate: 0,
         }],
     };
     let mut quota = Quota::new("entry-0".into(), 0);
-    quota.prepaid(&account, Some(10_000));
-    quota.clock(2_000, 0);
+    quota.set_prepaid(&account, Some(10_000));
+    quota.observe_store_clock(2_000, 0);
 
     let journal = quota.adopt(Some(&former), 1, Vec::new(), 2_000, 0);
     quota.journal_written(&journal, 2);
     let mut ledger = Ledger::default();
-    ledger.set(Grant {
+    ledger.set_grant(Grant {
         holder: "entry-0".into(),
         granted: 10_000,
         era: 0,
     });
-    quota.learn(&account, 3, ledger, 2_000);
+    quota.observe_ledger(&account, 3, ledger, 2_000);
 
     assert_eq!(
         journal.entry(ACCOUNT).map(|entry| entry.consumed),
         Some(9_000)
     );
-    assert_ne!(quota.hold(&account, 2_000, 10), Verdict::Held);
+    assert_ne!(quota.hold(&account, 2_000, 10), HoldOutcome::Held);
 }
--- a/crates/fescuewell_forward/tests/spread.rs
+++ b/crates/fescuewell_forward/tests/spread.rs
@@ -4,9 +4,9 @@
 
 use std::sync::Arc;
 
-use common::{ACCOUNT, Fate, World};
-use fescuewell_forward::loan::Ask;
-use fescuewell_forward::quota::{Quota, Verdict};
+use common::{ACCOUNT, Cluster, WriteOutcome};
+use fescuewell_forward::loan::LoanRequest;
+use fescuewell_forward::quota::{HoldOutcome, Quota};
 
 /// Instances that callers are sent to, and one more.
 const NAMED: usize = 15;
@@ -16,22 +16,22 @@
 const PREPAID: u64 = 5_800_000;
 
 /// A fleet that has planned, signed and journaled for a while without a single request.
-fn idle_fleet() -> World {
-    let mut world = World::new(NAMED + 1, PREPAID);
+fn idle_fleet() -> Cluster {
+    let mut cluster = Cluster::new(NAMED + 1, PREPAID);
     for index in 0..=OTHER {
-        world.adopt(index, Fate::Done);
+        cluster.adopt(index, WriteOutcome::Committed);
     }
     for _ in 0..4 {
         for index in 0..NAMED {
-            world.hear(index);
-            world.read_ledger(index);
-            world.plan(index, Fate::Done);
-            world.journal(index, Fate::Done);
+            cluster.exchange_usage(index);
+            cluster.read_ledger(index);
+            cluster.plan(index, WriteOutcome::Committed);
+            cluster.write_journal(index, WriteOutcome::Committed);
         }
     }
-    world.hear(OTHER);
-    world.read_ledger(OTHER);
-    world
+    cluster.exchange_usage(OTHER);
+    cluster.read_ledger(OTHER);
+    cluster
 }
 
 /// Symptom: an account with 5.8 million tokens was refused 608 requests at one instance (`BudgetUnknown`), nearly all in the first
@@ -40,15 +40,17 @@
 /// signs later.
 #[test]
 fn tokens_that_nobody_asked_for_are_free_for_whoever_is_asked() {
-    let mut world = idle_fleet();
+    let mut cluster = idle_fleet();
     let mut served = 0;
 
     for _ in 0..100 {
-        world.store.now_ms += 30;
-        let held = world.hold(OTHER, 10_000);
-        world.plan(OTHER, Fate::Done);
-        world.journal(OTHER, Fate::Done);
-        served += u64::from(held == Verdict::Held || world.hold(OTHER, 10_000) == Verdict::Held);
+        cluster.store.now_ms += 30;
+        let held = cluster.hold(OTHER, 10_000);
+        cluster.plan(OTHER, WriteOutcome::Committed);
+        cluster.write_journal(OTHER, WriteOutcome::Committed);
+        served += u64::from(
+            held == HoldOutcome::Held || cluster.hold(OTHER, 10_000) == HoldOutcome::Held,
+        );
     }
 
     assert!(served >= 99, "{served} of 100");
@@ -58,35 +60,35 @@
 /// each holds four requests' tokens of every account, and is charged for the first of them.
 #[test]
 fn holders_without_demand_keep_most_of_a_small_account_free() {
-    let mut world = World::new(50, 1_000_000);
+    let mut cluster = Cluster::new(50, 1_000_000);
     for index in 0..50 {
-        world.adopt(index, Fate::Done);
+        cluster.adopt(index, WriteOutcome::Committed);
     }
     for _ in 0..4 {
         for index in 0..50 {
-            world.hear(index);
-            world.read_ledger(index);
-            world.plan(index, Fate::Done);
+            cluster.exchange_usage(index);
+            cluster.read_ledger(index);
+            cluster.plan(index, WriteOutcome::Committed);
         }
     }
 
-    let granted: u64 = world
+    let granted: u64 = cluster
         .instances
         .iter()
-        .filter_map(|instance| instance.quota.view(ACCOUNT))
+        .filter_map(|instance| instance.quota.account(ACCOUNT))
         .map(|account| account.granted())
         .sum();
 
     assert!(granted <= 250_000, "{granted}");
 }
 
-fn ask(world: &World, least: u64, tokens: u64) -> Ask {
-    Ask {
+fn ask(cluster: &Cluster, least: u64, tokens: u64) -> LoanRequest {
+    LoanRequest {
         id: 1,
         account: ACCOUNT.into(),
-        least,
-        tokens,
-        at_ms: world.store.now_ms,
+        required_tokens: least,
+        wanted_tokens: tokens,
+        sent_at_ms: cluster.store.now_ms,
     }
 }
 
@@ -95,22 +97,24 @@
 /// nothing asked for the next one.
 #[test]
 fn an_idle_lender_makes_room_with_its_next_journal() {
-    let mut world = World::new(1, PREPAID);
-    world.adopt(0, Fate::Done);
+    let mut cluster = Cluster::new(1, PREPAID);
+    cluster.adopt(0, WriteOutcome::Committed);
     for _ in 0..100 {
         let account: Arc<str> = ACCOUNT.into();
-        world.instances[0].quota.ask(&account, 5_000, 0);
+        cluster.instances[0].quota.record_demand(&account, 5_000, 0);
     }
-    world.plan(0, Fate::Done);
-    world.store.now_ms += 10_000;
-    world.journal(0, Fate::Done);
-    let ask = ask(&world, 40_000, 200_000);
-    let now_ms = world.local(0);
-
-    let before = world.instances[0].quota.spare(ACCOUNT, now_ms);
-    let would_help = world.instances[0].quota.make_room(&ask, now_ms);
-    world.journal(0, Fate::Done);
-    let lent = world.instances[0].quota.lend(&ask, now_ms);
+    cluster.plan(0, WriteOutcome::Committed);
+    cluster.store.now_ms += 10_000;
+    cluster.write_journal(0, WriteOutcome::Committed);
+    let ask = ask(&cluster, 40_000, 200_000);
+    let now_ms = cluster.local_ms(0);
+
+    let before = cluster.instances[0].quota.available(ACCOUNT, now_ms);
+    let would_help = cluster.instances[0]
+        .quota
+        .cover_in_next_journal(&ask, now_ms);
+    cluster.write_journal(0, WriteOutcome::Committed);
+    let lent = cluster.instances[0].quota.lend(&ask, now_ms);
 
     assert!(before < 40_000, "{before}");
     assert!(would_help);
@@ -121,22 +125,24 @@
 /// that the lender's own requests of the next two seconds do not need.
 #[test]
 fn a_lender_keeps_what_its_own_requests_need() {
-    let mut world = World::new(1, PREPAID);
+    let mut cluster = Cluster::new(1, PREPAID);
     let account: Arc<str> = ACCOUNT.into();
-    world.adopt(0, Fate::Done);
+    cluster.adopt(0, WriteOutcome::Committed);
     for _ in 0..60 {
-        world.instances[0].quota.ask(&account, 10_000, 0);
+        cluster.instances[0]
+            .quota
+            .record_demand(&account, 10_000, 0);
     }
-    world.plan(0, Fate::Done);
-    world.store.now_ms += 5_000;
-    world.journal(0, Fate::Done);
-    world.store.now_ms += 3_000;
-    let ask = ask(&world, 1_000, 10_000_000);
-    let now_ms = world.local(0);
-    let spare = world.instances[0].quota.spare(ACCOUNT, now_ms);
-    let demand = world.instances[0].quota.demand(&account, now_ms);
+    cluster.plan(0, WriteOutcome::Committed);
+    cluster.store.now_ms += 5_000;
+    cluster.write_journal(0, WriteOutcome::Committed);
+    cluster.store.now_ms += 3_000;
+    let ask = ask(&cluster, 1_000, 10_000_000);
+    let now_ms = cluster.local_ms(0);
+    let spare = cluster.instances[0].quota.available(ACCOUNT, now_ms);
+    let demand = cluster.instances[0].quota.demand_per_s(&account, now_ms);
 
-    let lent = world.instances[0].quota.lend(&ask, now_ms);
+    let lent = cluster.instances[0].quota.lend(&ask, now_ms);
 
     assert_eq!(lent, spare.saturating_sub(2 * demand).max(1_000));
 }
@@ -145,15 +151,15 @@
 /// plans each 3.25 s. Cause: a row counted as too old to tell after 2.5 s.
 #[test]
 fn a_large_fleet_tells_that_an_account_is_exhausted() {
-    let mut world = World::new(1, 10_000);
-    world.adopt(0, Fate::Done);
-    world.hold(0, 1_000);
-    world.plan(0, Fate::Done);
-    world.instances[0].quota.set_fresh(8_100);
+    let mut cluster = Cluster::new(1, 10_000);
+    cluster.adopt(0, WriteOutcome::Committed);
+    cluster.hold(0, 1_000);
+    cluster.plan(0, WriteOutcome::Committed);
+    cluster.instances[0].quota.set_ledger_max_age_ms(8_100);
 
-    world.store.now_ms += 3_200;
+    cluster.store.now_ms += 3_200;
 
-    assert_eq!(world.hold(0, 20_000), Verdict::Exhausted);
+    assert_eq!(cluster.hold(0, 20_000), HoldOutcome::Exhausted);
 }
 
 /// Symptom: the signs of 195 instances had a row for each account and instance. Cause: accounts of which an instance had nothing to
@@ -162,9 +168,9 @@
 fn nothing_is_said_of_accounts_that_were_never_used() {
     let mut quota = Quota::new("entry-1".into(), 0);
     for name in ["one", "two", "three"] {
-        quota.prepaid(&name.into(), Some(1_000));
+        quota.set_prepaid(&name.into(), Some(1_000));
     }
-    quota.ask(&"two".into(), 10, 0);
+    quota.record_demand(&"two".into(), 10, 0);
 
     let said = quota.usage(0);
 
@@ -178,26 +184,26 @@
 /// row, while the lender's row counted it as consumed.
 #[test]
 fn what_is_left_of_a_loan_outlives_the_borrower() {
-    let mut world = World::new(2, PREPAID);
+    let mut cluster = Cluster::new(2, PREPAID);
     for index in 0..2 {
-        world.adopt(index, Fate::Done);
+        cluster.adopt(index, WriteOutcome::Committed);
         for _ in 0..20 {
-            world.hold(index, 10_000);
-            world.plan(index, Fate::Done);
-            world.journal(index, Fate::Done);
+            cluster.hold(index, 10_000);
+            cluster.plan(index, WriteOutcome::Committed);
+            cluster.write_journal(index, WriteOutcome::Committed);
         }
     }
-    let before = world.consumed(1);
-    world.loan(1, 0, 2_000_000, Fate::Done);
-    let lent = before - world.consumed(1);
+    let before = cluster.consumed(1);
+    cluster.borrow(1, 0, 2_000_000, WriteOutcome::Committed);
+    let lent = before - cluster.consumed(1);
 
     // So long without a request that the journal promises no more than a few.
-    world.store.now_ms += 8_000;
-    world.journal(1, Fate::Done);
-    world.restart(1, 100);
-    world.adopt(1, Fate::Done);
+    cluster.store.now_ms += 8_000;
+    cluster.write_journal(1, WriteOutcome::Committed);
+    cluster.restart(1, 100);
+    cluster.adopt(1, WriteOutcome::Committed);
 
     assert!(lent > 100_000, "{lent}");
-    let unused = world.consumed(1) - (before - lent);
+    let unused = cluster.consumed(1) - (before - lent);
     assert!(unused <= 20_000, "{unused} of {lent}");
 }
--- a/crates/fescuewell_gateway/src/control/fence.rs
+++ b/crates/fescuewell_gateway/src/control/fence.rs
@@ -32,7 +32,7 @@
             continue;
         }
         if let Some(fence) = decode_fence(row) {
-            quota.learn_fence(row.version, fence);
+            quota.observe_fence(row.version, fence);
         }
     }
 }
@@ -75,7 +75,7 @@
         .and_then(|row| Some((row.version, decode_journal(row)?)));
     let now_ms = gateway.now_ms();
     let mut state = gateway.state();
-    state.quota.restore(era, journal, rows, now_ms);
+    state.quota.handle_store_restore(era, journal, rows, now_ms);
     learn_fence(&mut state.quota, &fence);
     log_event!(Event::StoreRestored, "era={era} before={former}");
     true
@@ -101,7 +101,7 @@
     let mut state = control.gateway.state();
     match outcome {
         Ok(Outcome::Done { version, .. }) => {
-            if let Some(missed) = &fence.missed {
+            if let Some(missed) = &fence.unconfirmed {
                 log_event!(
                     Event::EraSettled,
                     "era={} missed={}",
@@ -109,7 +109,7 @@
                     missed.join(",")
                 );
             }
-            state.quota.learn_fence(version, fence);
+            state.quota.observe_fence(version, fence);
         }
         Ok(Outcome::Conflict(reading)) => learn_fence(&mut state.quota, &reading),
         // `call` has noted the failure; the next plan tries again.
--- a/crates/fescuewell_gateway/src/control/journal.rs
+++ b/crates/fescuewell_gateway/src/control/journal.rs
@@ -71,7 +71,7 @@
     }
     let journal = {
         let quota = &mut gateway.state().quota;
-        quota.set_first(gateway.settings.is_first_start);
+        quota.set_first_start(gateway.settings.is_first_start);
         quota.begin_era(era, now_ms);
         learn_fence(quota, &fence);
         quota.adopt(known.as_ref(), version, rows, ended_ms, now_ms)
@@ -96,7 +96,10 @@
         let Some(before) = known.and_then(|known| known.entry(&entry.account)) else {
             continue;
         };
-        let granted = state.quota.view(&entry.account).map_or(0, Account::granted);
+        let granted = state
+            .quota
+            .account(&entry.account)
+            .map_or(0, Account::granted);
         log_event!(
             Event::AllowanceReclaimed,
             "account={} recorded={} charged={} granted={granted}",
@@ -119,7 +122,7 @@
     let now_ms = control.gateway.now_ms();
     let before = control.gateway.state().quota.exposure(now_ms);
     // An earlier try whose answer is missing is given again, and speaks of the time of that try.
-    let is_given_again = control.gateway.state().quota.is_journal_unanswered();
+    let is_given_again = control.gateway.state().quota.is_journal_pending();
     if !write(control).await {
         return;
     }
@@ -140,7 +143,7 @@
 
 async fn write(control: &Control) -> bool {
     let now_ms = control.gateway.now_ms();
-    let journal = control.gateway.state().quota.journal(now_ms);
+    let journal = control.gateway.state().quota.next_journal(now_ms);
     write_journal(control, &journal).await
 }
 
@@ -161,7 +164,7 @@
             version,
             now_ms: store_ms,
         }) => {
-            state.quota.clock(store_ms, now_ms);
+            state.quota.observe_store_clock(store_ms, now_ms);
             state.quota.journal_written(journal, version);
             true
         }
@@ -172,18 +175,18 @@
                     continue;
                 };
                 let was_adopted = state.quota.is_adopted();
-                if !state.quota.journal_found(&found, row.version) && was_adopted {
+                if !state.quota.resolve_journal_conflict(&found, row.version) && was_adopted {
                     log_event!(Event::JournalLost, "incarnation={}", found.incarnation);
                 }
             }
             state.quota.is_adopted()
         }
         Err(Error::NotDone { .. }) => {
-            state.quota.journal_dropped();
+            state.quota.journal_not_written();
             false
         }
         Err(_) => {
-            state.quota.journal_unknown();
+            state.quota.journal_outcome_unknown();
             false
         }
     }
--- a/crates/fescuewell_gateway/src/control/ledger.rs
+++ b/crates/fescuewell_gateway/src/control/ledger.rs
@@ -42,7 +42,7 @@
             continue;
         };
         let name = row.place.key.clone();
-        quota.learn(&name, row.version, ledger, reading.now_ms);
+        quota.observe_ledger(&name, row.version, ledger, reading.now_ms);
     }
 }
 
@@ -51,7 +51,7 @@
 pub(super) async fn ledgers(control: &Control, number: u64) {
     let names = {
         let now_ms = control.gateway.now_ms();
-        control.gateway.state().quota.names_in_use(now_ms)
+        control.gateway.state().quota.accounts_in_use(now_ms)
     };
     if names.len() > MOST_SINGLE || number.is_multiple_of(WHOLE_EACH) {
         let Ok(reading) = read(control, LEDGERS, MONEY).await else {
@@ -134,16 +134,18 @@
             version,
             now_ms: store_ms,
         }) => {
-            state.quota.clock(store_ms, now_ms);
+            state.quota.observe_store_clock(store_ms, now_ms);
             for draft in drafts {
                 tell(&state.quota, &draft.account, &draft.ledger);
                 let ledger = draft.ledger.clone();
-                state.quota.learn(&draft.account, version, ledger, store_ms);
+                state
+                    .quota
+                    .observe_ledger(&draft.account, version, ledger, store_ms);
             }
             Some(true)
         }
         Ok(Outcome::Conflict(reading)) => {
-            state.quota.clock(reading.now_ms, now_ms);
+            state.quota.observe_store_clock(reading.now_ms, now_ms);
             learn(&mut state.quota, &reading);
             Some(false)
         }
@@ -153,7 +155,7 @@
 
 /// Logs how the own grant of an account changes.
 fn tell(quota: &Quota, name: &str, ledger: &Ledger) {
-    let Some(account) = quota.view(name) else {
+    let Some(account) = quota.account(name) else {
         return;
     };
     let before = account.granted();
--- a/crates/fescuewell_gateway/src/control/lending.rs
+++ b/crates/fescuewell_gateway/src/control/lending.rs
@@ -8,7 +8,7 @@
 
 use fescuewell_core::log_event;
 use fescuewell_core::prelude::*;
-use fescuewell_forward::loan::{Answer, Ask, Borrower, Lender};
+use fescuewell_forward::loan::{Borrower, Lender, LoanRequest, LoanResponse};
 use fescuewell_forward::message::{Key, Message};
 use fescuewell_forward::version;
 use rand::TryRngCore;
@@ -119,7 +119,7 @@
     requests: RefCell<HashMap<u64, Request>>,
     asked: Notify,
     /// Asks, and who sent them, that wait for a journal.
-    deferred: RefCell<Vec<(Ask, SocketAddr)>>,
+    deferred: RefCell<Vec<(LoanRequest, SocketAddr)>>,
     deferring: Notify,
 }
 
@@ -178,7 +178,8 @@
                 continue;
             };
             let mut borrower = self.borrower.borrow_mut();
-            let ask = borrower.ask(&state.quota, &shortage.account, (missing, more), id, now_ms);
+            let ask =
+                borrower.request(&state.quota, &shortage.account, (missing, more), id, now_ms);
             drop(state);
             let bytes = key.seal(&Message::Ask(ask));
             // One that cannot be sent is like one that was lost.
@@ -232,7 +233,9 @@
         let now_ms = gateway.now_ms();
         let account = &request.shortage.account;
         let mut state = gateway.state();
-        state.quota.lender_said(account, &request.asked, 0, now_ms);
+        state
+            .quota
+            .record_lender_remaining(account, &request.asked, 0, now_ms);
     }
 
     fn go_on(&self, request: Request) {
@@ -248,15 +251,18 @@
         if !gateway.is_store_up() || open.any(|open| open.shortage.account == shortage.account) {
             return 0;
         }
-        let demand = gateway.state().quota.demand(&shortage.account, now_ms);
+        let demand = gateway
+            .state()
+            .quota
+            .demand_per_s(&shortage.account, now_ms);
         demand * AHEAD_MS / 1_000
     }
 
     /// Answers an ask, at once or after a journal that makes room for it.
-    pub(super) fn lend(&self, key: &Key, ask: Ask, from: SocketAddr) {
+    pub(super) fn lend(&self, key: &Key, ask: LoanRequest, from: SocketAddr) {
         let gateway = &self.control.gateway;
         let now_ms = gateway.now_ms();
-        if gateway.is_store_up() && gateway.state().quota.make_room(&ask, now_ms) {
+        if gateway.is_store_up() && gateway.state().quota.cover_in_next_journal(&ask, now_ms) {
             let mut deferred = self.deferred.borrow_mut();
             if deferred.len() < MOST_DEFERRED {
                 deferred.push((ask, from));
@@ -288,11 +294,11 @@
         }
     }
 
-    fn answer(&self, key: &Key, ask: &Ask, from: SocketAddr, now_ms: u64) {
+    fn answer(&self, key: &Key, ask: &LoanRequest, from: SocketAddr, now_ms: u64) {
         let answer = {
             let mut state = self.control.gateway.state();
             let mut lender = self.lender.borrow_mut();
-            lender.answer(&mut state.quota, ask, now_ms)
+            lender.respond(&mut state.quota, ask, now_ms)
         };
         let Some(answer) = answer else { return };
         log_event!(
@@ -300,8 +306,8 @@
             "account={} tokens={} wanted={} left={}",
             ask.account,
             answer.tokens,
-            ask.tokens,
-            answer.left
+            ask.wanted_tokens,
+            answer.remaining
         );
         let bytes = key.seal(&Message::Answer(answer));
         // A lost answer costs the tokens, and nobody spends them.
@@ -309,12 +315,12 @@
     }
 
     /// Takes a lender's answer.
-    pub(super) fn take(&self, answer: &Answer) {
+    pub(super) fn take(&self, answer: &LoanResponse) {
         let now_ms = self.control.gateway.now_ms();
         {
             let mut state = self.control.gateway.state();
             let mut borrower = self.borrower.borrow_mut();
-            borrower.take(&mut state.quota, answer, now_ms);
+            borrower.accept(&mut state.quota, answer, now_ms);
         }
         // Others of the account may have been waiting for the same, and for a late answer.
         self.control.gateway.notify_planned();
@@ -329,7 +335,7 @@
     fn missing(&self, shortage: &Shortage, now_ms: u64) -> u64 {
         let state = self.control.gateway.state();
         let quota = &state.quota;
-        quota.missing(&shortage.account, shortage.tokens, now_ms)
+        quota.shortfall(&shortage.account, shortage.tokens, now_ms)
     }
 }
 
--- a/crates/fescuewell_gateway/src/control/members.rs
+++ b/crates/fescuewell_gateway/src/control/members.rs
@@ -44,7 +44,7 @@
     let now_ms = gateway.now_ms();
     let mut state = gateway.state();
     let store_ms = state.quota.store_time(now_ms);
-    let sign = state.quota.sign();
+    let sign = state.quota.holder_status();
     Member {
         address: settings.front,
         peer: settings.peer,
@@ -53,7 +53,7 @@
         requests: state.arrivals.sum(now_ms) as u32 / ARRIVALS_S,
         usage: state.quota.usage(now_ms),
         era: sign.era,
-        is_certain: sign.is_certain,
+        is_certain: sign.knows_grants,
         at_ms: if gateway.is_leaving() { 0 } else { store_ms },
         out_until_ms: match state.admission.unready_left_ms(now_ms) {
             0 => 0,
@@ -95,7 +95,7 @@
     state.directory.replace_in(era, members, reading.now_ms);
     let signs = state.directory.signs();
     let lapse_ms = state.directory.lapse_ms();
-    state.quota.hear(signs, lapse_ms);
+    state.quota.set_holder_statuses(signs, lapse_ms);
     stay_out(&mut state, &control.gateway.settings.name, now_ms);
     let after: Vec<Arc<str>> = state
         .directory
--- a/crates/fescuewell_gateway/src/control/rows.rs
+++ b/crates/fescuewell_gateway/src/control/rows.rs
@@ -30,7 +30,11 @@
     let reading = control.store.read_row(at);
     let reading = control.call(&at.table, CALL, reading).await?;
     let now_ms = control.gateway.now_ms();
-    control.gateway.state().quota.clock(reading.now_ms, now_ms);
+    control
+        .gateway
+        .state()
+        .quota
+        .observe_store_clock(reading.now_ms, now_ms);
     Ok(reading)
 }
 
@@ -44,7 +48,11 @@
     let reading = control.store.read(table, part);
     let reading = control.call(table, limit, reading).await?;
     let now_ms = control.gateway.now_ms();
-    control.gateway.state().quota.clock(reading.now_ms, now_ms);
+    control
+        .gateway
+        .state()
+        .quota
+        .observe_store_clock(reading.now_ms, now_ms);
     Ok(reading)
 }
 
--- a/crates/fescuewell_gateway/src/control/watch.rs
+++ b/crates/fescuewell_gateway/src/control/watch.rs
@@ -151,7 +151,7 @@
 fn apply(control: &Control, store_ms: u64, configuration: Option<Configuration>) {
     let gateway = &control.gateway;
     let now_ms = gateway.now_ms();
-    gateway.state().quota.clock(store_ms, now_ms);
+    gateway.state().quota.observe_store_clock(store_ms, now_ms);
     let Some(configuration) = configuration else {
         return;
     };
@@ -172,7 +172,7 @@
     {
         let mut state = gateway.state();
         for tenant in &configuration.tenants {
-            state.quota.prepaid(&tenant.name, tenant.prepaid);
+            state.quota.set_prepaid(&tenant.name, tenant.prepaid);
         }
         let services = configuration.services.iter();
         let warmups = services.filter_map(|service| Some((service.name.clone(), service.warmup?)));
--- a/crates/fescuewell_gateway/src/daemon.rs
+++ b/crates/fescuewell_gateway/src/daemon.rs
@@ -130,7 +130,7 @@
         }
         let open = self.gateway.open().load(Ordering::Acquire);
         log_event!(Event::DrainStarted, "open={open}");
-        self.gateway.state().quota.close();
+        self.gateway.state().quota.begin_shutdown();
         self.gateway.want_tokens();
         std::thread::sleep(grace.mul_f64(SERVE_PART));
         let left = grace.saturating_sub(asked.elapsed() + RESERVE);
--- a/crates/fescuewell_gateway/src/hold.rs
+++ b/crates/fescuewell_gateway/src/hold.rs
@@ -5,7 +5,7 @@
 
 use fescuewell_core::log_event;
 use fescuewell_core::prelude::*;
-use fescuewell_forward::quota::Verdict;
+use fescuewell_forward::quota::HoldOutcome;
 use fescuewell_forward::retry_after::outage_left_ms;
 
 use crate::dialect::Tokens;
@@ -58,18 +58,18 @@
         let mut plans = gateway.plans();
         let mut waited = false;
         let now_ms = gateway.now_ms();
-        gateway.state().quota.ask(account, most, now_ms);
+        gateway.state().quota.record_demand(account, most, now_ms);
         loop {
             plans.mark_unchanged();
             let now_ms = gateway.now_ms();
             let verdict = gateway.state().quota.hold(account, most, now_ms);
             match verdict {
-                Verdict::Held => return Ok(Self::new(gateway, account, id, tokens)),
-                Verdict::Exhausted => return Err(refuse(Code::BudgetExhausted, None)),
-                Verdict::Short | Verdict::Later(_) => {}
+                HoldOutcome::Held => return Ok(Self::new(gateway, account, id, tokens)),
+                HoldOutcome::Exhausted => return Err(refuse(Code::BudgetExhausted, None)),
+                HoldOutcome::InsufficientGrant | HoldOutcome::RateLimited(_) => {}
             }
             let later = match verdict {
-                Verdict::Later(wait_ms) => wait_ms.map(Duration::from_millis),
+                HoldOutcome::RateLimited(wait_ms) => wait_ms.map(Duration::from_millis),
                 _ => None,
             };
             let left = until.saturating_duration_since(Instant::now());
@@ -91,11 +91,11 @@
                 continue;
             }
             match verdict {
-                Verdict::Short => gateway.want_plan(),
+                HoldOutcome::InsufficientGrant => gateway.want_plan(),
                 _ => gateway.want_journal(),
             }
             // Whichever comes first serves it: tokens that another instance has, or those that nobody holds.
-            if verdict == Verdict::Short && gateway.borrow(account, most).await {
+            if verdict == HoldOutcome::InsufficientGrant && gateway.borrow(account, most).await {
                 continue;
             }
             if !waited {
--- a/crates/fescuewell_gateway/src/metrics.rs
+++ b/crates/fescuewell_gateway/src/metrics.rs
@@ -114,8 +114,8 @@
                 return;
             };
             let state = gateway.state();
-            for name in state.quota.names().iter().take(MOST_ACCOUNTS) {
-                let Some(account) = state.quota.view(name) else {
+            for name in state.quota.prepaid_accounts().iter().take(MOST_ACCOUNTS) {
+                let Some(account) = state.quota.account(name) else {
                     continue;
                 };
                 let values = [
--- a/crates/fescuewell_gateway/tests/duties.rs
+++ b/crates/fescuewell_gateway/tests/duties.rs
@@ -19,7 +19,10 @@
             for _ in 0..40 {
                 tokio::time::sleep(Duration::from_millis(100)).await;
                 let now_ms = gateway.now_ms();
-                gateway.state().quota.ask(&ACCOUNT.into(), 5_000, now_ms);
+                gateway
+                    .state()
+                    .quota
+                    .record_demand(&ACCOUNT.into(), 5_000, now_ms);
             }
             store.delay_ledgers(Duration::from_millis(1_000));
             // Somewhere within a plan.
--- a/crates/fescuewell_gateway/tests/lending.rs
+++ b/crates/fescuewell_gateway/tests/lending.rs
@@ -28,7 +28,7 @@
 
 fn spare(gateway: &Gateway) -> u64 {
     let now_ms = gateway.now_ms();
-    gateway.state().quota.spare(ACCOUNT, now_ms)
+    gateway.state().quota.available(ACCOUNT, now_ms)
 }
 
 /// Waits until only the lender can spend, the borrower knows it, and both can prove themselves.
@@ -74,9 +74,9 @@
         }
 
         let now_ms = poor.now_ms();
-        let missing = poor.state().quota.missing(ACCOUNT, TOKENS, now_ms);
+        let missing = poor.state().quota.shortfall(ACCOUNT, TOKENS, now_ms);
         assert_eq!(missing, 0);
-        assert!(rich.state().quota.view(ACCOUNT).unwrap().consumed() >= TOKENS);
+        assert!(rich.state().quota.account(ACCOUNT).unwrap().consumed() >= TOKENS);
     });
 }
 
--- a/crates/fescuewell_gateway/tests/outage.rs
+++ b/crates/fescuewell_gateway/tests/outage.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use common::{ACCOUNT, Behaviour};
-use fescuewell_forward::quota::Verdict;
+use fescuewell_forward::quota::HoldOutcome;
 use fescuewell_gateway::gateway::Gateway;
 
 /// Time from the store's return in which the journal has to be renewed: a loss of power of the whole fleet has been seen
@@ -21,8 +21,8 @@
         tokio::time::sleep(Duration::from_millis(100)).await;
         let now_ms = gateway.now_ms();
         let mut state = gateway.state();
-        state.quota.ask(&account, 1_000, now_ms);
-        if state.quota.hold(&account, 1_000, now_ms) == Verdict::Held {
+        state.quota.record_demand(&account, 1_000, now_ms);
+        if state.quota.hold(&account, 1_000, now_ms) == HoldOutcome::Held {
             held += 1_000;
         }
     }
--- a/tests/forward/eras.rs
+++ b/tests/forward/eras.rs
@@ -22,8 +22,8 @@
 fn stored(fixture: &Fixture) -> u64 {
     let gateway = fixture.daemon.as_ref().unwrap().gateway();
     let state = gateway.state();
-    let account = state.quota.view(GROUP);
-    account.map_or(0, |account| account.free())
+    let account = state.quota.account(GROUP);
+    account.map_or(0, |account| account.unallocated())
 }
 
 fn era(fixture: &Fixture) -> u32 {
--- a/tests/forward/fixture.rs
+++ b/tests/forward/fixture.rs
@@ -361,7 +361,7 @@
         let state = self.daemon.as_ref().unwrap().gateway().state();
         state
             .quota
-            .view(GROUP)
+            .account(GROUP)
             .map_or(0, |account| account.consumed())
     }
 
