--- a/crates/fescuewell_forward/src/directory.rs
+++ b/crates/fescuewell_forward/src/directory.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::quota::era::HolderStatus;
+use crate::quota::era;
 use crate::quota::row::Usage;
 use crate::relay::{MOST_READING, READERS};
 
@@ -110,7 +110,7 @@
 
     /// What all instances say of their grants. Those without a fresh sign count only if they lived when the copy was made from which the
     /// store has come back: whoever was gone by then can have drawn nothing since.
-    pub fn signs(&self) -> Vec<HolderStatus> {
+    pub fn signs(&self) -> Vec<era::Status> {
         let live: BTreeSet<&Arc<str>> = self.live().map(|(name, _)| name).collect();
         let former = self.members.values().filter(|member| member.era < self.era);
         let copied_ms = former.map(|member| member.at_ms).max().unwrap_or_default();
@@ -122,7 +122,7 @@
             if !(is_live || lived) {
                 continue;
             }
-            signs.push(HolderStatus {
+            signs.push(era::Status {
                 holder: name.clone(),
                 era: member.era,
                 knows_grants: member.is_certain,
--- a/crates/fescuewell_forward/src/loan.rs
+++ b/crates/fescuewell_forward/src/loan.rs
@@ -20,7 +20,7 @@
 
 /// An instance wants tokens.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LoanRequest {
+pub struct Request {
     /// Drawn at random; an answer bears the same.
     pub id: u64,
     /// The client account.
@@ -35,7 +35,7 @@
 
 /// What a lender gives.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LoanResponse {
+pub struct Response {
     /// The ask's.
     pub id: u64,
     /// Who lends.
@@ -56,12 +56,7 @@
 impl Lender {
     /// What to answer. Nothing for an ask that is stale or was answered before: a datagram may come twice, and each copy would
     /// cost tokens that nobody gets.
-    pub fn respond(
-        &mut self,
-        quota: &mut Quota,
-        ask: &LoanRequest,
-        now_ms: u64,
-    ) -> Option<LoanResponse> {
+    pub fn respond(&mut self, quota: &mut Quota, ask: &Request, now_ms: u64) -> Option<Response> {
         let store_ms = quota.store_time(now_ms);
         self.answered.retain(|_, stale_ms| store_ms < *stale_ms);
         let is_fresh = ask.sent_at_ms.abs_diff(store_ms) < STALE_MS;
@@ -71,7 +66,7 @@
             return None;
         }
         let tokens = quota.lend(ask, now_ms);
-        Some(LoanResponse {
+        Some(Response {
             id: ask.id,
             lender: quota.holder().clone(),
             tokens,
@@ -103,7 +98,7 @@
         (least, more): (u64, u64),
         id: u64,
         now_ms: u64,
-    ) -> LoanRequest {
+    ) -> Request {
         let tokens = least + more;
         self.open.retain(|_, open| now_ms < open.until_ms);
         let open = Open {
@@ -112,7 +107,7 @@
             until_ms: now_ms + OPEN_MS,
         };
         self.open.insert(id, open);
-        LoanRequest {
+        Request {
             id,
             account: account.clone(),
             required_tokens: least,
@@ -122,14 +117,14 @@
     }
 
     /// Takes an answer: once, and only to an ask of this process. Returns whether it gave tokens.
-    pub fn accept(&mut self, quota: &mut Quota, answer: &LoanResponse, now_ms: u64) -> bool {
+    pub fn accept(&mut self, quota: &mut Quota, answer: &Response, now_ms: u64) -> bool {
         let Some(open) = self.open.remove(&answer.id) else {
             return false;
         };
         // More than was asked for can only be an error.
         let tokens = answer.tokens.min(open.tokens);
         quota.borrow(&open.account, tokens);
-        quota.record_lender_remaining(&open.account, &answer.lender, answer.remaining, now_ms);
+        quota.record_report(&open.account, &answer.lender, answer.remaining, now_ms);
         tokens > 0
     }
 }
--- a/crates/fescuewell_forward/src/message.rs
+++ b/crates/fescuewell_forward/src/message.rs
@@ -1,10 +1,10 @@
 //! Sealed messages between instances.
 //!
 //! ```
-//! use fescuewell_forward::loan::LoanRequest;
+//! use fescuewell_forward::loan::Request;
 //! use fescuewell_forward::message::{Key, Message};
 //!
-//! let ask = LoanRequest {
+//! let ask = Request {
 //!     id: 1,
 //!     account: "group".into(),
 //!     required_tokens: 4_000,
@@ -20,7 +20,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::crash;
-use crate::loan::{LoanRequest, LoanResponse};
+use crate::loan;
 use crate::relay::Digest;
 
 /// Leading byte of every sealed message. A load report begins with the length of a name, which is never 0.
@@ -32,9 +32,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// Tokens are wanted.
-    Ask(LoanRequest),
+    Ask(loan::Request),
     /// Tokens are given or refused.
-    Answer(LoanResponse),
+    Answer(loan::Response),
     /// What changed in the list of backend servers.
     Digest(Digest),
     /// Requests that crash backend servers.
--- a/crates/fescuewell_forward/src/quota.rs
+++ b/crates/fescuewell_forward/src/quota.rs
@@ -37,7 +37,7 @@
 
 pub use account::Account;
 use clock::StoreClock;
-use era::{EraState, Fence, HolderStatus};
+use era::Fence;
 use exposure::Exposure;
 pub use loans::Candidate;
 use plan::{Peer, Peers};
@@ -79,8 +79,8 @@
     fresh_ms: u64,
     unanswered: Option<Journal>,
     may_be_written: bool,
-    era_state: EraState,
-    /// Whether this process knows what it was granted; see [`era::HolderStatus`].
+    era_state: era::State,
+    /// Whether this process knows what it was granted; see [`era::Status`].
     knows_grants: bool,
     is_first_start: bool,
 }
@@ -103,7 +103,7 @@
             fresh_ms: FRESH_MS,
             unanswered: None,
             may_be_written: false,
-            era_state: EraState::default(),
+            era_state: era::State::default(),
             knows_grants: true,
             is_first_start: false,
         }
@@ -146,7 +146,7 @@
 
     /// The store has come back from a copy in which the own journal's row has this version and content, and the accounts these rows.
     /// Grants and journals are written anew from here on.
-    pub fn handle_store_restore(
+    pub fn resync(
         &mut self,
         era: u32,
         journal: Option<(u64, Journal)>,
@@ -177,15 +177,15 @@
     }
 
     /// Takes the holders' statuses; `heartbeat_timeout_ms` is the time in which one that lives gives the next.
-    pub fn set_holder_statuses(&mut self, statuses: Vec<HolderStatus>, heartbeat_timeout_ms: u64) {
+    pub fn set_statuses(&mut self, statuses: Vec<era::Status>, heartbeat_timeout_ms: u64) {
         self.era_state.set_statuses(statuses, heartbeat_timeout_ms);
     }
 
     /// The own status of what was confirmed.
-    pub fn holder_status(&self) -> HolderStatus {
+    pub fn status(&self) -> era::Status {
         let is_confirmed = !self.accounts.values().any(Account::is_unconfirmed);
         let era = self.era_state.era();
-        HolderStatus {
+        era::Status {
             holder: self.holder.clone(),
             era: match self.adopted && is_confirmed {
                 true => era,
@@ -203,12 +203,12 @@
 
     /// Sets the demand, in milliseconds of it, that each journal lets through beside the requests that wait for it.
     /// A fleet that may journal rarely needs more.
-    pub fn set_burst_ms(&mut self, burst_ms: u64) {
+    pub fn set_burst(&mut self, burst_ms: u64) {
         self.burst_ms = burst_ms;
     }
 
     /// Takes a reading of the store's clock that was received at `now_ms` of the own steady clock.
-    pub fn observe_store_clock(&mut self, store_ms: u64, now_ms: u64) {
+    pub fn observe_clock(&mut self, store_ms: u64, now_ms: u64) {
         self.clock.observe(store_ms, now_ms);
     }
 
@@ -249,29 +249,29 @@
     }
 
     /// Whether nothing is held that could be spent.
-    pub fn is_out_of_tokens(&self) -> bool {
+    pub fn is_depleted(&self) -> bool {
         self.accounts
             .values()
             .all(|account| account.remaining() == 0)
     }
 
     /// Accounts with a prepaid total that were asked for lately, or of which something is held or was used.
-    pub fn accounts_in_use(&mut self, now_ms: u64) -> Vec<Arc<str>> {
+    pub fn active_accounts(&mut self, now_ms: u64) -> Vec<Arc<str>> {
         let usages = self.usage(now_ms).into_iter();
         usages.map(|usage| usage.account).collect()
     }
 
     /// Accounts of which requests want more than the own grants cover.
-    pub fn accounts_with_unmet_demand(&self) -> Vec<Arc<str>> {
+    pub fn short_accounts(&self) -> Vec<Arc<str>> {
         let accounts = self.accounts.iter();
-        let short = accounts.filter(|(_, account)| account.unmet_demand().is_some());
+        let short = accounts.filter(|(_, account)| account.shortage().is_some());
         short.map(|(name, _)| name.clone()).collect()
     }
 
     /// Sets the age up to which a row tells that an account is exhausted, in milliseconds: some plans. Large fleets plan less
     /// often than small ones; with the time of a small one they tell callers of accounts at their end to come back in place of that
     /// nothing is left.
-    pub fn set_ledger_max_age_ms(&mut self, fresh_ms: u64) {
+    pub fn set_max_age(&mut self, fresh_ms: u64) {
         self.fresh_ms = fresh_ms.max(FRESH_MS);
     }
 
@@ -322,7 +322,7 @@
     ) {
         let era = self.era_state.era();
         if version::era(version) != era {
-            // Of a former era, or of one that is not gone by yet; see [`Quota::handle_store_restore`].
+            // Of a former era, or of one that is not gone by yet; see [`Quota::resync`].
             return;
         }
         let holder = self.holder.clone();
--- a/crates/fescuewell_forward/src/quota/account.rs
+++ b/crates/fescuewell_forward/src/quota/account.rs
@@ -4,11 +4,11 @@
 use std::sync::Arc;
 
 use super::HoldOutcome;
-use super::era::{self, EraState};
+use super::era;
 use super::loans::Said;
 use super::origin::Origin;
-use super::plan::{self, LocalHolder, Peers, UnmetDemand};
-use super::rate_limit::{BURST_ONLY_MS, RateLimit};
+use super::plan::{self, Holder, Peers, Shortage};
+use super::rate_limit::{BURST_ONLY_MS, Limit};
 use super::row::{Entry, Grant, Ledger, Usage};
 use super::waiting::Waiting;
 use crate::window::Window;
@@ -23,7 +23,7 @@
 const SPARE_REQUESTS: u64 = 2;
 /// or the demand of the tight time, which the account then lives on.
 const SPARE_MS: u64 = BURST_ONLY_MS;
-/// RateLimit promised after the tight time, in percent of the measured demand. Demand in a cut may be twice what it was; a
+/// Limit promised after the tight time, in percent of the measured demand. Demand in a cut may be twice what it was; a
 /// restart at the end of an outage of the store is charged all of it.
 const PACE_PERCENT: u64 = 200;
 /// Seconds after the tight time in which all of the grant may be used, up to the bucket_size. Cuts from the store last up to ten
@@ -37,7 +37,7 @@
 const LUMP_DEVIATIONS: f64 = 2.0;
 /// Time for which the bucket_size allows for that, in seconds: a usual cut.
 const LUMP_S: f64 = 8.0;
-/// RateLimit promised beyond the bucket_size, in percent of the measured demand.
+/// Limit promised beyond the bucket_size, in percent of the measured demand.
 ///
 /// A restart is charged for all that its process had promised, so the promise is no wider than the whole fleet needs: an
 /// instance whose luck exceeds it borrows from the others.
@@ -65,12 +65,12 @@
     pub(super) returning: Option<Returning>,
     pub(super) consumed: u64,
     recorded: u64,
-    rate_limits: Vec<RateLimit>,
+    rate_limits: Vec<Limit>,
     pub(super) version: u64,
     pub(super) ledger: Ledger,
     pub(super) peers: Peers,
     demand: Window,
-    need: Option<UnmetDemand>,
+    need: Option<Shortage>,
     pub(super) waiting: Waiting,
     requests: Window,
     started_ms: Option<u64>,
@@ -147,7 +147,7 @@
     }
 
     /// Tokens that requests wait for.
-    pub fn unmet_demand(&self) -> Option<UnmetDemand> {
+    pub fn shortage(&self) -> Option<Shortage> {
         self.need
     }
 
@@ -194,7 +194,7 @@
             return HoldOutcome::Exhausted;
         }
         let known = self.need.map_or(0, |need| need.tokens);
-        self.need = Some(UnmetDemand {
+        self.need = Some(Shortage {
             tokens: known.max(tokens),
         });
         HoldOutcome::InsufficientGrant
@@ -300,19 +300,19 @@
             consumed,
             burst: (demand * burst_ms / 1_000).max(spare) + waiting,
             peak_rate: (demand * PACE_PERCENT / 100).max(left / USE_UP_S),
-            bucket_size: bucket_size_for(demand, typical),
+            bucket_size: bucket_size(demand, typical),
             sustained_rate: demand * STEADY_PERCENT / 100,
         }
     }
 
     /// A journal with this entry may take effect from now on.
     pub(super) fn bind(&mut self, entry: &Entry, at_ms: u64) {
-        self.rate_limits.push(RateLimit::new(entry, at_ms));
+        self.rate_limits.push(Limit::new(entry, at_ms));
     }
 
     /// The journal with this entry cannot take effect.
     pub(super) fn unbind(&mut self, entry: &Entry, at_ms: u64) {
-        let dropped = RateLimit::new(entry, at_ms);
+        let dropped = Limit::new(entry, at_ms);
         self.rate_limits.retain(|limit| *limit != dropped);
     }
 
@@ -320,7 +320,7 @@
     pub(super) fn rebind(&mut self, entry: &Entry, at_ms: u64) {
         self.recorded = entry.consumed;
         self.rate_limits.clear();
-        self.rate_limits.push(RateLimit::new(entry, at_ms));
+        self.rate_limits.push(Limit::new(entry, at_ms));
     }
 
     /// What the other holders said last; those who gave no status lately are left out.
@@ -343,7 +343,7 @@
         now_ms: u64,
         (is_advertised, advertised_count): (bool, u64),
         closing: bool,
-        era_state: &EraState,
+        era_state: &era::State,
     ) -> Option<(u64, Ledger)> {
         let prepaid = self.prepaid?;
         let era = era_state.era();
@@ -364,7 +364,7 @@
             (None, true) => self.ledger.clone(),
             (None, false) => return None,
         };
-        let own = LocalHolder {
+        let own = Holder {
             holder: holder.clone(),
             granted: self.granted(),
             consumed: self.consumed,
@@ -376,7 +376,7 @@
         let may_draw = ledger.era >= era;
         let need = self.need.take().filter(|_| may_draw);
         let granted = match closing {
-            true => plan::grant_at_shutdown(&ledger, &own, prepaid, need),
+            true => plan::shutdown_grant(&ledger, &own, prepaid, need),
             false => plan::target_grant(&ledger, &self.peers, &own, prepaid, need),
         };
         // The row is settled for those who need it, so that they learn whether anything is left.
@@ -421,7 +421,7 @@
 
 /// What a journal lets an instance spend in a cut beyond its sustained_rate pace, for a demand in tokens a second and requests of
 /// `typical` tokens.
-fn bucket_size_for(demand: u64, typical: u64) -> u64 {
+fn bucket_size(demand: u64, typical: u64) -> u64 {
     let expected = demand as f64 * LUMP_S / typical.max(1) as f64;
     let requests = LUMP_REQUESTS + LUMP_DEVIATIONS * expected.sqrt();
     (typical as f64 * requests) as u64
--- a/crates/fescuewell_forward/src/quota/era.rs
+++ b/crates/fescuewell_forward/src/quota/era.rs
@@ -37,7 +37,7 @@
 
 /// What a holder's status says of its grants.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HolderStatus {
+pub struct Status {
     /// The holder.
     pub holder: Arc<str>,
     /// Era in which it has confirmed all its grants.
@@ -48,7 +48,7 @@
     pub is_live: bool,
 }
 
-impl HolderStatus {
+impl Status {
     fn has_confirmed(&self, era: u32) -> bool {
         self.era == era && self.knows_grants
     }
@@ -56,18 +56,18 @@
 
 /// The present era and what is known of the holders in it.
 #[derive(Debug, Default)]
-pub struct EraState {
+pub struct State {
     era: u32,
     seen_ms: u64,
     heartbeat_timeout_ms: u64,
     /// Holders that gave statuses before the era began, as far as this process knows.
     before: BTreeSet<Arc<str>>,
-    statuses: Vec<HolderStatus>,
+    statuses: Vec<Status>,
     fence_version: u64,
     fence: Fence,
 }
 
-impl EraState {
+impl State {
     /// The present era.
     pub fn era(&self) -> u32 {
         self.era
@@ -113,7 +113,7 @@
     }
 
     /// Takes the holders' statuses; `heartbeat_timeout_ms` is the time in which one that lives gives the next.
-    pub(super) fn set_statuses(&mut self, statuses: Vec<HolderStatus>, heartbeat_timeout_ms: u64) {
+    pub(super) fn set_statuses(&mut self, statuses: Vec<Status>, heartbeat_timeout_ms: u64) {
         self.statuses = statuses;
         self.heartbeat_timeout_ms = heartbeat_timeout_ms;
     }
--- a/crates/fescuewell_forward/src/quota/journals.rs
+++ b/crates/fescuewell_forward/src/quota/journals.rs
@@ -113,12 +113,12 @@
     }
 
     /// Nobody knows whether the journal was written; it may be written late.
-    pub fn journal_outcome_unknown(&mut self) {
+    pub fn journal_unknown(&mut self) {
         self.may_be_written = true;
     }
 
     /// This try certainly did not write the journal. Unless an earlier try may have, its pace binds no more.
-    pub fn journal_not_written(&mut self) {
+    pub fn journal_rejected(&mut self) {
         if self.may_be_written {
             return;
         }
@@ -148,7 +148,7 @@
 
     /// The journal's row is not what was expected: an earlier write of ours, whose reply was lost, took effect.
     /// Returns false if the row belongs to another incarnation: then this process must spend nothing more.
-    pub fn resolve_journal_conflict(&mut self, journal: &Journal, version: u64) -> bool {
+    pub fn resolve_conflict(&mut self, journal: &Journal, version: u64) -> bool {
         if journal.incarnation != self.incarnation {
             self.adopted = false;
             return false;
--- a/crates/fescuewell_forward/src/quota/loans.rs
+++ b/crates/fescuewell_forward/src/quota/loans.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::{Account, Quota};
-use crate::loan::LoanRequest;
+use crate::loan::Request;
 
 /// Time in milliseconds for which a lender keeps tokens for its own requests, by their present rate: until it has drawn more.
 const KEPT_MS: u64 = 2_000;
@@ -31,7 +31,7 @@
 impl Quota {
     /// Gives tokens of the own grant away: they count as consumed from here on. What is asked for beyond the least is given
     /// only as far as the own requests of [`KEPT_MS`] do not need it.
-    pub fn lend(&mut self, ask: &LoanRequest, now_ms: u64) -> u64 {
+    pub fn lend(&mut self, ask: &Request, now_ms: u64) -> u64 {
         let spare = self.available(&ask.account, now_ms);
         let account = self.account_mut(&ask.account);
         let kept = account.demand_per_s(now_ms) * KEPT_MS / 1_000;
@@ -47,7 +47,7 @@
     /// pace does not.
     ///
     /// An idle holder's pace covers two requests. Without this it lent that much at each journal, while its grant stood unused.
-    pub fn cover_in_next_journal(&mut self, ask: &LoanRequest, now_ms: u64) -> bool {
+    pub fn admit_loan(&mut self, ask: &Request, now_ms: u64) -> bool {
         let store_ms = self.clock.at(now_ms);
         let usable = self.adopted;
         let account = self.account_mut(&ask.account);
@@ -89,13 +89,7 @@
     }
 
     /// Notes what a lender said that it could still give.
-    pub fn record_lender_remaining(
-        &mut self,
-        account: &Arc<str>,
-        lender: &Arc<str>,
-        left: u64,
-        now_ms: u64,
-    ) {
+    pub fn record_report(&mut self, account: &Arc<str>, lender: &Arc<str>, left: u64, now_ms: u64) {
         let said = Said {
             left,
             until_ms: now_ms + SAID_MS,
--- a/crates/fescuewell_forward/src/quota/plan.rs
+++ b/crates/fescuewell_forward/src/quota/plan.rs
@@ -26,7 +26,7 @@
 
 /// The planning holder's own state.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct LocalHolder {
+pub struct Holder {
     /// Its name.
     pub holder: Arc<str>,
     /// What it may consume in all.
@@ -45,7 +45,7 @@
 
 /// Tokens that waiting requests want.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct UnmetDemand {
+pub struct Shortage {
     /// The largest of them.
     pub tokens: u64,
 }
@@ -81,12 +81,7 @@
 }
 
 /// The grant of a holder that is about to end: what it has used, and what a request waits for.
-pub fn grant_at_shutdown(
-    ledger: &Ledger,
-    own: &LocalHolder,
-    prepaid: u64,
-    need: Option<UnmetDemand>,
-) -> u64 {
+pub fn shutdown_grant(ledger: &Ledger, own: &Holder, prepaid: u64, need: Option<Shortage>) -> u64 {
     let free = prepaid.saturating_sub(ledger.total());
     let held = own.granted.saturating_sub(own.consumed);
     let need = need.map_or(0, |need| need.tokens);
@@ -100,9 +95,9 @@
 pub fn target_grant(
     ledger: &Ledger,
     peers: &Peers,
-    own: &LocalHolder,
+    own: &Holder,
     prepaid: u64,
-    need: Option<UnmetDemand>,
+    need: Option<Shortage>,
 ) -> u64 {
     let used = own.consumed + used_by_others(ledger, &own.holder, peers);
     let left = prepaid.saturating_sub(used);
@@ -126,7 +121,7 @@
 }
 
 /// Most that a holder has use for, by its demand.
-fn horizon(left: u64, own: &LocalHolder) -> u64 {
+fn horizon(left: u64, own: &Holder) -> u64 {
     let demand = own.demand_per_s * HORIZON_S;
     if !own.is_advertised {
         return demand;
@@ -141,7 +136,7 @@
 const COMMON_PERCENT: u64 = 25;
 
 /// The own part of what is left, by demand.
-fn share(left: u64, own: &LocalHolder, peers: &Peers) -> u64 {
+fn share(left: u64, own: &Holder, peers: &Peers) -> u64 {
     let advertised_count = peers.values().filter(|peer| peer.is_advertised).count() as u64;
     let advertised_count = advertised_count + u64::from(own.is_advertised);
     let total: u64 = peers.values().map(|peer| peer.demand_per_s).sum::<u64>() + own.demand_per_s;
--- a/crates/fescuewell_forward/src/quota/rate_limit.rs
+++ b/crates/fescuewell_forward/src/quota/rate_limit.rs
@@ -21,7 +21,7 @@
 ///               0   BURST_ONLY_MS         time since the journal
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RateLimit {
+pub struct Limit {
     base: u64,
     peak_rate: u64,
     bucket_size: u64,
@@ -29,7 +29,7 @@
     at_ms: u64,
 }
 
-impl RateLimit {
+impl Limit {
     /// The pace of a journal entry.
     pub fn new(entry: &Entry, at_ms: u64) -> Self {
         Self {
--- a/crates/fescuewell_forward/src/quota/row.rs
+++ b/crates/fescuewell_forward/src/quota/row.rs
@@ -6,7 +6,7 @@
 use snafu::Snafu;
 
 use super::era::Fence;
-use super::rate_limit::RateLimit;
+use super::rate_limit::Limit;
 
 /// Leading byte of a ledger without eras, which the program version before reads as well: [`former`].
 const FORMER_LEDGER: u8 = 1;
@@ -159,7 +159,7 @@
     pub at_ms: u64,
     /// Era of the store in which it was written. One of a former era may have been followed by others that are lost.
     pub era: u32,
-    /// Whether the writer knew what it was granted; see [`super::era::HolderStatus`].
+    /// Whether the writer knew what it was granted; see [`super::era::Status`].
     pub knows_grants: bool,
     /// One for each account.
     pub entries: Vec<Entry>,
@@ -174,9 +174,7 @@
     /// Most that the writer can have consumed of an account by `store_ms`.
     pub fn max_consumed(&self, account: &str, store_ms: u64) -> u64 {
         let entry = self.entry(account);
-        entry.map_or(0, |entry| {
-            RateLimit::new(entry, self.at_ms).limit_at(store_ms)
-        })
+        entry.map_or(0, |entry| Limit::new(entry, self.at_ms).limit_at(store_ms))
     }
 
     /// The row's bytes.
--- a/crates/fescuewell_forward/tests/common/mod.rs
+++ b/crates/fescuewell_forward/tests/common/mod.rs
@@ -4,8 +4,8 @@
 
 use std::sync::Arc;
 
-use fescuewell_forward::loan::{Borrower, Lender, LoanResponse};
-use fescuewell_forward::quota::era::{Fence, HolderStatus};
+use fescuewell_forward::loan::{Borrower, Lender, Response};
+use fescuewell_forward::quota::era::{self, Fence};
 use fescuewell_forward::quota::row::{Journal, Ledger};
 use fescuewell_forward::quota::{HoldOutcome, Quota};
 use fescuewell_forward::version;
@@ -52,7 +52,7 @@
     ledger: Row<Ledger>,
     journals: Vec<Row<Journal>>,
     fence: Row<Fence>,
-    signs: Vec<Option<(HolderStatus, u64)>>,
+    signs: Vec<Option<(era::Status, u64)>>,
 }
 
 #[derive(Debug, Default)]
@@ -63,7 +63,7 @@
     /// The row that each transaction on the ledger expects.
     pub fence: Row<Fence>,
     /// The instances' signs, and when they were given.
-    pub signs: Vec<Option<(HolderStatus, u64)>>,
+    pub signs: Vec<Option<(era::Status, u64)>>,
     pub now_ms: u64,
     pub ledger: Row<Ledger>,
     pub journals: Vec<Row<Journal>>,
@@ -143,7 +143,7 @@
     }
 
     /// A write that was held up arrives.
-    pub fn deliver_delayed_write(&mut self) {
+    pub fn deliver_write(&mut self) {
         match self.late.pop() {
             Some(DelayedWrite::Ledger(expected, fence, ledger)) => {
                 self.put_ledger(expected, fence, ledger);
@@ -181,7 +181,7 @@
     pub account: Arc<str>,
     asks: u64,
     /// Answers that were held up, and whom they are for.
-    answers: Vec<(usize, LoanResponse)>,
+    answers: Vec<(usize, Response)>,
 }
 
 impl Cluster {
@@ -233,7 +233,7 @@
         let row = ledger.content.clone();
         let rows = row.map(|row| (self.account.clone(), ledger.version, row));
         let quota = &mut self.instances[index].quota;
-        quota.handle_store_restore(era, journal, rows.into_iter().collect(), now_ms);
+        quota.resync(era, journal, rows.into_iter().collect(), now_ms);
         self.read_fence(index);
     }
 
@@ -271,18 +271,16 @@
             return;
         }
         self.notice(index);
-        let sign = self.instances[index].quota.holder_status();
+        let sign = self.instances[index].quota.status();
         self.store.signs[index] = Some((sign, self.store.now_ms));
         let now_ms = self.store.now_ms;
         let signs = self.store.signs.iter().flatten();
-        let signs = signs.map(|(sign, at_ms)| HolderStatus {
+        let signs = signs.map(|(sign, at_ms)| era::Status {
             is_live: now_ms < at_ms + LAPSE_MS,
             ..sign.clone()
         });
         let signs = signs.collect();
-        self.instances[index]
-            .quota
-            .set_holder_statuses(signs, LAPSE_MS);
+        self.instances[index].quota.set_statuses(signs, LAPSE_MS);
     }
 
     /// The own clock of an instance: it began with its process.
@@ -315,7 +313,7 @@
         let era = self.store.era;
         let fence = self.store.fence.clone();
         let quota = &mut self.instances[index].quota;
-        quota.observe_store_clock(store_ms, now_ms);
+        quota.observe_clock(store_ms, now_ms);
         quota.begin_era(era, now_ms);
         quota.observe_fence(fence.version, fence.content.unwrap_or_default());
         let journal = quota.adopt(
@@ -344,10 +342,10 @@
         if outcome == WriteOutcome::Delayed {
             let late = DelayedWrite::Journal(index, expected, journal);
             self.store.late.push(late);
-            return self.instances[index].quota.journal_outcome_unknown();
+            return self.instances[index].quota.journal_unknown();
         }
         if outcome == WriteOutcome::Rejected {
-            return self.instances[index].quota.journal_not_written();
+            return self.instances[index].quota.journal_rejected();
         }
         let done = self.store.put_journal(index, expected, journal.clone());
         let cell = self.store.journals[index].clone();
@@ -355,13 +353,13 @@
         let now_ms = self.local_ms(index);
         let quota = &mut self.instances[index].quota;
         if outcome == WriteOutcome::ReplyLost {
-            return quota.journal_outcome_unknown();
+            return quota.journal_unknown();
         }
-        quota.observe_store_clock(store_ms, now_ms);
+        quota.observe_clock(store_ms, now_ms);
         match (done, cell.content) {
             (true, _) => quota.journal_written(&journal, cell.version),
             (false, Some(found)) => {
-                quota.resolve_journal_conflict(&found, cell.version);
+                quota.resolve_conflict(&found, cell.version);
             }
             (false, None) => {}
         }
@@ -410,7 +408,7 @@
         let cell = self.store.ledger.clone();
         let store_ms = self.store.now_ms;
         let quota = &mut self.instances[index].quota;
-        quota.observe_store_clock(store_ms, now_ms);
+        quota.observe_clock(store_ms, now_ms);
         let ledger = cell.content.unwrap_or_default();
         quota.observe_ledger(&account, cell.version, ledger, store_ms);
     }
@@ -500,7 +498,7 @@
     }
 
     /// An instance takes a lender's answer, and a copy of it.
-    fn take(&mut self, index: usize, answer: &LoanResponse) {
+    fn take(&mut self, index: usize, answer: &Response) {
         let now_ms = self.local_ms(index);
         let borrower = &mut self.instances[index];
         borrower
@@ -513,7 +511,7 @@
     }
 
     /// The last answer that was held up arrives.
-    pub fn deliver_delayed_response(&mut self) {
+    pub fn deliver_response(&mut self) {
         if let Some((index, answer)) = self.answers.pop() {
             self.take(index, &answer);
         }
@@ -549,7 +547,7 @@
     }
 
     /// Used, and held by requests that may still use it.
-    pub fn tokens_in_use(&self) -> u64 {
+    pub fn total_used(&self) -> u64 {
         let each = self.instances.iter();
         each.map(|instance| instance.used + instance.open.iter().sum::<u64>())
             .sum()
--- a/crates/fescuewell_forward/tests/eras.rs
+++ b/crates/fescuewell_forward/tests/eras.rs
@@ -66,11 +66,7 @@
         serve(&mut cluster, 2, 3, 10_000);
     }
 
-    assert!(
-        cluster.tokens_in_use() <= 100_000,
-        "{}",
-        cluster.tokens_in_use()
-    );
+    assert!(cluster.total_used() <= 100_000, "{}", cluster.total_used());
 }
 
 /// The way back: what is really left can be drawn once all have confirmed their grants.
@@ -90,7 +86,7 @@
 
     assert_eq!(before, 3);
     assert!(after >= 5, "{after} of 7 that were left");
-    assert!(cluster.tokens_in_use() <= 100_000);
+    assert!(cluster.total_used() <= 100_000);
 }
 
 /// Symptom looked for: tokens are spent twice. Sequence: an instance draws and spends all, and is killed; the store comes back from a
@@ -111,11 +107,7 @@
         }
     }
 
-    assert!(
-        cluster.tokens_in_use() <= 100_000,
-        "{}",
-        cluster.tokens_in_use()
-    );
+    assert!(cluster.total_used() <= 100_000, "{}", cluster.total_used());
 }
 
 /// Symptom looked for: the same, with an instance that never comes back.
@@ -132,11 +124,7 @@
         serve(&mut cluster, 2, 2, 10_000);
     }
 
-    assert!(
-        cluster.tokens_in_use() <= 100_000,
-        "{}",
-        cluster.tokens_in_use()
-    );
+    assert!(cluster.total_used() <= 100_000, "{}", cluster.total_used());
 }
 
 /// Symptom looked for: an instance that was cut off while the store came back spends what others have drawn meanwhile.
@@ -157,11 +145,7 @@
         serve(&mut cluster, 0, 2, 10_000);
     }
 
-    assert!(
-        cluster.tokens_in_use() <= 100_000,
-        "{}",
-        cluster.tokens_in_use()
-    );
+    assert!(cluster.total_used() <= 100_000, "{}", cluster.total_used());
 }
 
 /// Symptom looked for: tokens are free twice. Sequence: an instance gives tokens back, another draws them; the copy shows them with the
@@ -185,11 +169,7 @@
         serve(&mut cluster, 1, 3, 10_000);
     }
 
-    assert!(
-        cluster.tokens_in_use() <= 100_000,
-        "{}",
-        cluster.tokens_in_use()
-    );
+    assert!(cluster.total_used() <= 100_000, "{}", cluster.total_used());
 }
 
 /// Symptom looked for: a draw of the new era vanishes from the row, and its tokens are drawn again. Sequence: a draw of the former era is on
@@ -213,17 +193,13 @@
     cluster.store.number = number - 1;
     serve(&mut cluster, 0, 1, 75_000);
     assert_eq!(version::number(cluster.store.ledger.version), number);
-    cluster.store.deliver_delayed_write();
+    cluster.store.deliver_write();
     for _ in 0..10 {
         round(&mut cluster, &[1, 2]);
         serve(&mut cluster, 2, 2, 10_000);
     }
 
-    assert!(
-        cluster.tokens_in_use() <= 100_000,
-        "{}",
-        cluster.tokens_in_use()
-    );
+    assert!(cluster.total_used() <= 100_000, "{}", cluster.total_used());
 }
 
 /// One thing that happens.
@@ -287,12 +263,12 @@
         Step::Sign(who) => cluster.publish_status(who),
         Step::Restart(who, down_ms) => cluster.restart(who, down_ms),
         Step::Adopt(who, outcome) => cluster.adopt(who, outcome),
-        Step::Late => cluster.store.deliver_delayed_write(),
+        Step::Late => cluster.store.deliver_write(),
         Step::Loan(who, lender, tokens, outcome) => {
             cluster.borrow(who, lender, tokens, outcome);
             cluster.hold(who, tokens);
         }
-        Step::LateAnswer => cluster.deliver_delayed_response(),
+        Step::LateAnswer => cluster.deliver_response(),
         Step::Copy => *copy = Some(cluster.store.snapshot()),
         Step::Restore => {
             if let Some(copy) = copy {
@@ -313,19 +289,19 @@
         let mut copy = Some(cluster.store.snapshot());
         for step in &steps {
             play(&mut cluster, &mut copy, step);
-            prop_assert!(cluster.tokens_in_use() <= cluster.max_prepaid, "{} of {} in {}", cluster.tokens_in_use(), cluster.max_prepaid, ACCOUNT);
+            prop_assert!(cluster.total_used() <= cluster.max_prepaid, "{} of {} in {}", cluster.total_used(), cluster.max_prepaid, ACCOUNT);
         }
         // Whatever is free, or looks so, is used up now.
         for index in 0..INSTANCES {
             cluster.adopt(index, WriteOutcome::Committed);
         }
         for _ in 0..12 {
-            cluster.store.deliver_delayed_write();
+            cluster.store.deliver_write();
             round(&mut cluster, &[0, 1, 2]);
             for index in 0..INSTANCES {
                 serve(&mut cluster, index, 2, 3_000);
             }
-            prop_assert!(cluster.tokens_in_use() <= cluster.max_prepaid, "{} of {} at the end", cluster.tokens_in_use(), cluster.max_prepaid);
+            prop_assert!(cluster.total_used() <= cluster.max_prepaid, "{} of {} at the end", cluster.total_used(), cluster.max_prepaid);
         }
     }
 }
--- a/crates/fescuewell_forward/tests/loans.rs
+++ b/crates/fescuewell_forward/tests/loans.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{ACCOUNT, Cluster, WriteOutcome};
-use fescuewell_forward::loan::{Borrower, Lender, LoanRequest};
+use fescuewell_forward::loan::{Borrower, Lender, Request};
 use fescuewell_forward::message::{Key, Message};
 use fescuewell_forward::quota::HoldOutcome;
 use proptest::prelude::*;
@@ -26,8 +26,8 @@
     cluster
 }
 
-fn ask(cluster: &Cluster, id: u64, tokens: u64) -> LoanRequest {
-    LoanRequest {
+fn ask(cluster: &Cluster, id: u64, tokens: u64) -> Request {
+    Request {
         id,
         account: ACCOUNT.into(),
         required_tokens: tokens,
@@ -55,7 +55,7 @@
     let quota = &mut cluster.instances[1].quota;
 
     let before = quota.candidates(ACCOUNT, 0);
-    quota.record_lender_remaining(&ACCOUNT.into(), &"entry-0".into(), 0, 0);
+    quota.record_report(&ACCOUNT.into(), &"entry-0".into(), 0, 0);
     let refused = quota.candidates(ACCOUNT, 1);
     let later = quota.candidates(ACCOUNT, 1_000);
 
@@ -136,7 +136,7 @@
         bit in 8usize..400,
     ) {
         let key = Key::new([1; 32]);
-        let message = Message::Ask(LoanRequest { id: 1, account: ACCOUNT.into(), required_tokens: 1, wanted_tokens: 2, sent_at_ms: 3 });
+        let message = Message::Ask(Request { id: 1, account: ACCOUNT.into(), required_tokens: 1, wanted_tokens: 2, sent_at_ms: 3 });
         let mut sealed = key.seal(&message);
         let bit = bit % (8 * sealed.len());
 
--- a/crates/fescuewell_forward/tests/outage.rs
+++ b/crates/fescuewell_forward/tests/outage.rs
@@ -122,7 +122,7 @@
     /// The store is out of reach, then all processes are killed and start again.
     fn outage(&mut self) -> Outcome {
         let mut outcome = Outcome {
-            left: self.cluster.prepaid - self.cluster.tokens_in_use(),
+            left: self.cluster.prepaid - self.cluster.total_used(),
             ..Outcome::default()
         };
         for _ in 0..OUTAGE_MS / STEP_MS {
@@ -131,7 +131,7 @@
             outcome.asked += asked;
             outcome.served += served;
         }
-        let used = self.cluster.tokens_in_use();
+        let used = self.cluster.total_used();
         for index in 0..PARTS.len() {
             self.cluster.restart(index, 0);
         }
--- a/crates/fescuewell_forward/tests/quota.rs
+++ b/crates/fescuewell_forward/tests/quota.rs
@@ -66,12 +66,12 @@
         Step::Restart(who, down_ms) => cluster.restart(who, down_ms),
         Step::Adopt(who, outcome) => cluster.adopt(who, outcome),
         Step::TopUp(tokens) => cluster.top_up(tokens),
-        Step::Late => cluster.store.deliver_delayed_write(),
+        Step::Late => cluster.store.deliver_write(),
         Step::Loan(who, lender, tokens, outcome) => {
             cluster.borrow(who, lender, tokens, outcome);
             cluster.hold(who, tokens);
         }
-        Step::LateAnswer => cluster.deliver_delayed_response(),
+        Step::LateAnswer => cluster.deliver_response(),
     }
 }
 
@@ -112,9 +112,9 @@
             play(&mut cluster, step);
 
             prop_assert!(
-                cluster.tokens_in_use() <= cluster.max_prepaid,
+                cluster.total_used() <= cluster.max_prepaid,
                 "after {step:?}: {} of {}",
-                cluster.tokens_in_use(),
+                cluster.total_used(),
                 cluster.max_prepaid
             );
         }
@@ -333,7 +333,7 @@
         }
     }
 
-    cluster.store.deliver_delayed_write();
+    cluster.store.deliver_write();
     cluster.restart(0, 100);
     cluster.adopt(0, WriteOutcome::Committed);
 
@@ -472,9 +472,7 @@
     let content = journal.content.as_mut().unwrap();
     content.incarnation += 1;
 
-    let kept = cluster.instances[0]
-        .quota
-        .resolve_journal_conflict(content, 99);
+    let kept = cluster.instances[0].quota.resolve_conflict(content, 99);
 
     assert!(!kept);
     assert_ne!(cluster.hold(0, 10), HoldOutcome::Held);
@@ -587,7 +585,7 @@
     };
     let mut quota = Quota::new("entry-0".into(), 0);
     quota.set_prepaid(&account, Some(10_000));
-    quota.observe_store_clock(2_000, 0);
+    quota.observe_clock(2_000, 0);
 
     let journal = quota.adopt(Some(&former), 1, Vec::new(), 2_000, 0);
     quota.journal_written(&journal, 2);
--- a/crates/fescuewell_forward/tests/spread.rs
+++ b/crates/fescuewell_forward/tests/spread.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use common::{ACCOUNT, Cluster, WriteOutcome};
-use fescuewell_forward::loan::LoanRequest;
+use fescuewell_forward::loan::Request;
 use fescuewell_forward::quota::{HoldOutcome, Quota};
 
 /// Instances that callers are sent to, and one more.
@@ -82,8 +82,8 @@
     assert!(granted <= 250_000, "{granted}");
 }
 
-fn ask(cluster: &Cluster, least: u64, tokens: u64) -> LoanRequest {
-    LoanRequest {
+fn ask(cluster: &Cluster, least: u64, tokens: u64) -> Request {
+    Request {
         id: 1,
         account: ACCOUNT.into(),
         required_tokens: least,
@@ -110,9 +110,7 @@
     let now_ms = cluster.local_ms(0);
 
     let before = cluster.instances[0].quota.available(ACCOUNT, now_ms);
-    let would_help = cluster.instances[0]
-        .quota
-        .cover_in_next_journal(&ask, now_ms);
+    let would_help = cluster.instances[0].quota.admit_loan(&ask, now_ms);
     cluster.write_journal(0, WriteOutcome::Committed);
     let lent = cluster.instances[0].quota.lend(&ask, now_ms);
 
@@ -155,7 +153,7 @@
     cluster.adopt(0, WriteOutcome::Committed);
     cluster.hold(0, 1_000);
     cluster.plan(0, WriteOutcome::Committed);
-    cluster.instances[0].quota.set_ledger_max_age_ms(8_100);
+    cluster.instances[0].quota.set_max_age(8_100);
 
     cluster.store.now_ms += 3_200;
 
--- a/crates/fescuewell_gateway/src/control/fence.rs
+++ b/crates/fescuewell_gateway/src/control/fence.rs
@@ -75,7 +75,7 @@
         .and_then(|row| Some((row.version, decode_journal(row)?)));
     let now_ms = gateway.now_ms();
     let mut state = gateway.state();
-    state.quota.handle_store_restore(era, journal, rows, now_ms);
+    state.quota.resync(era, journal, rows, now_ms);
     learn_fence(&mut state.quota, &fence);
     log_event!(Event::StoreRestored, "era={era} before={former}");
     true
--- a/crates/fescuewell_gateway/src/control/journal.rs
+++ b/crates/fescuewell_gateway/src/control/journal.rs
@@ -164,7 +164,7 @@
             version,
             now_ms: store_ms,
         }) => {
-            state.quota.observe_store_clock(store_ms, now_ms);
+            state.quota.observe_clock(store_ms, now_ms);
             state.quota.journal_written(journal, version);
             true
         }
@@ -175,18 +175,18 @@
                     continue;
                 };
                 let was_adopted = state.quota.is_adopted();
-                if !state.quota.resolve_journal_conflict(&found, row.version) && was_adopted {
+                if !state.quota.resolve_conflict(&found, row.version) && was_adopted {
                     log_event!(Event::JournalLost, "incarnation={}", found.incarnation);
                 }
             }
             state.quota.is_adopted()
         }
         Err(Error::NotDone { .. }) => {
-            state.quota.journal_not_written();
+            state.quota.journal_rejected();
             false
         }
         Err(_) => {
-            state.quota.journal_outcome_unknown();
+            state.quota.journal_unknown();
             false
         }
     }
--- a/crates/fescuewell_gateway/src/control/ledger.rs
+++ b/crates/fescuewell_gateway/src/control/ledger.rs
@@ -51,7 +51,7 @@
 pub(super) async fn ledgers(control: &Control, number: u64) {
     let names = {
         let now_ms = control.gateway.now_ms();
-        control.gateway.state().quota.accounts_in_use(now_ms)
+        control.gateway.state().quota.active_accounts(now_ms)
     };
     if names.len() > MOST_SINGLE || number.is_multiple_of(WHOLE_EACH) {
         let Ok(reading) = read(control, LEDGERS, MONEY).await else {
@@ -134,7 +134,7 @@
             version,
             now_ms: store_ms,
         }) => {
-            state.quota.observe_store_clock(store_ms, now_ms);
+            state.quota.observe_clock(store_ms, now_ms);
             for draft in drafts {
                 tell(&state.quota, &draft.account, &draft.ledger);
                 let ledger = draft.ledger.clone();
@@ -145,7 +145,7 @@
             Some(true)
         }
         Ok(Outcome::Conflict(reading)) => {
-            state.quota.observe_store_clock(reading.now_ms, now_ms);
+            state.quota.observe_clock(reading.now_ms, now_ms);
             learn(&mut state.quota, &reading);
             Some(false)
         }
--- a/crates/fescuewell_gateway/src/control/lending.rs
+++ b/crates/fescuewell_gateway/src/control/lending.rs
@@ -8,7 +8,7 @@
 
 use fescuewell_core::log_event;
 use fescuewell_core::prelude::*;
-use fescuewell_forward::loan::{Borrower, Lender, LoanRequest, LoanResponse};
+use fescuewell_forward::loan::{self, Borrower, Lender};
 use fescuewell_forward::message::{Key, Message};
 use fescuewell_forward::version;
 use rand::TryRngCore;
@@ -119,7 +119,7 @@
     requests: RefCell<HashMap<u64, Request>>,
     asked: Notify,
     /// Asks, and who sent them, that wait for a journal.
-    deferred: RefCell<Vec<(LoanRequest, SocketAddr)>>,
+    deferred: RefCell<Vec<(loan::Request, SocketAddr)>>,
     deferring: Notify,
 }
 
@@ -235,7 +235,7 @@
         let mut state = gateway.state();
         state
             .quota
-            .record_lender_remaining(account, &request.asked, 0, now_ms);
+            .record_report(account, &request.asked, 0, now_ms);
     }
 
     fn go_on(&self, request: Request) {
@@ -259,10 +259,10 @@
     }
 
     /// Answers an ask, at once or after a journal that makes room for it.
-    pub(super) fn lend(&self, key: &Key, ask: LoanRequest, from: SocketAddr) {
+    pub(super) fn lend(&self, key: &Key, ask: loan::Request, from: SocketAddr) {
         let gateway = &self.control.gateway;
         let now_ms = gateway.now_ms();
-        if gateway.is_store_up() && gateway.state().quota.cover_in_next_journal(&ask, now_ms) {
+        if gateway.is_store_up() && gateway.state().quota.admit_loan(&ask, now_ms) {
             let mut deferred = self.deferred.borrow_mut();
             if deferred.len() < MOST_DEFERRED {
                 deferred.push((ask, from));
@@ -294,7 +294,7 @@
         }
     }
 
-    fn answer(&self, key: &Key, ask: &LoanRequest, from: SocketAddr, now_ms: u64) {
+    fn answer(&self, key: &Key, ask: &loan::Request, from: SocketAddr, now_ms: u64) {
         let answer = {
             let mut state = self.control.gateway.state();
             let mut lender = self.lender.borrow_mut();
@@ -315,7 +315,7 @@
     }
 
     /// Takes a lender's answer.
-    pub(super) fn take(&self, answer: &LoanResponse) {
+    pub(super) fn take(&self, answer: &loan::Response) {
         let now_ms = self.control.gateway.now_ms();
         {
             let mut state = self.control.gateway.state();
--- a/crates/fescuewell_gateway/src/control/members.rs
+++ b/crates/fescuewell_gateway/src/control/members.rs
@@ -44,7 +44,7 @@
     let now_ms = gateway.now_ms();
     let mut state = gateway.state();
     let store_ms = state.quota.store_time(now_ms);
-    let sign = state.quota.holder_status();
+    let sign = state.quota.status();
     Member {
         address: settings.front,
         peer: settings.peer,
@@ -95,7 +95,7 @@
     state.directory.replace_in(era, members, reading.now_ms);
     let signs = state.directory.signs();
     let lapse_ms = state.directory.lapse_ms();
-    state.quota.set_holder_statuses(signs, lapse_ms);
+    state.quota.set_statuses(signs, lapse_ms);
     stay_out(&mut state, &control.gateway.settings.name, now_ms);
     let after: Vec<Arc<str>> = state
         .directory
--- a/crates/fescuewell_gateway/src/control/money.rs
+++ b/crates/fescuewell_gateway/src/control/money.rs
@@ -65,10 +65,10 @@
             // An overdue one cannot wait: a kill now would be charged for all of that time.
             tokio::time::sleep_until(written_at + pause).await;
         }
-        let idle = gateway.state().quota.is_out_of_tokens();
+        let idle = gateway.state().quota.is_depleted();
         let every = if idle { IDLE_JOURNAL } else { JOURNAL_EVERY };
         let burst_ms = (pause * BURST_PAUSES).as_millis() as u64;
-        gateway.state().quota.set_burst_ms(burst_ms);
+        gateway.state().quota.set_burst(burst_ms);
         if enter(control).await {
             journal(control).await;
         }
@@ -85,7 +85,7 @@
         let is_leaving = gateway.is_leaving();
         let names = match is_leaving {
             true => gateway.state().quota.prepaid_accounts(),
-            false => gateway.state().quota.accounts_with_unmet_demand(),
+            false => gateway.state().quota.short_accounts(),
         };
         if enter(control).await {
             plan(control, &names).await;
@@ -124,7 +124,7 @@
     let lapse = every * LAPSE_SIGNS;
     state.directory.set_lapse(lapse.as_millis() as u64);
     let fresh = every.mul_f64(FRESH_PLANS);
-    state.quota.set_ledger_max_age_ms(fresh.as_millis() as u64);
+    state.quota.set_max_age(fresh.as_millis() as u64);
 }
 
 /// Least time between two journals of one instance where requests wait for them.
--- a/crates/fescuewell_gateway/src/control/overdue.rs
+++ b/crates/fescuewell_gateway/src/control/overdue.rs
@@ -28,7 +28,7 @@
     let gateway = &control.gateway;
     let now_ms = gateway.now_ms();
     let quota = &gateway.state().quota;
-    !quota.is_out_of_tokens() && quota.exposure(now_ms).age_ms >= OVERDUE_MS
+    !quota.is_depleted() && quota.exposure(now_ms).age_ms >= OVERDUE_MS
 }
 
 fn tell(control: &Control) {
--- a/crates/fescuewell_gateway/src/control/rows.rs
+++ b/crates/fescuewell_gateway/src/control/rows.rs
@@ -34,7 +34,7 @@
         .gateway
         .state()
         .quota
-        .observe_store_clock(reading.now_ms, now_ms);
+        .observe_clock(reading.now_ms, now_ms);
     Ok(reading)
 }
 
@@ -52,7 +52,7 @@
         .gateway
         .state()
         .quota
-        .observe_store_clock(reading.now_ms, now_ms);
+        .observe_clock(reading.now_ms, now_ms);
     Ok(reading)
 }
 
--- a/crates/fescuewell_gateway/src/control/watch.rs
+++ b/crates/fescuewell_gateway/src/control/watch.rs
@@ -151,7 +151,7 @@
 fn apply(control: &Control, store_ms: u64, configuration: Option<Configuration>) {
     let gateway = &control.gateway;
     let now_ms = gateway.now_ms();
-    gateway.state().quota.observe_store_clock(store_ms, now_ms);
+    gateway.state().quota.observe_clock(store_ms, now_ms);
     let Some(configuration) = configuration else {
         return;
     };
