--- a/crates/fescuewell_forward/src/loan.rs
+++ b/crates/fescuewell_forward/src/loan.rs
@@ -1,9 +1,11 @@
-//! Loans of tokens between instances that hear each other.
+//! Token loans between instances.
 //!
-//! While the store cannot be reached nobody can move grants, and an account's tokens stand at instances to which its callers do
-//! not come. An instance that runs short then asks others for the missing tokens. The lender counts them as consumed before
-//! it answers, against its own grant and pace; the borrower may spend them once the answer is there. So a message that is lost, or
-//! an instance that is killed, costs tokens and never lets them be spent twice: no row is written, and none has to be.
+//! While the store is unreachable no grant can move, and the tokens of an account may be held by
+//! instances that its callers do not use. An instance that runs short requests the missing tokens
+//! from other instances. The lender counts them as consumed before it responds, against its own
+//! grant and rate limit; the borrower may spend them once the response arrives. A lost message or a
+//! killed instance therefore loses tokens but never lets them be spent twice, and no row has to be
+//! written.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,119 +14,134 @@
 
 use crate::quota::Quota;
 
-/// Age in milliseconds, by the store's clock, from which an ask counts as none: its asker has given it up. It also bounds what a
-/// lender has to remember.
-const STALE_MS: u64 = 1_000;
-/// Time in milliseconds for which an answer is still taken. What comes later is lost to the borrower.
-const OPEN_MS: u64 = 2_000;
+/// Age in milliseconds, by the store clock, from which a request is ignored because the borrower
+/// has given it up. It also bounds how long a lender has to remember request IDs.
+const REQUEST_MAX_AGE_MS: u64 = 1_000;
+/// Time in milliseconds for which a response is accepted. The tokens of a later response are lost
+/// to the borrower.
+const RESPONSE_TIMEOUT_MS: u64 = 2_000;
 
-/// An instance wants tokens.
+/// Request of an instance for tokens of another one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Request {
-    /// Drawn at random; an answer bears the same.
+    /// Random ID, repeated in the response.
     pub id: u64,
-    /// The client account.
+    /// Client account.
     pub account: Arc<str>,
-    /// Tokens that a request misses.
+    /// Tokens missing for the current request.
     pub required_tokens: u64,
-    /// Tokens that are wanted in all: what the next requests will miss as well.
+    /// Total tokens wanted, including those for the next requests.
     pub wanted_tokens: u64,
-    /// When it was sent, by the store's clock in milliseconds.
+    /// Time of sending, by the store clock in milliseconds.
     pub sent_at_ms: u64,
 }
 
-/// What a lender gives.
+/// Response of a lender.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Response {
-    /// The ask's.
+    /// ID of the request.
     pub id: u64,
-    /// Who lends.
+    /// Name of the lending holder.
     pub lender: Arc<str>,
-    /// Tokens that the borrower may spend; 0 if there are none.
+    /// Tokens that the borrower may spend, or 0.
     pub tokens: u64,
-    /// Tokens that the lender could still give now.
+    /// Tokens that the lender could still lend.
     pub remaining: u64,
 }
 
-/// Answers asks of others.
+/// Responds to the loan requests of other instances.
 #[derive(Debug, Default)]
 pub struct Lender {
-    /// Asks that were answered, with the time of the store's clock from which each counts as stale.
-    answered: HashMap<u64, u64>,
+    /// Expiry time, by the store clock, of each request already handled.
+    seen: HashMap<u64, u64>,
 }
 
 impl Lender {
-    /// What to answer. Nothing for an ask that is stale or was answered before: a datagram may come twice, and each copy would
-    /// cost tokens that nobody gets.
-    pub fn respond(&mut self, quota: &mut Quota, ask: &Request, now_ms: u64) -> Option<Response> {
+    /// Responds to a request, or returns `None` if it is too old or was handled before.
+    ///
+    /// A datagram may be delivered twice, and each duplicate would cost tokens that nobody
+    /// receives.
+    pub fn respond(
+        &mut self,
+        quota: &mut Quota,
+        request: &Request,
+        now_ms: u64,
+    ) -> Option<Response> {
         let store_ms = quota.store_time(now_ms);
-        self.answered.retain(|_, stale_ms| store_ms < *stale_ms);
-        let is_fresh = ask.sent_at_ms.abs_diff(store_ms) < STALE_MS;
-        // One from a clock that is ahead becomes stale that much later.
-        let stale_ms = ask.sent_at_ms.max(store_ms) + STALE_MS;
-        if !is_fresh || self.answered.insert(ask.id, stale_ms).is_some() {
+        self.seen.retain(|_, expires_ms| store_ms < *expires_ms);
+        let is_fresh = request.sent_at_ms.abs_diff(store_ms) < REQUEST_MAX_AGE_MS;
+        // A request from a clock that is ahead expires later by that difference.
+        let expires_ms = request.sent_at_ms.max(store_ms) + REQUEST_MAX_AGE_MS;
+        if !is_fresh || self.seen.insert(request.id, expires_ms).is_some() {
             return None;
         }
-        let tokens = quota.lend(ask, now_ms);
+        let tokens = quota.lend(request, now_ms);
         Some(Response {
-            id: ask.id,
+            id: request.id,
             lender: quota.holder().clone(),
             tokens,
-            remaining: quota.available(&ask.account, now_ms),
+            remaining: quota.available(&request.account, now_ms),
         })
     }
 }
 
-/// An ask that may still be answered.
+/// A loan request that awaits its response.
 #[derive(Debug)]
-struct Open {
+struct Pending {
     account: Arc<str>,
     tokens: u64,
     until_ms: u64,
 }
 
-/// Keeps the asks of this instance.
+/// Tracks the loan requests sent by this instance.
 #[derive(Debug, Default)]
 pub struct Borrower {
-    open: HashMap<u64, Open>,
+    pending: HashMap<u64, Pending>,
 }
 
 impl Borrower {
-    /// An ask for `least` tokens of an account, and for `more` beyond that; `id` is a random number.
+    /// Creates a request for `required` tokens of an account plus `extra` ones; `id` is a random
+    /// number.
     pub fn request(
         &mut self,
         quota: &Quota,
         account: &Arc<str>,
-        (least, more): (u64, u64),
+        (required, extra): (u64, u64),
         id: u64,
         now_ms: u64,
     ) -> Request {
-        let tokens = least + more;
-        self.open.retain(|_, open| now_ms < open.until_ms);
-        let open = Open {
+        let tokens = required + extra;
+        self.pending.retain(|_, pending| now_ms < pending.until_ms);
+        let pending = Pending {
             account: account.clone(),
             tokens,
-            until_ms: now_ms + OPEN_MS,
+            until_ms: now_ms + RESPONSE_TIMEOUT_MS,
         };
-        self.open.insert(id, open);
+        self.pending.insert(id, pending);
         Request {
             id,
             account: account.clone(),
-            required_tokens: least,
+            required_tokens: required,
             wanted_tokens: tokens,
             sent_at_ms: quota.store_time(now_ms),
         }
     }
 
-    /// Takes an answer: once, and only to an ask of this process. Returns whether it gave tokens.
-    pub fn accept(&mut self, quota: &mut Quota, answer: &Response, now_ms: u64) -> bool {
-        let Some(open) = self.open.remove(&answer.id) else {
+    /// Accepts the first response to a pending request of this process. Returns whether it contains
+    /// tokens.
+    pub fn accept(&mut self, quota: &mut Quota, response: &Response, now_ms: u64) -> bool {
+        let Some(pending) = self.pending.remove(&response.id) else {
             return false;
         };
-        // More than was asked for can only be an error.
-        let tokens = answer.tokens.min(open.tokens);
-        quota.borrow(&open.account, tokens);
-        quota.record_report(&open.account, &answer.lender, answer.remaining, now_ms);
+        // A lender that gives more than was requested is faulty.
+        let tokens = response.tokens.min(pending.tokens);
+        quota.borrow(&pending.account, tokens);
+        quota.record_report(
+            &pending.account,
+            &response.lender,
+            response.remaining,
+            now_ms,
+        );
         tokens > 0
     }
 }
--- a/crates/fescuewell_forward/src/quota.rs
+++ b/crates/fescuewell_forward/src/quota.rs
@@ -1,22 +1,24 @@
-//! Prepaid tokens: what this instance may spend, and how the instances divide what is left.
+//! Prepaid tokens: how much this instance may spend, and how the instances divide the remainder.
 //!
-//! For each client account the store keeps one [`row::Ledger`] with a grant for each holder; a holder is one
-//! machine's place in the fleet, over all its restarts. The sum of the grants never exceeds the account's
-//! prepaid total, since every change of the row is conditional on its version. A holder spends against its grant
-//! without asking anybody, so that it goes on while the store cannot be reached.
+//! The store keeps one [`row::Ledger`] per client account with a grant for each holder. A holder is
+//! the stable identity of one machine in the fleet and survives restarts of its process. The sum of
+//! the grants never exceeds the prepaid total of the account, because every update of the row is
+//! conditional on its version. A holder spends against its grant without coordination, so it keeps
+//! serving while the store is unreachable.
 //!
-//! What a process that dies has spent is known to nobody, and the whole of its grant would have to count as spent.
-//! So a holder also binds itself to a *pace*: it writes to its [`row::Journal`] what it had consumed at a moment, and
-//! that it will not exceed a burst and a rate from there on. Its next incarnation reads the journal
-//! and knows an upper bound that grows with the time since, not with the grant.
+//! The consumption of a killed process is unknown, so its entire grant would have to count as
+//! spent. To avoid that, a holder also commits to a [`rate_limit::Limit`]: it writes to its
+//! [`row::Journal`] how much it had consumed at a given time, and a burst and a rate that it will
+//! not exceed afterwards. The next incarnation reads the journal and gets an upper bound that grows
+//! with the elapsed time instead of the grant.
 //!
 //! ```
-//! use fescuewell_forward::quota::{Quota, HoldOutcome};
+//! use fescuewell_forward::quota::{HoldOutcome, Quota};
 //!
 //! let mut quota = Quota::new("entry-1".into(), 1);
 //! let group = "group".into();
 //! quota.set_prepaid(&group, Some(1_000));
-//! // Nothing was granted yet.
+//! // No tokens have been granted yet.
 //! assert_eq!(quota.hold(&group, 100, 0), HoldOutcome::InsufficientGrant);
 //! ```
 
@@ -45,23 +47,26 @@
 
 use crate::version;
 
-/// Age of a row up to which it tells that an account is exhausted, in milliseconds, in a small fleet.
-const FRESH_MS: u64 = 2_500;
+/// Maximum age, in milliseconds, of a ledger read that may prove an account exhausted. This is the
+/// value for a small fleet; see [`Quota::set_max_age`].
+const LEDGER_MAX_AGE_MS: u64 = 2_500;
 
-/// Answer to a request for tokens.
+/// Result of [`Quota::hold`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HoldOutcome {
-    /// They are held back for the request.
+    /// The tokens are held for the request.
     Held,
-    /// The grant covers it, and the pace will after the next journal, or in so many milliseconds if it ever does.
+    /// The grant covers the request but the rate limit does not yet. The next journal raises the
+    /// limit; otherwise it is reached after this many milliseconds, or never if `None`.
     RateLimited(Option<u64>),
-    /// This instance has not enough; others, or the rest that nobody holds, may.
+    /// The grant of this instance does not cover the request. Other instances or the unallocated
+    /// tokens may.
     InsufficientGrant,
-    /// What is left in the whole fleet does not cover it.
+    /// The tokens left in the whole fleet do not cover the request.
     Exhausted,
 }
 
-/// The prepaid tokens of all client accounts as one instance sees them.
+/// The prepaid tokens of all client accounts, as seen by one instance.
 #[derive(Debug)]
 pub struct Quota {
     holder: Arc<str>,
@@ -71,22 +76,22 @@
     journal_version: u64,
     journal_at_ms: u64,
     adopted: bool,
-    closing: bool,
+    is_closing: bool,
     is_advertised: bool,
-    /// Number of holders to which callers are sent.
+    /// Number of holders that callers are directed to.
     advertised_count: u64,
     burst_ms: u64,
-    fresh_ms: u64,
-    unanswered: Option<Journal>,
-    may_be_written: bool,
+    ledger_max_age_ms: u64,
+    pending_journal: Option<Journal>,
+    is_journal_uncertain: bool,
     era_state: era::State,
-    /// Whether this process knows what it was granted; see [`era::Status`].
+    /// Whether this process knows how much it was granted; see [`era::Status`].
     knows_grants: bool,
     is_first_start: bool,
 }
 
 impl Quota {
-    /// A quota that holds nothing until [`Quota::adopt`].
+    /// Creates a quota without any grant; grants become usable after [`Quota::adopt`].
     pub fn new(holder: Arc<str>, incarnation: u64) -> Self {
         Self {
             holder,
@@ -96,47 +101,48 @@
             journal_version: 0,
             journal_at_ms: 0,
             adopted: false,
-            closing: false,
+            is_closing: false,
             is_advertised: true,
             advertised_count: 1,
             burst_ms: 0,
-            fresh_ms: FRESH_MS,
-            unanswered: None,
-            may_be_written: false,
+            ledger_max_age_ms: LEDGER_MAX_AGE_MS,
+            pending_journal: None,
+            is_journal_uncertain: false,
             era_state: era::State::default(),
             knows_grants: true,
             is_first_start: false,
         }
     }
 
-    /// The store's era that is gone by.
+    /// Returns the current era of the store; see [`era`].
     pub fn era(&self) -> u32 {
         self.era_state.era()
     }
 
-    /// The store was first read in this era; see [`era`].
+    /// Enters the era in which the store was first read; see [`era`].
     pub fn begin_era(&mut self, era: u32, now_ms: u64) {
         self.era_state.enter(era, now_ms);
     }
 
-    /// Tells whether the whole fleet starts for the first time, so that no former process can have drawn anything.
+    /// Sets whether the whole fleet starts for the first time, in which case no earlier process can
+    /// have drawn tokens.
     pub fn set_first_start(&mut self, is_first_start: bool) {
         self.is_first_start = is_first_start;
     }
 
-    /// Takes the fence as read.
+    /// Updates the fence from a read of its row. Rows of another era are ignored.
     pub fn observe_fence(&mut self, version: u64, fence: Fence) {
         if version::era(version) == self.era_state.era() || version == 0 {
             self.era_state.observe_fence(version, fence);
         }
     }
 
-    /// The fence and the version of its row: each transaction on ledgers expects it.
+    /// Returns the fence and its row version, on which every ledger transaction is conditional.
     pub fn fence(&self) -> (u64, &Fence) {
         self.era_state.fence()
     }
 
-    /// The fence that should be written now.
+    /// Returns the fence to write now, or `None` if it is up to date.
     pub fn next_fence(&self, now_ms: u64) -> Option<Fence> {
         match self.adopted {
             true => self.era_state.next_fence(self.is_first_start, now_ms),
@@ -144,8 +150,10 @@
         }
     }
 
-    /// The store has come back from a copy in which the own journal's row has this version and content, and the accounts these rows.
-    /// Grants and journals are written anew from here on.
+    /// Enters a new era after the store was restored from a snapshot.
+    ///
+    /// `journal` is the journal of this holder in the restored store, with its row version;
+    /// `ledgers` are the restored ledgers. The holder then rewrites its grants and its journal.
     pub fn resync(
         &mut self,
         era: u32,
@@ -159,7 +167,7 @@
         let (version, journal) = journal.unwrap_or_default();
         self.journal_version = version;
         if journal.incarnation > self.incarnation {
-            // A next process has begun.
+            // A newer incarnation of this holder is running.
             self.adopted = false;
         }
         let mut rows: HashMap<Arc<str>, (u64, Ledger)> = ledgers
@@ -176,12 +184,13 @@
         }
     }
 
-    /// Takes the holders' statuses; `heartbeat_timeout_ms` is the time in which one that lives gives the next.
+    /// Sets the statuses of all holders. A live holder publishes a new status within
+    /// `heartbeat_timeout_ms`.
     pub fn set_statuses(&mut self, statuses: Vec<era::Status>, heartbeat_timeout_ms: u64) {
         self.era_state.set_statuses(statuses, heartbeat_timeout_ms);
     }
 
-    /// The own status of what was confirmed.
+    /// Returns the status of this holder: whether its grants are confirmed in the current era.
     pub fn status(&self) -> era::Status {
         let is_confirmed = !self.accounts.values().any(Account::is_unconfirmed);
         let era = self.era_state.era();
@@ -196,33 +205,33 @@
         }
     }
 
-    /// Name of the holder.
+    /// Returns the name of this holder.
     pub fn holder(&self) -> &Arc<str> {
         &self.holder
     }
 
-    /// Sets the demand, in milliseconds of it, that each journal lets through beside the requests that wait for it.
-    /// A fleet that may journal rarely needs more.
+    /// Sets how much demand, expressed as milliseconds of it, each journal admits at once in
+    /// addition to the waiting requests. Fleets that write journals less often need more.
     pub fn set_burst(&mut self, burst_ms: u64) {
         self.burst_ms = burst_ms;
     }
 
-    /// Takes a reading of the store's clock that was received at `now_ms` of the own steady clock.
+    /// Records a store clock reading received at `now_ms` of the local monotonic clock.
     pub fn observe_clock(&mut self, store_ms: u64, now_ms: u64) {
         self.clock.observe(store_ms, now_ms);
     }
 
-    /// A moment of the own clock in the store's time, never ahead of it.
+    /// Converts a local time to store time. The result is never ahead of the store clock.
     pub fn store_time(&self, now_ms: u64) -> u64 {
         self.clock.at(now_ms)
     }
 
-    /// Sets an account's prepaid total, from a newer configuration.
+    /// Sets the prepaid total of an account, as given by a newer configuration.
     pub fn set_prepaid(&mut self, account: &Arc<str>, total: Option<u64>) {
         self.account_mut(account).set_prepaid(total);
     }
 
-    /// Accounts with a prepaid total.
+    /// Returns the accounts that have a prepaid total, sorted by name.
     pub fn prepaid_accounts(&self) -> Vec<Arc<str>> {
         let limited = self.accounts.iter();
         let limited = limited.filter(|(_, account)| account.prepaid().is_some());
@@ -231,63 +240,65 @@
         names
     }
 
-    /// Holds tokens back for one request.
+    /// Holds tokens for one request.
     pub fn hold(&mut self, account: &Arc<str>, tokens: u64, now_ms: u64) -> HoldOutcome {
         let store_ms = self.clock.at(now_ms);
         let usable = self.adopted;
         let holder = self.holder.clone();
-        let stale_ms = store_ms.saturating_sub(self.fresh_ms);
-        let usable = usable.then_some(stale_ms);
+        let oldest_read_ms = store_ms.saturating_sub(self.ledger_max_age_ms);
+        let usable = usable.then_some(oldest_read_ms);
         let era = self.era_state.era();
         self.account_mut(account)
             .hold(&holder, tokens, usable, store_ms, era)
     }
 
-    /// Counts a request's demand, once, before it is held.
+    /// Records the demand of a request. Called once per request, before [`Quota::hold`].
     pub fn record_demand(&mut self, account: &Arc<str>, tokens: u64, now_ms: u64) {
         self.account_mut(account).record_demand(tokens, now_ms);
     }
 
-    /// Whether nothing is held that could be spent.
+    /// Returns whether no account has spendable tokens left in its grant.
     pub fn is_depleted(&self) -> bool {
         self.accounts
             .values()
             .all(|account| account.remaining() == 0)
     }
 
-    /// Accounts with a prepaid total that were asked for lately, or of which something is held or was used.
+    /// Returns the prepaid accounts with recent demand, consumed tokens or a grant.
     pub fn active_accounts(&mut self, now_ms: u64) -> Vec<Arc<str>> {
         let usages = self.usage(now_ms).into_iter();
         usages.map(|usage| usage.account).collect()
     }
 
-    /// Accounts of which requests want more than the own grants cover.
+    /// Returns the accounts with requests that need more than the local grant covers.
     pub fn short_accounts(&self) -> Vec<Arc<str>> {
         let accounts = self.accounts.iter();
-        let short = accounts.filter(|(_, account)| account.shortage().is_some());
-        short.map(|(name, _)| name.clone()).collect()
+        let unmet = accounts.filter(|(_, account)| account.shortage().is_some());
+        unmet.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Sets the age up to which a row tells that an account is exhausted, in milliseconds: some plans. Large fleets plan less
-    /// often than small ones; with the time of a small one they tell callers of accounts at their end to come back in place of that
-    /// nothing is left.
-    pub fn set_max_age(&mut self, fresh_ms: u64) {
-        self.fresh_ms = fresh_ms.max(FRESH_MS);
+    /// Sets the maximum age, in milliseconds, of a ledger read that may prove an account exhausted,
+    /// which should span a few planning periods.
+    ///
+    /// Large fleets plan less often than small ones. With the value of a small fleet they would ask
+    /// callers of exhausted accounts to retry instead of reporting that no tokens are left.
+    pub fn set_max_age(&mut self, max_age_ms: u64) {
+        self.ledger_max_age_ms = max_age_ms.max(LEDGER_MAX_AGE_MS);
     }
 
-    /// Ends a hold: `cost` of the `held` tokens were consumed.
+    /// Releases a hold: `cost` of the `held` tokens were consumed.
     pub fn settle(&mut self, account: &str, held: u64, cost: u64) {
         if let Some(account) = self.accounts.get_mut(account) {
             account.settle(held, cost);
         }
     }
 
-    /// The account as it stands.
+    /// Returns the state of an account.
     pub fn account(&self, account: &str) -> Option<&Account> {
         self.accounts.get(account)
     }
 
-    /// What a restart at `now_ms` would be charged, against what has been consumed.
+    /// Returns how much a restart at `now_ms` would be charged compared to actual consumption.
     pub fn exposure(&self, now_ms: u64) -> Exposure {
         let store_ms = self.clock.at(now_ms);
         let mut exposure = Exposure {
@@ -302,17 +313,18 @@
         exposure
     }
 
-    /// Whether the former incarnation's journal has been taken over.
+    /// Returns whether the journal of the previous incarnation has been taken over.
     pub fn is_adopted(&self) -> bool {
         self.adopted
     }
 
-    /// From now on only holds that exist are kept; all else goes back with the next plan.
+    /// Starts the shutdown: existing holds are kept, all other tokens are returned by the next
+    /// plan.
     pub fn begin_shutdown(&mut self) {
-        self.closing = true;
+        self.is_closing = true;
     }
 
-    /// Takes an account's row as it was in the store at `store_ms` of its clock.
+    /// Updates the ledger of an account from a read at `store_ms` of the store clock.
     pub fn observe_ledger(
         &mut self,
         account: &Arc<str>,
@@ -322,7 +334,7 @@
     ) {
         let era = self.era_state.era();
         if version::era(version) != era {
-            // Of a former era, or of one that is not gone by yet; see [`Quota::resync`].
+            // The row belongs to another era; [`Quota::resync`] handles the change.
             return;
         }
         let holder = self.holder.clone();
@@ -330,17 +342,18 @@
         account.observe_ledger(&holder, version, ledger, store_ms, era);
     }
 
-    /// What the holders that gave a status lately say of their use. `advertised` are those to which callers are sent.
-    pub fn set_peers(&mut self, said: &[(Arc<str>, Vec<Usage>)], advertised: &[Arc<str>]) {
+    /// Sets the usage last reported by each live holder. Callers are directed to the holders in
+    /// `advertised`; if it is empty, to all of them.
+    pub fn set_peers(&mut self, reported: &[(Arc<str>, Vec<Usage>)], advertised: &[Arc<str>]) {
         self.is_advertised = advertised.is_empty() || advertised.contains(&self.holder);
-        let all = if advertised.is_empty() {
-            said.len()
+        let advertised_count = if advertised.is_empty() {
+            reported.len()
         } else {
             advertised.len()
         };
-        self.advertised_count = all as u64;
+        self.advertised_count = advertised_count as u64;
         let mut by_account: HashMap<Arc<str>, Peers> = HashMap::new();
-        for (holder, usages) in said {
+        for (holder, usages) in reported {
             if *holder == self.holder {
                 continue;
             }
@@ -359,8 +372,10 @@
         }
     }
 
-    /// What is told to the other holders: of accounts that were ever used or granted here. All others would say nothing, and each
-    /// instance reads what all of them say.
+    /// Returns the usage that this instance reports to the other holders.
+    ///
+    /// Only accounts that were used or granted here are included, because every instance reads the
+    /// reports of all others.
     pub fn usage(&mut self, now_ms: u64) -> Vec<Usage> {
         let mut usages = Vec::new();
         for (name, account) in &mut self.accounts {
@@ -375,21 +390,24 @@
         usages
     }
 
-    /// The row that should replace the account's, with the version on which to condition it; `None` when
-    /// nothing is to change. What is given back may not be spent from now on, whatever becomes of the write.
+    /// Returns the ledger that should replace the current one of the account and the version on
+    /// which to condition the write, or `None` if nothing has to change.
+    ///
+    /// Tokens that the new ledger returns must not be spent from now on, whether or not the write
+    /// succeeds.
     pub fn plan(&mut self, account: &Arc<str>, now_ms: u64) -> Option<(u64, Ledger)> {
         if !self.adopted {
             return None;
         }
         let holder = self.holder.clone();
-        let closing = self.closing;
+        let is_closing = self.is_closing;
         let is_advertised = self.is_advertised;
         let account = self.accounts.get_mut(account)?;
         account.plan(
             &holder,
             now_ms,
             (is_advertised, self.advertised_count),
-            closing,
+            is_closing,
             &self.era_state,
         )
     }
--- a/crates/fescuewell_forward/src/quota/account.rs
+++ b/crates/fescuewell_forward/src/quota/account.rs
@@ -1,11 +1,11 @@
-//! One client account as one instance sees it.
+//! State of one client account on one instance.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
 use super::HoldOutcome;
 use super::era;
-use super::loans::Said;
+use super::loans::Report;
 use super::origin::Origin;
 use super::plan::{self, Holder, Peers, Shortage};
 use super::rate_limit::{BURST_ONLY_MS, Limit};
@@ -13,44 +13,48 @@
 use super::waiting::Waiting;
 use crate::window::Window;
 
-/// Span over which demand is measured, in milliseconds: long enough for a few requests of an
-/// account that sends one a second, short enough to follow a surge of a few seconds.
-const DEMAND_MS: u64 = 6_000;
-/// Part of the grant's rest, in percent, that a journal lets through at once: what a restart may cost where an account
-/// has much left, so that a cut does not begin with refusals.
-const SPARE_PERCENT: u64 = 8;
-/// That part is at most so many requests of the usual size,
-const SPARE_REQUESTS: u64 = 2;
-/// or the demand of the tight time, which the account then lives on.
-const SPARE_MS: u64 = BURST_ONLY_MS;
-/// Limit promised after the tight time, in percent of the measured demand. Demand in a cut may be twice what it was; a
-/// restart at the end of an outage of the store is charged all of it.
-const PACE_PERCENT: u64 = 200;
-/// Seconds after the tight time in which all of the grant may be used, up to the bucket_size. Cuts from the store last up to ten
-/// seconds, and the requests of one account come to one instance in lumps.
-const USE_UP_S: u64 = 5;
-/// The bucket_size: requests of the usual size that an instance may serve from its grant in a cut, however little demand it has
-/// measured,
-const LUMP_REQUESTS: f64 = 0.5;
-/// and so many standard deviations of the requests that it expects in [`LUMP_S`]: those of one account come one by one,
-/// so that their number varies by its square root.
-const LUMP_DEVIATIONS: f64 = 2.0;
-/// Time for which the bucket_size allows for that, in seconds: a usual cut.
-const LUMP_S: f64 = 8.0;
-/// Limit promised beyond the bucket_size, in percent of the measured demand.
+/// Window over which demand is measured, in milliseconds: long enough for a few requests of an
+/// account that sends one per second, short enough to follow a surge of a few seconds.
+const DEMAND_WINDOW_MS: u64 = 6_000;
+/// Share of the remaining grant, in percent, that a journal admits as a burst. This bounds the cost
+/// of a restart for an account with many tokens left, and lets an outage begin without refusals.
+const BURST_PERCENT: u64 = 8;
+/// Upper bound of that burst, in requests of mean size.
+const BURST_REQUESTS: u64 = 2;
+/// Upper bound of that burst, in milliseconds of demand; the larger bound applies. Nothing else may
+/// be spent during the burst-only period.
+const BURST_DEMAND_MS: u64 = BURST_ONLY_MS;
+/// Peak rate in percent of the measured demand. Demand may double during an outage; a restart at
+/// the end of an outage of the store is charged all of it.
+const PEAK_RATE_PERCENT: u64 = 200;
+/// Seconds after the burst-only period in which the whole grant may be spent, up to the bucket
+/// size. Outages of the store last up to ten seconds, and the requests of an account reach an
+/// instance in clusters.
+const DEPLETION_S: u64 = 5;
+/// Base of the bucket size, in requests of mean size, that an instance may serve during an outage
+/// however low its measured demand is.
+const BUCKET_BASE_REQUESTS: f64 = 0.5;
+/// The bucket also covers this many standard deviations of the number of requests expected in
+/// [`BUCKET_SPAN_S`]. Requests of an account arrive independently, so the standard deviation is the
+/// square root of the expected number.
+const BUCKET_DEVIATIONS: f64 = 2.0;
+/// Time covered by the bucket, in seconds: a typical outage.
+const BUCKET_SPAN_S: f64 = 8.0;
+/// Sustained rate beyond the bucket, in percent of the measured demand.
 ///
-/// A restart is charged for all that its process had promised, so the promise is no wider than the whole fleet needs: an
-/// instance whose luck exceeds it borrows from the others.
-const STEADY_PERCENT: u64 = 80;
-/// A request of this size is expected before any has been seen, in tokens.
-const FIRST_TYPICAL: u64 = 8_000;
+/// A restart is charged for everything that its process was allowed to spend, so the limit is no
+/// wider than the whole fleet needs: an instance with more demand than expected borrows from the
+/// others.
+const SUSTAINED_RATE_PERCENT: u64 = 80;
+/// Assumed size of a request, in tokens, before any has been seen.
+const DEFAULT_REQUEST_TOKENS: u64 = 8_000;
 
 /// A return of tokens whose write may still take effect.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Returning {
-    /// The row's version on which the write is conditional.
+pub(super) struct PendingReturn {
+    /// Row version on which the write is conditional.
     version: u64,
-    /// What the grant would be afterwards.
+    /// Grant after the return.
     granted: u64,
 }
 
@@ -60,9 +64,9 @@
     prepaid: Option<u64>,
     pub(super) granted: u64,
     pub(super) origin: Origin,
-    /// Grants of others as they were known in former eras.
-    pub(super) known: Ledger,
-    pub(super) returning: Option<Returning>,
+    /// Grants of other holders as known in previous eras.
+    pub(super) previous_grants: Ledger,
+    pub(super) pending_return: Option<PendingReturn>,
     pub(super) consumed: u64,
     recorded: u64,
     rate_limits: Vec<Limit>,
@@ -70,14 +74,14 @@
     pub(super) ledger: Ledger,
     pub(super) peers: Peers,
     demand: Window,
-    need: Option<Shortage>,
+    shortage: Option<Shortage>,
     pub(super) waiting: Waiting,
     requests: Window,
-    started_ms: Option<u64>,
-    read_ms: u64,
-    /// Borrowed and not held yet.
-    pub(super) credit: u64,
-    pub(super) said: HashMap<Arc<str>, Said>,
+    first_request_ms: Option<u64>,
+    ledger_read_ms: u64,
+    /// Borrowed tokens that no request holds yet.
+    pub(super) borrowed: u64,
+    pub(super) reports: HashMap<Arc<str>, Report>,
 }
 
 impl Default for Account {
@@ -85,70 +89,70 @@
         Self {
             prepaid: None,
             granted: 0,
-            origin: Origin::Row,
-            known: Ledger::default(),
-            returning: None,
+            origin: Origin::Ledger,
+            previous_grants: Ledger::default(),
+            pending_return: None,
             consumed: 0,
             recorded: 0,
             rate_limits: Vec::new(),
             version: 0,
             ledger: Ledger::default(),
             peers: Peers::default(),
-            demand: Window::new(DEMAND_MS),
-            need: None,
+            demand: Window::new(DEMAND_WINDOW_MS),
+            shortage: None,
             waiting: Waiting::default(),
-            requests: Window::new(DEMAND_MS),
-            started_ms: None,
-            read_ms: 0,
-            credit: 0,
-            said: HashMap::new(),
+            requests: Window::new(DEMAND_WINDOW_MS),
+            first_request_ms: None,
+            ledger_read_ms: 0,
+            borrowed: 0,
+            reports: HashMap::new(),
         }
     }
 }
 
 impl Account {
-    /// Prepaid total, if the account pays by tokens.
+    /// Returns the prepaid total, or `None` if the account is not limited by tokens.
     pub fn prepaid(&self) -> Option<u64> {
         self.prepaid
     }
 
-    /// Consumed or held back so far, over all incarnations.
+    /// Returns the tokens consumed or held so far, over all incarnations.
     pub fn consumed(&self) -> u64 {
         self.consumed
     }
 
-    /// What may be consumed in all.
+    /// Returns the total that may be consumed, assuming that a pending return takes effect.
     pub fn granted(&self) -> u64 {
-        match self.returning {
-            Some(returning) => self.granted.min(returning.granted),
+        match self.pending_return {
+            Some(pending_return) => self.granted.min(pending_return.granted),
             None => self.granted,
         }
     }
 
-    /// Consumed or held back as of the last journal that was written.
+    /// Returns the tokens consumed or held according to the last written journal.
     pub fn recorded(&self) -> u64 {
         self.recorded
     }
 
-    /// Most that a restart of this process at `store_ms` would be charged.
+    /// Returns the maximum that a restart of this process at `store_ms` would be charged.
     pub fn promised(&self, store_ms: u64) -> u64 {
         self.limit(store_ms).min(self.granted)
     }
 
-    /// What is left of the grant.
+    /// Returns the unspent part of the grant.
     pub fn remaining(&self) -> u64 {
         self.granted().saturating_sub(self.consumed)
     }
 
-    /// What no holder has been granted, as of the last reading.
+    /// Returns the tokens not granted to any holder, as of the last read.
     pub fn unallocated(&self) -> u64 {
         let prepaid = self.prepaid.unwrap_or_default();
         prepaid.saturating_sub(self.ledger.total())
     }
 
-    /// Tokens that requests wait for.
+    /// Returns the largest request that the grant did not cover since the last plan.
     pub fn shortage(&self) -> Option<Shortage> {
-        self.need
+        self.shortage
     }
 
     pub(super) fn set_prepaid(&mut self, total: Option<u64>) {
@@ -159,30 +163,31 @@
         self.consumed = consumed;
     }
 
-    /// Holds tokens back. The own grant is not usable before it was taken over; a row that was read before `stale_ms` does not
-    /// tell that the account is exhausted.
+    /// Holds tokens for a request. `oldest_read_ms` is `None` until the grant has been taken over,
+    /// which makes it unusable; a ledger read before it does not prove the account exhausted.
     pub(super) fn hold(
         &mut self,
         holder: &str,
         tokens: u64,
-        stale_ms: Option<u64>,
+        oldest_read_ms: Option<u64>,
         store_ms: u64,
         era: u32,
     ) -> HoldOutcome {
         if self.prepaid.is_none() {
-            // Nothing is counted against an account without a total.
+            // Accounts without a prepaid total are not limited.
             return HoldOutcome::Held;
         }
-        // What was borrowed goes first: it is lost with this process.
-        let borrowed = self.credit.min(tokens);
-        let own = tokens - borrowed;
-        let granted = own == 0 || (stale_ms.is_some() && own <= self.remaining());
-        if granted && own <= self.limit_remaining(store_ms) {
-            self.credit -= borrowed;
-            self.consumed += own;
+        // Borrowed tokens are used first, since they are lost with this process.
+        let from_borrowed = self.borrowed.min(tokens);
+        let from_grant = tokens - from_borrowed;
+        let is_covered =
+            from_grant == 0 || (oldest_read_ms.is_some() && from_grant <= self.remaining());
+        if is_covered && from_grant <= self.limit_remaining(store_ms) {
+            self.borrowed -= from_borrowed;
+            self.consumed += from_grant;
             return HoldOutcome::Held;
         }
-        if granted {
+        if is_covered {
             self.waiting.add(tokens, store_ms);
             let total = self.consumed + tokens;
             let times = self.rate_limits.iter().map(|limit| limit.reached_at(total));
@@ -190,41 +195,44 @@
             let when = when.and_then(|times| times.into_iter().max());
             return HoldOutcome::RateLimited(when.map(|when| when.saturating_sub(store_ms)));
         }
-        if stale_ms.is_some_and(|stale_ms| self.is_exhausted(holder, tokens, stale_ms, era)) {
+        if oldest_read_ms
+            .is_some_and(|oldest_read_ms| self.is_exhausted(holder, tokens, oldest_read_ms, era))
+        {
             return HoldOutcome::Exhausted;
         }
-        let known = self.need.map_or(0, |need| need.tokens);
-        self.need = Some(Shortage {
-            tokens: known.max(tokens),
+        let previous = self.shortage.map_or(0, |unmet| unmet.tokens);
+        self.shortage = Some(Shortage {
+            tokens: previous.max(tokens),
         });
         HoldOutcome::InsufficientGrant
     }
 
-    /// Counts a request, whatever becomes of it.
+    /// Records the demand of a request, whether or not it is served.
     pub(super) fn record_demand(&mut self, tokens: u64, now_ms: u64) {
         self.demand.add(now_ms, tokens);
         self.requests.add(now_ms, 1);
-        self.started_ms.get_or_insert(now_ms);
+        self.first_request_ms.get_or_insert(now_ms);
     }
 
     pub(super) fn settle(&mut self, held: u64, cost: u64) {
         if self.prepaid.is_none() {
             return;
         }
-        // A cost above the hold would be an overspend; the hold is the most that the request may cost.
+        // A cost above the hold would overspend; the hold is the maximum cost of the request.
         let freed = held.saturating_sub(cost);
-        // What was borrowed may be freed as well: what the own grant does not take back is credit again.
-        let own = freed.min(self.consumed);
-        self.consumed -= own;
-        self.credit += freed - own;
+        // The freed tokens may include borrowed ones: those that do not fit the own grant stay
+        // borrowed.
+        let to_grant = freed.min(self.consumed);
+        self.consumed -= to_grant;
+        self.borrowed += freed - to_grant;
     }
 
-    /// What the rate_limits that may be in force leave.
+    /// Returns the tokens that may be consumed now under every rate limit that may be in force.
     pub(super) fn limit_remaining(&self, store_ms: u64) -> u64 {
         self.limit(store_ms).saturating_sub(self.consumed)
     }
 
-    /// What the rate_limits that may be in force allow in all.
+    /// Returns the maximum total consumption under every rate limit that may be in force.
     fn limit(&self, store_ms: u64) -> u64 {
         let limits = self
             .rate_limits
@@ -233,20 +241,21 @@
         limits.min().unwrap_or(0)
     }
 
-    /// Whether the fleet as a whole has not enough for the request, as far as the rows tell. A row that was read
-    /// too long ago tells nothing: others may have returned their parts, or the total may have been raised.
-    fn is_exhausted(&self, holder: &str, tokens: u64, stale_ms: u64, era: u32) -> bool {
+    /// Returns whether the whole fleet lacks the tokens for a request, according to the ledger. A
+    /// ledger that was read too long ago proves nothing: other holders may have returned tokens, or
+    /// the total may have been raised.
+    fn is_exhausted(&self, holder: &str, tokens: u64, oldest_read_ms: u64, era: u32) -> bool {
         let Some(prepaid) = self.prepaid else {
             return false;
         };
-        if self.version == 0 || self.read_ms < stale_ms || self.ledger.era < era {
+        if self.version == 0 || self.ledger_read_ms < oldest_read_ms || self.ledger.era < era {
             return false;
         }
         let used = plan::used_by_others(&self.ledger, holder, &self.peers);
         prepaid.saturating_sub(used + self.consumed) < tokens
     }
 
-    /// Takes the row as read at `store_ms` of the store's clock.
+    /// Updates the ledger from a read at `store_ms` of the store clock.
     pub(super) fn observe_ledger(
         &mut self,
         holder: &str,
@@ -255,35 +264,36 @@
         store_ms: u64,
         era: u32,
     ) {
-        self.read_ms = self.read_ms.max(store_ms);
+        self.ledger_read_ms = self.ledger_read_ms.max(store_ms);
         if version < self.version {
             return;
         }
         if self
-            .returning
-            .is_some_and(|returning| version > returning.version)
+            .pending_return
+            .is_some_and(|pending_return| version > pending_return.version)
         {
-            self.returning = None;
+            self.pending_return = None;
         }
         self.version = version;
         self.take_grant(holder, &ledger, era);
         self.ledger = ledger;
     }
 
-    pub(super) fn entry(
+    /// Returns the journal entry to write now. Its burst covers the waiting requests.
+    pub(super) fn journal_entry(
         &mut self,
         account: Arc<str>,
         now_ms: u64,
         at_ms: u64,
         burst_ms: u64,
-        closing: bool,
+        is_closing: bool,
     ) -> Entry {
         let demand = self.demand_per_s(now_ms);
         let left = self.remaining();
-        let typical = self.typical(now_ms);
+        let mean_request_tokens = self.mean_request_tokens(now_ms);
         let consumed = self.consumed;
         let waiting = self.waiting.take(at_ms);
-        if closing {
+        if is_closing {
             return Entry {
                 account,
                 consumed,
@@ -293,42 +303,43 @@
                 sustained_rate: 0,
             };
         }
-        let wanted = (typical * SPARE_REQUESTS).max(demand * SPARE_MS / 1_000);
-        let spare = (left * SPARE_PERCENT / 100).min(wanted);
+        let target = (mean_request_tokens * BURST_REQUESTS).max(demand * BURST_DEMAND_MS / 1_000);
+        let burst = (left * BURST_PERCENT / 100).min(target);
         Entry {
             account,
             consumed,
-            burst: (demand * burst_ms / 1_000).max(spare) + waiting,
-            peak_rate: (demand * PACE_PERCENT / 100).max(left / USE_UP_S),
-            bucket_size: bucket_size(demand, typical),
-            sustained_rate: demand * STEADY_PERCENT / 100,
+            burst: (demand * burst_ms / 1_000).max(burst) + waiting,
+            peak_rate: (demand * PEAK_RATE_PERCENT / 100).max(left / DEPLETION_S),
+            bucket_size: bucket_size(demand, mean_request_tokens),
+            sustained_rate: demand * SUSTAINED_RATE_PERCENT / 100,
         }
     }
 
-    /// A journal with this entry may take effect from now on.
-    pub(super) fn bind(&mut self, entry: &Entry, at_ms: u64) {
+    /// Adds the rate limit of a journal entry that may take effect from now on.
+    pub(super) fn add_limit(&mut self, entry: &Entry, at_ms: u64) {
         self.rate_limits.push(Limit::new(entry, at_ms));
     }
 
-    /// The journal with this entry cannot take effect.
-    pub(super) fn unbind(&mut self, entry: &Entry, at_ms: u64) {
+    /// Removes the rate limit of a journal entry that cannot take effect.
+    pub(super) fn remove_limit(&mut self, entry: &Entry, at_ms: u64) {
         let dropped = Limit::new(entry, at_ms);
         self.rate_limits.retain(|limit| *limit != dropped);
     }
 
-    /// A journal with this entry is in force, and no earlier one can be any more.
-    pub(super) fn rebind(&mut self, entry: &Entry, at_ms: u64) {
+    /// Replaces all rate limits by that of the journal entry in force, when no earlier one can take
+    /// effect any more.
+    pub(super) fn replace_limits(&mut self, entry: &Entry, at_ms: u64) {
         self.recorded = entry.consumed;
         self.rate_limits.clear();
         self.rate_limits.push(Limit::new(entry, at_ms));
     }
 
-    /// What the other holders said last; those who gave no status lately are left out.
+    /// Sets the usage last reported by the other live holders.
     pub(super) fn set_peers(&mut self, peers: Peers) {
         self.peers = peers;
     }
 
-    /// What is told to the other holders.
+    /// Returns the usage reported to the other holders.
     pub(super) fn usage(&mut self, account: Arc<str>, now_ms: u64) -> Usage {
         Usage {
             account,
@@ -342,7 +353,7 @@
         holder: &Arc<str>,
         now_ms: u64,
         (is_advertised, advertised_count): (bool, u64),
-        closing: bool,
+        is_closing: bool,
         era_state: &era::State,
     ) -> Option<(u64, Ledger)> {
         let prepaid = self.prepaid?;
@@ -354,13 +365,20 @@
             return Some((self.version, self.confirmed(holder, era)));
         }
         let is_settled = self.ledger.era >= era;
-        let ledger = match (era_state.unconfirmed(), closing) {
-            (Some(unconfirmed), _) if is_settled => era::released(&self.ledger, era, unconfirmed),
-            _ if is_settled => self.ledger.clone(),
-            (Some(unconfirmed), _) => {
-                era::settle(&self.ledger, &self.known, era, prepaid, unconfirmed)
+        let ledger = match (era_state.unconfirmed(), is_closing) {
+            (Some(unconfirmed), _) if is_settled => {
+                era::release_reserve(&self.ledger, era, unconfirmed)
             }
-            // A holder that ends may always give back; it draws nothing before the era is settled.
+            _ if is_settled => self.ledger.clone(),
+            (Some(unconfirmed), _) => era::settle(
+                &self.ledger,
+                &self.previous_grants,
+                era,
+                prepaid,
+                unconfirmed,
+            ),
+            // A holder that shuts down may always return tokens, but draws none before the era is
+            // settled.
             (None, true) => self.ledger.clone(),
             (None, false) => return None,
         };
@@ -369,25 +387,27 @@
             granted: self.granted(),
             consumed: self.consumed,
             demand_per_s: self.demand_per_s(now_ms),
-            typical: self.typical(now_ms),
+            mean_request_tokens: self.mean_request_tokens(now_ms),
             is_advertised,
             advertised_count,
         };
         let may_draw = ledger.era >= era;
-        let need = self.need.take().filter(|_| may_draw);
-        let granted = match closing {
-            true => plan::shutdown_grant(&ledger, &own, prepaid, need),
-            false => plan::target_grant(&ledger, &self.peers, &own, prepaid, need),
+        let shortage = self.shortage.take().filter(|_| may_draw);
+        let granted = match is_closing {
+            true => plan::shutdown_grant(&ledger, &own, prepaid, shortage),
+            false => plan::target_grant(&ledger, &self.peers, &own, prepaid, shortage),
         };
-        // The row is settled for those who need it, so that they learn whether anything is left.
-        let is_news = need.is_some() && !is_settled;
-        if granted == self.granted && !is_news {
+        // Settles the row for holders that need tokens, so that they learn whether any are left.
+        let must_settle = shortage.is_some() && !is_settled;
+        if granted == self.granted && !must_settle {
             return None;
         }
         if granted < self.granted {
-            // An earlier return on the same condition may still take effect in place of this one.
-            let earlier = self.returning.map_or(granted, |earlier| earlier.granted);
-            self.returning = Some(Returning {
+            // An earlier return with the same condition may still take effect instead of this one.
+            let earlier = self
+                .pending_return
+                .map_or(granted, |earlier| earlier.granted);
+            self.pending_return = Some(PendingReturn {
                 version: self.version,
                 granted: granted.min(earlier),
             });
@@ -402,27 +422,27 @@
     }
 
     pub(super) fn demand_per_s(&mut self, now_ms: u64) -> u64 {
-        let since = self
-            .started_ms
+        let elapsed = self
+            .first_request_ms
             .map_or(0, |started| now_ms.saturating_sub(started));
-        let span = since.clamp(1_000, DEMAND_MS);
+        let span = elapsed.clamp(1_000, DEMAND_WINDOW_MS);
         self.demand.sum(now_ms) * 1_000 / span
     }
 
-    /// Mean size of the recent requests.
-    fn typical(&mut self, now_ms: u64) -> u64 {
+    /// Returns the mean size of the recent requests.
+    fn mean_request_tokens(&mut self, now_ms: u64) -> u64 {
         let requests = self.requests.sum(now_ms);
         let demand = self.demand.sum(now_ms);
         demand
             .checked_div(requests)
-            .map_or(FIRST_TYPICAL, |mean| mean.max(1))
+            .map_or(DEFAULT_REQUEST_TOKENS, |mean| mean.max(1))
     }
 }
 
-/// What a journal lets an instance spend in a cut beyond its sustained_rate pace, for a demand in tokens a second and requests of
-/// `typical` tokens.
-fn bucket_size(demand: u64, typical: u64) -> u64 {
-    let expected = demand as f64 * LUMP_S / typical.max(1) as f64;
-    let requests = LUMP_REQUESTS + LUMP_DEVIATIONS * expected.sqrt();
-    (typical as f64 * requests) as u64
+/// Returns the tokens that a journal lets an instance spend during an outage beyond its sustained
+/// rate, for a demand in tokens per second and requests of `mean_request_tokens` tokens.
+fn bucket_size(demand: u64, mean_request_tokens: u64) -> u64 {
+    let expected = demand as f64 * BUCKET_SPAN_S / mean_request_tokens.max(1) as f64;
+    let requests = BUCKET_BASE_REQUESTS + BUCKET_DEVIATIONS * expected.sqrt();
+    (mean_request_tokens as f64 * requests) as u64
 }
--- a/crates/fescuewell_forward/src/quota/clock.rs
+++ b/crates/fescuewell_forward/src/quota/clock.rs
@@ -1,23 +1,24 @@
-//! The store's clock as this process can know it.
+//! Estimate of the store clock.
 
-/// A lower bound of the store's clock.
+/// A lower bound of the store clock.
 ///
-/// Every answer of the store carries its clock; when the answer is read the clock has gone on. Each reading
-/// therefore gives a lower bound, and the largest of them is kept.
+/// Every store response carries the clock of the store, which has advanced by the time the response
+/// is read. Each reading is therefore a lower bound, and the largest one is kept.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct StoreClock {
-    /// Store time less own time.
+    /// Store time minus local time.
     offset: Option<i64>,
 }
 
 impl StoreClock {
-    /// Takes a reading that was received at `now_ms` of the own sustained_rate clock.
+    /// Records a store clock reading received at `now_ms` of the local monotonic clock.
     pub fn observe(&mut self, store_ms: u64, now_ms: u64) {
         let offset = store_ms as i64 - now_ms as i64;
         self.offset = Some(self.offset.map_or(offset, |known| known.max(offset)));
     }
 
-    /// The store's time at a moment of the own clock: never later than the truth; 0 before the first reading.
+    /// Converts a local time to store time. The result is never ahead of the store clock, and 0
+    /// before the first reading.
     pub fn at(&self, now_ms: u64) -> u64 {
         self.offset
             .map_or(0, |offset| (now_ms as i64 + offset).max(0) as u64)
--- a/crates/fescuewell_forward/src/quota/era.rs
+++ b/crates/fescuewell_forward/src/quota/era.rs
@@ -1,22 +1,26 @@
-//! Grants after the store has come back from a copy.
+//! Grants after the store was restored from a snapshot.
 //!
-//! What was written in the seconds before is gone: the rows show grants as they were, so that tokens which a holder has drawn
-//! since look free. If anybody drew them they would be spent twice. Therefore, in each era of the store:
+//! The writes after the snapshot are lost: the ledgers show older grants, so tokens that a holder
+//! has drawn since appear unallocated and would be spent twice if they were drawn again. Each
+//! restore begins a new era of the store, and in each era:
 //!
-//! 1. Each transaction on ledgers expects the version of one row, the [`Fence`]. The first one of an era writes it anew, so that what
-//!    was sent in a former era and arrives late has no effect.
-//! 2. A holder goes by what it knew of its own grant, never by the copy, and *confirms* it: it writes it anew, with the era. For the
-//!    holders that have not confirmed theirs it writes the larger of the copy's figure and what it knew.
-//! 3. Nobody draws until the era is *settled*: each instance that gives a status has confirmed all its grants, and each that gives none
-//!    has had the time for it. The fence then names the holders that were unconfirmed: those that lived at that time and have not
-//!    confirmed, or were killed meanwhile and know nothing.
-//! 4. While any is unconfirmed, all that seemed to be free of an account may be its, and is set aside before anybody draws: granted to
-//!    nobody, under a name of its own. Once all that were unconfirmed have confirmed their grants it is free again.
+//! 1. Every ledger transaction expects the version of one row, the [`Fence`]. The first transaction
+//!    of an era rewrites the fence, so that a delayed transaction of a previous era has no effect.
+//! 2. A holder trusts its own knowledge of its grant, not the snapshot, and *confirms* the grant by
+//!    rewriting it with the current era. For holders that have not confirmed theirs yet, it writes
+//!    the larger of the figure in the snapshot and the last one it knew.
+//! 3. No holder draws tokens until the era is *settled*: every live instance has confirmed all its
+//!    grants, and every other one has had time to do so. The fence then lists the unconfirmed
+//!    holders: those that were alive at the time and have not confirmed, or were killed in between
+//!    and no longer know their grants.
+//! 4. While any holder is unconfirmed, all tokens that appear unallocated may belong to it. They
+//!    are reserved before anyone draws, as a grant under a name that no holder has. Once all of
+//!    these holders have confirmed their grants, the reserve is released.
 //!
 //! ```text
-//!  former era --- first answer of the new one ---> Unconfirmed --- ledgers written ---> Confirmed
-//!                                                                                          |
-//!                       draws as usual <--- Settled <--- all heard, or had their time -----+
+//!  previous era --- first response of the new one ---> Unconfirmed --- ledgers written ---> Confirmed
+//!                                                                                               |
+//!               draws as usual <--- Settled <--- all confirmed or timed out --------------------+
 //! ```
 
 use std::collections::BTreeSet;
@@ -26,25 +30,27 @@
 
 use super::row::{Grant, Ledger};
 
-/// The row that keeps transactions of former eras out, and tells whether the present one is settled.
+/// Row that invalidates transactions of previous eras and records whether the current era is
+/// settled.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fence {
-    /// Era in which it was written.
+    /// Era in which the row was written.
     pub era: u32,
-    /// Holders that were unconfirmed when the era was settled; nothing while it is not.
+    /// Holders without confirmed grants when the era was settled; `None` until then.
     pub unconfirmed: Option<Vec<Arc<str>>>,
 }
 
-/// What a holder's status says of its grants.
+/// What a holder reports about its grants.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Status {
-    /// The holder.
+    /// Name of the holder.
     pub holder: Arc<str>,
     /// Era in which it has confirmed all its grants.
     pub era: u32,
-    /// Whether it knows what it was granted: not if it followed on a process whose last journals may be lost.
+    /// Whether it knows its grants. This is false if the last journals of the process before it may
+    /// be lost.
     pub knows_grants: bool,
-    /// Whether the status is fresh.
+    /// Whether the status is recent.
     pub is_live: bool,
 }
 
@@ -54,36 +60,37 @@
     }
 }
 
-/// The present era and what is known of the holders in it.
+/// The current era and the state of the holders in it.
 #[derive(Debug, Default)]
 pub struct State {
     era: u32,
-    seen_ms: u64,
+    entered_ms: u64,
     heartbeat_timeout_ms: u64,
-    /// Holders that gave statuses before the era began, as far as this process knows.
-    before: BTreeSet<Arc<str>>,
+    /// Holders known to have been live before the era began.
+    live_before: BTreeSet<Arc<str>>,
     statuses: Vec<Status>,
     fence_version: u64,
     fence: Fence,
 }
 
 impl State {
-    /// The present era.
+    /// Returns the current era.
     pub fn era(&self) -> u32 {
         self.era
     }
 
-    /// The fence and the version of its row, 0 where there is none.
+    /// Returns the fence and its row version, which is 0 if there is no such row.
     pub fn fence(&self) -> (u64, &Fence) {
         (self.fence_version, &self.fence)
     }
 
-    /// Whether this process may write ledgers: nothing of a former era can take effect after that.
+    /// Returns whether this process may write ledgers: the fence is of the current era, so no
+    /// earlier transaction can take effect.
     pub(super) fn is_fenced(&self) -> bool {
         self.fence.era >= self.era
     }
 
-    /// Holders that were unconfirmed, if the era is settled.
+    /// Returns the unconfirmed holders, or `None` if the era is not settled.
     pub(super) fn unconfirmed(&self) -> Option<&[Arc<str>]> {
         match self.is_fenced() {
             true if self.era == 0 => Some(&[]),
@@ -92,19 +99,20 @@
         }
     }
 
-    /// Notes the era of an answer; returns whether it is a new one.
+    /// Enters the era of a store response. Returns whether it is a new one.
     pub(super) fn enter(&mut self, era: u32, now_ms: u64) -> bool {
         if era <= self.era {
             return false;
         }
         self.era = era;
-        self.seen_ms = now_ms;
+        self.entered_ms = now_ms;
         let live = self.statuses.iter().filter(|status| status.is_live);
-        self.before.extend(live.map(|status| status.holder.clone()));
+        self.live_before
+            .extend(live.map(|status| status.holder.clone()));
         true
     }
 
-    /// Takes the fence as read.
+    /// Updates the fence from a read of its row.
     pub(super) fn observe_fence(&mut self, version: u64, fence: Fence) {
         if version >= self.fence_version {
             self.fence_version = version;
@@ -112,13 +120,15 @@
         }
     }
 
-    /// Takes the holders' statuses; `heartbeat_timeout_ms` is the time in which one that lives gives the next.
+    /// Sets the statuses of all holders. A live holder publishes a new status within
+    /// `heartbeat_timeout_ms`.
     pub(super) fn set_statuses(&mut self, statuses: Vec<Status>, heartbeat_timeout_ms: u64) {
         self.statuses = statuses;
         self.heartbeat_timeout_ms = heartbeat_timeout_ms;
     }
 
-    /// The fence that should be written now. `is_first_start` tells that the fleet starts for the first time: nothing can be unconfirmed.
+    /// Returns the fence to write now, or `None` if it is up to date. On the first start of the
+    /// fleet (`is_first_start`) no holder can be unconfirmed.
     pub(super) fn next_fence(&self, is_first_start: bool, now_ms: u64) -> Option<Fence> {
         let unconfirmed = match self.unconfirmed() {
             Some(unconfirmed) => Some(self.still_unconfirmed(unconfirmed)),
@@ -132,7 +142,7 @@
         })
     }
 
-    /// Those of the unconfirmed holders that have not confirmed their grants since.
+    /// Returns those of the unconfirmed holders that have not confirmed their grants since.
     fn still_unconfirmed(&self, unconfirmed: &[Arc<str>]) -> Vec<Arc<str>> {
         let has_confirmed = |holder: &&Arc<str>| {
             let mut statuses = self.statuses.iter();
@@ -142,38 +152,41 @@
         unconfirmed.cloned().collect()
     }
 
-    /// Holders that have not confirmed their grants though they had the time for it; nothing while some may still do so.
+    /// Returns the holders that had time to confirm their grants and have not, or `None` while some
+    /// may still do so.
     fn find_unconfirmed(&self, now_ms: u64) -> Option<Vec<Arc<str>>> {
-        let has_waited = now_ms >= self.seen_ms + self.heartbeat_timeout_ms;
+        let has_waited = now_ms >= self.entered_ms + self.heartbeat_timeout_ms;
         let mut statuses = self.statuses.iter();
-        let is_late = statuses.any(|status| status.is_live && status.era < self.era);
-        if !has_waited || is_late || self.statuses.is_empty() {
+        let is_pending = statuses.any(|status| status.is_live && status.era < self.era);
+        if !has_waited || is_pending || self.statuses.is_empty() {
             return None;
         }
-        let heard: BTreeSet<&Arc<str>> = self
+        let confirmed: BTreeSet<&Arc<str>> = self
             .statuses
             .iter()
             .filter(|status| status.has_confirmed(self.era))
             .map(|status| &status.holder)
             .collect();
         let known = self.statuses.iter().map(|status| &status.holder);
-        let all: BTreeSet<&Arc<str>> = known.chain(&self.before).collect();
-        let unconfirmed = all.difference(&heard).map(|holder| (*holder).clone());
+        let all: BTreeSet<&Arc<str>> = known.chain(&self.live_before).collect();
+        let unconfirmed = all.difference(&confirmed).map(|holder| (*holder).clone());
         Some(unconfirmed.collect())
     }
 }
 
-/// The row with the own grant confirmed, and with what was known of others.
-pub(super) fn confirm(row: &Ledger, known: &Ledger, own: Grant) -> Ledger {
-    let mut ledger = with_known(row, known, own.era);
+/// Returns the ledger with the own grant confirmed and the previously known grants of other holders
+/// merged.
+pub(super) fn confirm(row: &Ledger, previous_grants: &Ledger, own: Grant) -> Ledger {
+    let mut ledger = with_previous(row, previous_grants, own.era);
     ledger.set_grant(own);
     ledger
 }
 
-/// The row in which each holder that has not confirmed its grant has the larger of the row's figure and what was known.
-fn with_known(row: &Ledger, known: &Ledger, era: u32) -> Ledger {
+/// Returns the ledger in which each holder without a confirmed grant has the larger of the figure
+/// in the row and the previously known one.
+fn with_previous(row: &Ledger, previous_grants: &Ledger, era: u32) -> Ledger {
     let mut ledger = row.clone();
-    for grant in &known.grants {
+    for grant in &previous_grants.grants {
         let listed = ledger.grant(&grant.holder);
         let is_confirmed = listed.is_some_and(|listed| listed.era >= era);
         let is_more = listed.is_none_or(|listed| listed.granted < grant.granted);
@@ -184,20 +197,21 @@
     ledger
 }
 
-/// The row settled in an era. While holders are unconfirmed, what seems to be free is set aside.
+/// Returns the ledger settled in `era`. While holders are unconfirmed, all tokens that appear
+/// unallocated are reserved.
 pub(super) fn settle(
     row: &Ledger,
-    known: &Ledger,
+    previous_grants: &Ledger,
     era: u32,
     prepaid: u64,
     unconfirmed: &[Arc<str>],
 ) -> Ledger {
-    let mut ledger = with_known(row, known, era);
+    let mut ledger = with_previous(row, previous_grants, era);
     ledger.era = era;
     let free = prepaid.saturating_sub(ledger.total());
     if free > 0 && !unconfirmed.is_empty() {
         ledger.set_grant(Grant {
-            holder: set_aside(era),
+            holder: reserve_holder(era),
             granted: free,
             era,
         });
@@ -205,17 +219,18 @@
     ledger
 }
 
-/// The row without what was set aside, once nobody is unconfirmed.
-pub(super) fn released(row: &Ledger, era: u32, unconfirmed: &[Arc<str>]) -> Ledger {
+/// Returns the ledger without the reserve if no holder is unconfirmed.
+pub(super) fn release_reserve(row: &Ledger, era: u32, unconfirmed: &[Arc<str>]) -> Ledger {
     let mut ledger = row.clone();
     if unconfirmed.is_empty() && era > 0 {
-        let name = set_aside(era);
+        let name = reserve_holder(era);
         ledger.grants.retain(|grant| grant.holder != name);
     }
     ledger
 }
 
-/// Name under which tokens are set aside in an era. No instance bears it: a name has no space.
-fn set_aside(era: u32) -> Arc<str> {
+/// Returns the name under which tokens are reserved in an era. It contains a space, so no instance
+/// can have it.
+fn reserve_holder(era: u32) -> Arc<str> {
     format!("set aside {era}").into()
 }
--- a/crates/fescuewell_forward/src/quota/exposure.rs
+++ b/crates/fescuewell_forward/src/quota/exposure.rs
@@ -1,14 +1,14 @@
-//! What a kill of this process would cost.
+//! Token charge that a kill of this process would cause.
 
-/// Tokens of all accounts together, as they stand beside the journal that a next process would find.
+/// Token totals over all accounts, compared to the journal that the next process would read.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct Exposure {
-    /// Age of the last journal that was written, in milliseconds.
+    /// Age of the last written journal, in milliseconds.
     pub age_ms: u64,
-    /// Consumed or held back as of that journal.
+    /// Tokens consumed or held according to that journal.
     pub recorded: u64,
-    /// Consumed or held back now.
+    /// Tokens consumed or held now.
     pub consumed: u64,
-    /// Most that a restart would be charged now.
+    /// Maximum that a restart would be charged now.
     pub promised: u64,
 }
--- a/crates/fescuewell_forward/src/quota/journals.rs
+++ b/crates/fescuewell_forward/src/quota/journals.rs
@@ -1,4 +1,4 @@
-//! The journal of a holder: what its next incarnation has to be charged for, and how that one takes over.
+//! The journal of a holder: bounds the charge for its next incarnation, which takes over from it.
 
 use std::sync::Arc;
 
@@ -6,11 +6,12 @@
 use super::row::{Journal, Ledger};
 
 impl Quota {
-    /// Takes over from the former incarnation of this holder, whose process has ended.
+    /// Takes over from the previous incarnation of this holder, whose process has ended.
     ///
-    /// `journal` is its last journal, `version` that row's version, 0 if there is none; `ledgers` are the
-    /// accounts' rows. `ended_ms` is a moment of the store's clock by which that process had ended.
-    /// Returns the journal that must be written, on condition of `version`, before anything is spent.
+    /// `journal` is its last journal and `version` the version of that row, 0 if there is none;
+    /// `ledgers` are the rows of all accounts. `ended_ms` is a store time by which that process had
+    /// ended. Returns the journal that must be written, conditional on `version`, before any token
+    /// is spent.
     pub fn adopt(
         &mut self,
         journal: Option<&Journal>,
@@ -20,19 +21,21 @@
         now_ms: u64,
     ) -> Journal {
         self.journal_version = version;
-        self.unanswered = None;
-        self.may_be_written = false;
+        self.pending_journal = None;
+        self.is_journal_uncertain = false;
         let holder = self.holder.clone();
         let era = self.era_state.era();
-        // A journal of a former era may have been followed by others, which the copy of the store lacks.
+        // A journal of a previous era may have been followed by others that the restored store
+        // lacks.
         let is_current = journal.is_some_and(|journal| journal.era == era);
         self.knows_grants = match journal {
             Some(journal) => is_current && journal.knows_grants,
             None => era == 0 || self.is_first_start,
         };
         let knows_grants = self.knows_grants;
-        // An account whose ledger cannot be read now keeps what the journal says of it. Otherwise the next journal would
-        // record nothing consumed, and once the ledger can be read again all of it would be spent a second time.
+        // An account whose ledger cannot be read now keeps the consumption recorded in the journal.
+        // Otherwise the next journal would record none, and all of it would be spent a second time
+        // once the ledger can be read again.
         for entry in journal.map_or(&[][..], |journal| &journal.entries) {
             let consumed =
                 journal.map_or(0, |journal| journal.max_consumed(&entry.account, ended_ms));
@@ -62,34 +65,35 @@
         self.next_journal(now_ms)
     }
 
-    /// The journal as it should be written now; its pace binds from this moment on.
+    /// Returns the journal to write now. Its rate limit is in force from this moment on.
     ///
-    /// While the answer to an earlier one is missing, that one is given again. A new one would bind as well,
-    /// from its own moment on, and each try during an outage would start the tight time of the pace anew.
+    /// While the outcome of an earlier journal is pending, that one is returned again. A new one
+    /// would be in force from its own time on, so that every retry during an outage would restart
+    /// the burst-only period.
     pub fn next_journal(&mut self, now_ms: u64) -> Journal {
-        if let Some(journal) = &self.unanswered {
+        if let Some(journal) = &self.pending_journal {
             return journal.clone();
         }
         let journal = self.new_journal(now_ms);
-        self.unanswered = Some(journal.clone());
+        self.pending_journal = Some(journal.clone());
         journal
     }
 
-    /// Whether the answer to an earlier journal is missing.
+    /// Returns whether the outcome of the last journal is unknown.
     pub fn is_journal_pending(&self) -> bool {
-        self.unanswered.is_some()
+        self.pending_journal.is_some()
     }
 
     fn new_journal(&mut self, now_ms: u64) -> Journal {
         let at_ms = self.clock.at(now_ms);
-        let closing = self.closing;
+        let is_closing = self.is_closing;
         let burst_ms = self.burst_ms;
         let mut entries = Vec::new();
         for (name, account) in &mut self.accounts {
             if account.prepaid().is_none() && account.consumed() == 0 {
                 continue;
             }
-            entries.push(account.entry(name.clone(), now_ms, at_ms, burst_ms, closing));
+            entries.push(account.journal_entry(name.clone(), now_ms, at_ms, burst_ms, is_closing));
         }
         entries.sort_by(|left, right| left.account.cmp(&right.account));
         let journal = Journal {
@@ -101,53 +105,55 @@
         };
         for entry in &journal.entries {
             if let Some(account) = self.accounts.get_mut(&entry.account) {
-                account.bind(entry, at_ms);
+                account.add_limit(entry, at_ms);
             }
         }
         journal
     }
 
-    /// Version that the journal's row must have for the next write.
+    /// Returns the version of the journal row on which the next write is conditional.
     pub fn journal_version(&self) -> u64 {
         self.journal_version
     }
 
-    /// Nobody knows whether the journal was written; it may be written late.
+    /// Notes that the journal may have been written or may still be written late.
     pub fn journal_unknown(&mut self) {
-        self.may_be_written = true;
+        self.is_journal_uncertain = true;
     }
 
-    /// This try certainly did not write the journal. Unless an earlier try may have, its pace binds no more.
+    /// Notes that this attempt did not write the journal. Its rate limit is dropped unless an
+    /// earlier attempt may have written it.
     pub fn journal_rejected(&mut self) {
-        if self.may_be_written {
+        if self.is_journal_uncertain {
             return;
         }
-        let Some(journal) = self.unanswered.take() else {
+        let Some(journal) = self.pending_journal.take() else {
             return;
         };
         for entry in &journal.entries {
             if let Some(account) = self.accounts.get_mut(&entry.account) {
-                account.unbind(entry, journal.at_ms);
+                account.remove_limit(entry, journal.at_ms);
             }
         }
     }
 
-    /// The journal was written; only its pace binds now.
+    /// Notes that the journal was written. Only its rate limit remains in force.
     pub fn journal_written(&mut self, journal: &Journal, version: u64) {
-        self.unanswered = None;
-        self.may_be_written = false;
+        self.pending_journal = None;
+        self.is_journal_uncertain = false;
         self.journal_version = version;
         self.journal_at_ms = journal.at_ms;
         self.adopted = true;
         for entry in &journal.entries {
             if let Some(account) = self.accounts.get_mut(&entry.account) {
-                account.rebind(entry, journal.at_ms);
+                account.replace_limits(entry, journal.at_ms);
             }
         }
     }
 
-    /// The journal's row is not what was expected: an earlier write of ours, whose reply was lost, took effect.
-    /// Returns false if the row belongs to another incarnation: then this process must spend nothing more.
+    /// Handles a journal row with an unexpected version, left by an earlier write whose reply was
+    /// lost. Returns `false` if the row belongs to another incarnation, in which case this process
+    /// must not spend any more tokens.
     pub fn resolve_conflict(&mut self, journal: &Journal, version: u64) -> bool {
         if journal.incarnation != self.incarnation {
             self.adopted = false;
--- a/crates/fescuewell_forward/src/quota/loans.rs
+++ b/crates/fescuewell_forward/src/quota/loans.rs
@@ -1,60 +1,63 @@
-//! Tokens lent to other instances and borrowed from them; see [`crate::loan`].
+//! Token loans to and from other instances; see [`crate::loan`].
 
 use std::sync::Arc;
 
 use super::{Account, Quota};
 use crate::loan::Request;
 
-/// Time in milliseconds for which a lender keeps tokens for its own requests, by their present rate: until it has drawn more.
-const KEPT_MS: u64 = 2_000;
+/// Time in milliseconds for which a lender keeps tokens for its own requests at their current rate,
+/// until it has drawn more.
+const OWN_DEMAND_MS: u64 = 2_000;
 
-/// Time in milliseconds for which a lender's own word on what it could give counts. Its pace moves on, so that one that has
-/// nothing now may have something soon.
-const SAID_MS: u64 = 300;
+/// Time in milliseconds for which the remaining tokens reported by a lender are valid. Its rate
+/// limit rises with time, so a lender without tokens may soon have some.
+const LENDER_REPORT_TTL_MS: u64 = 300;
 
-/// What a lender said that it could still give.
+/// Tokens that a lender reported it could still lend.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Said {
-    left: u64,
+pub(super) struct Report {
+    remaining: u64,
     until_ms: u64,
 }
 
 /// A holder that may have tokens to lend.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Candidate {
-    /// The holder.
+    /// Name of the holder.
     pub holder: Arc<str>,
-    /// What it may have, in tokens.
+    /// Tokens that it may be able to lend.
     pub available: u64,
 }
 
 impl Quota {
-    /// Gives tokens of the own grant away: they count as consumed from here on. What is asked for beyond the least is given
-    /// only as far as the own requests of [`KEPT_MS`] do not need it.
-    pub fn lend(&mut self, ask: &Request, now_ms: u64) -> u64 {
-        let spare = self.available(&ask.account, now_ms);
-        let account = self.account_mut(&ask.account);
-        let kept = account.demand_per_s(now_ms) * KEPT_MS / 1_000;
-        let most = spare
-            .saturating_sub(kept)
-            .max(ask.required_tokens.min(spare));
-        let given = most.min(ask.wanted_tokens);
-        account.consume(given);
-        given
+    /// Lends tokens of the own grant, which count as consumed from now on. Tokens beyond the
+    /// required ones are lent only if the own requests of the next [`OWN_DEMAND_MS`] do not need
+    /// them.
+    pub fn lend(&mut self, request: &Request, now_ms: u64) -> u64 {
+        let available = self.available(&request.account, now_ms);
+        let account = self.account_mut(&request.account);
+        let own_demand = account.demand_per_s(now_ms) * OWN_DEMAND_MS / 1_000;
+        let max = available
+            .saturating_sub(own_demand)
+            .max(request.required_tokens.min(available));
+        let lent = max.min(request.wanted_tokens);
+        account.consume(lent);
+        lent
     }
 
-    /// Makes the next journal let through what an ask wants; returns whether that would help: the grant covers it and only the
-    /// pace does not.
+    /// Makes the next journal admit the tokens of a loan request. Returns whether that helps, which
+    /// is the case if the grant covers the request and only the rate limit does not.
     ///
-    /// An idle holder's pace covers two requests. Without this it lent that much at each journal, while its grant stood unused.
-    pub fn admit_loan(&mut self, ask: &Request, now_ms: u64) -> bool {
+    /// The rate limit of an idle holder covers two requests. Without this method it would lend only
+    /// that much per journal while its grant is unused.
+    pub fn admit_loan(&mut self, request: &Request, now_ms: u64) -> bool {
         let store_ms = self.clock.at(now_ms);
         let usable = self.adopted;
-        let account = self.account_mut(&ask.account);
-        let wanted = ask.wanted_tokens.min(account.remaining());
+        let account = self.account_mut(&request.account);
+        let wanted = request.wanted_tokens.min(account.remaining());
         if !usable
-            || wanted < ask.required_tokens
-            || ask.required_tokens <= account.limit_remaining(store_ms)
+            || wanted < request.required_tokens
+            || request.required_tokens <= account.limit_remaining(store_ms)
         {
             return false;
         }
@@ -62,12 +65,12 @@
         true
     }
 
-    /// Demand of an account at this instance, in tokens a second.
+    /// Returns the demand for an account at this instance, in tokens per second.
     pub fn demand_per_s(&mut self, account: &Arc<str>, now_ms: u64) -> u64 {
         self.account_mut(account).demand_per_s(now_ms)
     }
 
-    /// What could be lent or held now of the own grant.
+    /// Returns the tokens of the own grant that could be lent or held now.
     pub fn available(&self, account: &str, now_ms: u64) -> u64 {
         if !self.adopted {
             return 0;
@@ -77,27 +80,35 @@
         account.map_or(0, |account| account.available(store_ms))
     }
 
-    /// Takes tokens that another instance has counted as consumed.
+    /// Adds tokens that another instance has counted as consumed.
     pub fn borrow(&mut self, account: &Arc<str>, tokens: u64) {
         self.account_mut(account).borrow(tokens);
     }
 
-    /// Tokens that are missing for a request.
+    /// Returns how many tokens are missing to serve a request.
     pub fn shortfall(&self, account: &str, tokens: u64, now_ms: u64) -> u64 {
-        let credit = self.accounts.get(account).map_or(0, Account::borrowed);
-        tokens.saturating_sub(credit + self.available(account, now_ms))
+        let borrowed = self.accounts.get(account).map_or(0, Account::borrowed);
+        tokens.saturating_sub(borrowed + self.available(account, now_ms))
     }
 
-    /// Notes what a lender said that it could still give.
-    pub fn record_report(&mut self, account: &Arc<str>, lender: &Arc<str>, left: u64, now_ms: u64) {
-        let said = Said {
-            left,
-            until_ms: now_ms + SAID_MS,
+    /// Records how many tokens a lender reported it could still lend.
+    pub fn record_report(
+        &mut self,
+        account: &Arc<str>,
+        lender: &Arc<str>,
+        remaining: u64,
+        now_ms: u64,
+    ) {
+        let report = Report {
+            remaining,
+            until_ms: now_ms + LENDER_REPORT_TTL_MS,
         };
-        self.account_mut(account).said.insert(lender.clone(), said);
+        self.account_mut(account)
+            .reports
+            .insert(lender.clone(), report);
     }
 
-    /// Who may have tokens of an account, the richest first.
+    /// Returns the holders that may have tokens of an account to lend, the largest amount first.
     pub fn candidates(&self, account: &str, now_ms: u64) -> Vec<Candidate> {
         let Some(account) = self.accounts.get(account) else {
             return Vec::new();
@@ -112,26 +123,28 @@
 }
 
 impl Account {
-    /// Borrowed and not held by a request yet.
+    /// Returns the borrowed tokens that no request holds yet.
     pub fn borrowed(&self) -> u64 {
-        self.credit
+        self.borrowed
     }
 
-    /// What is borrowed pays for what was consumed of the own grant, and only the rest is credit. So it stands in the next journal,
-    /// goes back with the next plan if it is not needed, and can be lent in turn.
+    /// Adds borrowed tokens.
     ///
-    /// Without this a kill of the borrower loses it, though the lender's row counts it as consumed.
+    /// They first offset consumption of the own grant, and only the rest counts as borrowed. In
+    /// this way they appear in the next journal, are returned by the next plan if unused, and can
+    /// be lent again. Otherwise a kill of the borrower would lose them, although the ledger entry
+    /// of the lender counts them as consumed.
     fn borrow(&mut self, tokens: u64) {
         let paid = tokens.min(self.consumed);
         self.consumed -= paid;
-        self.credit += tokens - paid;
+        self.borrowed += tokens - paid;
     }
 
     fn consume(&mut self, tokens: u64) {
         self.consumed += tokens;
     }
 
-    /// What the grant and the pace leave.
+    /// Returns the tokens that both the grant and the rate limit allow.
     pub(super) fn available(&self, store_ms: u64) -> u64 {
         self.remaining().min(self.limit_remaining(store_ms))
     }
@@ -142,17 +155,17 @@
             let Some(peer) = self.peers.get(&grant.holder) else {
                 continue;
             };
-            let said = self.said.get(&grant.holder);
-            let left = match said.filter(|said| now_ms < said.until_ms) {
-                Some(said) => said.left,
+            let report = self.reports.get(&grant.holder);
+            let available = match report.filter(|report| now_ms < report.until_ms) {
+                Some(report) => report.remaining,
                 None => grant.granted.saturating_sub(peer.consumed),
             };
-            if left == 0 {
+            if available == 0 {
                 continue;
             }
             candidates.push(Candidate {
                 holder: grant.holder.clone(),
-                available: left,
+                available,
             });
         }
         candidates
--- a/crates/fescuewell_forward/src/quota/origin.rs
+++ b/crates/fescuewell_forward/src/quota/origin.rs
@@ -1,4 +1,5 @@
-//! Where the own grant of an account is known from: the row, the process's own memory, or nowhere; see [`super::era`].
+//! Source of the known grant of an account: the ledger, the memory of the process, or none; see
+//! [`super::era`].
 
 use std::sync::Arc;
 
@@ -6,51 +7,56 @@
 use super::era;
 use super::row::{Grant, Ledger};
 
-/// Where the own grant is known from.
+/// Source of the known own grant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Origin {
-    /// From the row.
-    Row,
-    /// From before the store came back from a copy: the row is to say the same.
-    Own,
-    /// From nowhere: a former process may have been granted more than the row says. All of it counts as consumed.
+    /// The ledger row.
+    Ledger,
+    /// Known from before the store was restored from a snapshot; the row still has to be rewritten
+    /// accordingly.
+    Memory,
+    /// A previous process may have been granted more than the row shows. The whole grant counts as
+    /// consumed.
     Unknown,
 }
 
 impl Account {
-    /// What the former process had consumed is known, and the row says what it was granted.
+    /// Takes over when the consumption of the previous process is known and the row shows its
+    /// grant.
     pub(super) fn inherit_row(&mut self, consumed: u64, granted: u64) {
         self.consumed = consumed;
         self.granted = granted;
-        self.origin = Origin::Row;
+        self.origin = Origin::Ledger;
     }
 
-    /// What the former process had consumed is known, and its grant is not: it gets no more than that.
+    /// Takes over when the consumption of the previous process is known but not its grant, which is
+    /// set to that consumption.
     pub(super) fn inherit_own(&mut self, consumed: u64) {
         self.consumed = consumed;
         self.granted = consumed;
-        self.origin = Origin::Own;
+        self.origin = Origin::Memory;
     }
 
-    /// Nothing is known of the former process: all that the row grants it counts as consumed.
+    /// Takes over when the consumption of the previous process is unknown: everything the row
+    /// grants it counts as consumed.
     pub(super) fn inherit_unknown(&mut self, granted: u64) {
         self.consumed = granted;
         self.granted = granted;
         self.origin = Origin::Unknown;
     }
 
-    /// The store has come back from a copy, in which the account has this row, or none.
+    /// Handles a restore of the store from a snapshot that has this row for the account, or none.
     pub(super) fn restore(&mut self, holder: &str, row: Option<(u64, Ledger)>, era: u32) {
         self.granted = self.granted();
-        self.returning = None;
-        let former = std::mem::take(&mut self.ledger);
-        for grant in former.grants {
-            if self.known.granted(&grant.holder) < grant.granted {
-                self.known.set_grant(grant);
+        self.pending_return = None;
+        let previous = std::mem::take(&mut self.ledger);
+        for grant in previous.grants {
+            if self.previous_grants.granted(&grant.holder) < grant.granted {
+                self.previous_grants.set_grant(grant);
             }
         }
-        if self.origin == Origin::Row {
-            self.origin = Origin::Own;
+        if self.origin == Origin::Ledger {
+            self.origin = Origin::Memory;
         }
         let (version, ledger) = row.unwrap_or_default();
         self.version = version;
@@ -58,31 +64,31 @@
         self.ledger = ledger;
     }
 
-    /// Whether the own grant is yet to be confirmed.
+    /// Returns whether the own grant still has to be confirmed.
     pub(super) fn is_unconfirmed(&self) -> bool {
-        self.origin == Origin::Own && self.granted > 0
+        self.origin == Origin::Memory && self.granted > 0
     }
 
-    /// Takes the own grant from a row, unless the row is older than what is known.
+    /// Updates the own grant from a row, unless the row is older than what is known.
     pub(super) fn take_grant(&mut self, holder: &str, ledger: &Ledger, era: u32) {
         let listed = ledger.grant(holder);
         if let Some(grant) = listed.filter(|grant| grant.era >= era) {
             self.granted = grant.granted;
-            self.origin = Origin::Row;
+            self.origin = Origin::Ledger;
             return;
         }
         let granted = listed.map_or(0, |grant| grant.granted);
         match self.origin {
-            Origin::Own => {}
-            Origin::Row if granted == 0 => self.granted = 0,
-            Origin::Row | Origin::Unknown => {
+            Origin::Memory => {}
+            Origin::Ledger if granted == 0 => self.granted = 0,
+            Origin::Ledger | Origin::Unknown => {
                 let more = granted.saturating_sub(self.granted);
                 self.granted += more;
                 self.consumed += more;
-                // Once the account is settled the row holds all that it may have been granted.
+                // In a settled account the row lists everything the holder may have been granted.
                 let is_settled = ledger.era >= era;
                 self.origin = if is_settled {
-                    Origin::Own
+                    Origin::Memory
                 } else {
                     Origin::Unknown
                 };
@@ -90,13 +96,13 @@
         }
     }
 
-    /// The row with the own grant as it is known here.
+    /// Returns the ledger with the own grant as known to this process.
     pub(super) fn confirmed(&self, holder: &Arc<str>, era: u32) -> Ledger {
         let own = Grant {
             holder: holder.clone(),
             granted: self.granted(),
             era,
         };
-        era::confirm(&self.ledger, &self.known, own)
+        era::confirm(&self.ledger, &self.previous_grants, own)
     }
 }
--- a/crates/fescuewell_forward/src/quota/rate_limit.rs
+++ b/crates/fescuewell_forward/src/quota/rate_limit.rs
@@ -1,24 +1,25 @@
-//! The promise not to consume faster than a rate.
+//! Commitment of a holder not to consume tokens faster than a given rate.
 //!
-//! A process that was killed is back within a second or two, while the store stays out of reach for many. So
-//! the promise is tight for the first seconds after a journal, which is what a restart costs, and wide after
-//! that, which is what an instance without the store lives on. It is no wider than its demand needs: what an instance may
-//! have spent by the end of a long outage is charged whole if it is killed then.
+//! A killed process is back within a second or two, while the store may stay unreachable for much
+//! longer. The limit is therefore tight for the first seconds after a journal, which bounds the
+//! charge of a restart, and wide after that, so that an instance without the store can keep
+//! serving. It is no wider than the demand requires: if the instance is killed at the end of a long
+//! outage, everything it could have spent by then is charged.
 
 use super::row::Entry;
 
-/// Time after a journal for which the promise is tight, in milliseconds: the age of a journal, a restart and the first
-/// reading.
+/// Time after a journal, in milliseconds, during which only the burst may be spent. Covers the age
+/// of a journal, a restart and the first read.
 pub const BURST_ONLY_MS: u64 = 1_500;
 
-/// A ceiling of consumption that rises with time.
+/// A limit on total consumption that rises with time: a token bucket with a peak rate.
 ///
 /// ```text
-/// ceiling                      ______ sustained_rate
+/// limit                        ______ sustained_rate
 ///                     ________/
 ///                    / peak_rate, up to `bucket_size`
 ///  base + burst ____/
-///               0   BURST_ONLY_MS         time since the journal
+///               0   BURST_ONLY_MS    time since the journal
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limit {
@@ -30,7 +31,7 @@
 }
 
 impl Limit {
-    /// The pace of a journal entry.
+    /// Creates the rate limit described by a journal entry written at `at_ms`.
     pub fn new(entry: &Entry, at_ms: u64) -> Self {
         Self {
             base: entry.consumed.saturating_add(entry.burst),
@@ -41,32 +42,29 @@
         }
     }
 
-    /// What may have been consumed in all by `store_ms`.
+    /// Returns the maximum total consumption at `store_ms`.
     pub fn limit_at(&self, store_ms: u64) -> u64 {
         let elapsed = store_ms.saturating_sub(self.at_ms);
-        let wide = elapsed.saturating_sub(BURST_ONLY_MS);
-        let first = self.peak_rate.saturating_mul(wide) / 1_000;
-        let later = self.sustained_rate.saturating_mul(wide) / 1_000;
-        let later = self.bucket_size.saturating_add(later);
-        self.base.saturating_add(first.min(later))
+        let active_ms = elapsed.saturating_sub(BURST_ONLY_MS);
+        let peak = self.peak_rate.saturating_mul(active_ms) / 1_000;
+        let sustained = self.sustained_rate.saturating_mul(active_ms) / 1_000;
+        let sustained = self.bucket_size.saturating_add(sustained);
+        self.base.saturating_add(peak.min(sustained))
     }
 
-    /// Earliest moment at which the ceiling reaches `total`; `None` if it never does.
+    /// Returns the earliest time at which the limit reaches `total`, or `None` if it never does.
     pub fn reached_at(&self, total: u64) -> Option<u64> {
-        let missing = total.saturating_sub(self.base);
-        if missing == 0 {
+        let needed = total.saturating_sub(self.base);
+        if needed == 0 {
             return Some(self.at_ms);
         }
-        let first = duration_ms(missing, self.peak_rate)?;
-        let later = duration_ms(
-            missing.saturating_sub(self.bucket_size),
-            self.sustained_rate,
-        )?;
-        Some(self.at_ms + BURST_ONLY_MS + first.max(later))
+        let peak = duration_ms(needed, self.peak_rate)?;
+        let sustained = duration_ms(needed.saturating_sub(self.bucket_size), self.sustained_rate)?;
+        Some(self.at_ms + BURST_ONLY_MS + peak.max(sustained))
     }
 }
 
-/// Milliseconds, rounded up, in which a rate gives an amount.
+/// Returns the time, in milliseconds rounded up, in which `rate` yields `amount`.
 fn duration_ms(amount: u64, rate: u64) -> Option<u64> {
     match (amount, rate) {
         (0, _) => Some(0),
--- a/crates/fescuewell_forward/src/quota/row.rs
+++ b/crates/fescuewell_forward/src/quota/row.rs
@@ -1,4 +1,4 @@
-//! What the store keeps of the prepaid tokens.
+//! Rows of the store that describe prepaid tokens.
 
 use std::sync::Arc;
 
@@ -8,83 +8,86 @@
 use super::era::Fence;
 use super::rate_limit::Limit;
 
-/// Leading byte of a ledger without eras, which the program version before reads as well: [`former`].
-const FORMER_LEDGER: u8 = 1;
-/// Leading byte of a ledger, so that another program version is told from damage.
-const LEDGER: u8 = 2;
-/// Leading byte of the first journals: [`former`].
-const FIRST_JOURNAL: u8 = 1;
-/// Leading byte of the journals of the program version before: [`former`].
-const FORMER_JOURNAL: u8 = 2;
-/// Leading byte of every journal.
-const JOURNAL: u8 = 3;
-
-/// A row that cannot be read.
+/// Leading byte of a ledger without eras, which the previous program version can read as well; see
+/// [`legacy`].
+const LEDGER_V1: u8 = 1;
+/// Leading byte of a ledger, which distinguishes another program version from corruption.
+const LEDGER_V2: u8 = 2;
+/// Leading byte of the first journal format; see [`legacy`].
+const JOURNAL_V1: u8 = 1;
+/// Leading byte of the journal format of the previous program version; see [`legacy`].
+const JOURNAL_V2: u8 = 2;
+/// Leading byte of the current journal format.
+const JOURNAL_V3: u8 = 3;
+
+/// Error when decoding a row.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// Written by another program version.
+    /// The row was written by another program version.
     #[snafu(display("the row has the unknown format {format:?}"))]
     Format {
-        /// Its leading byte.
+        /// Leading byte of the row.
         format: Option<u8>,
     },
-    /// The content does not fit the format.
+    /// The content does not match the format.
     #[snafu(display("the row cannot be decoded: {reason}"))]
     Content {
-        /// What the decoder said.
+        /// Error of the decoder.
         reason: Arc<str>,
     },
 }
 
-/// One holder's part of an account.
+/// Grant of one holder for an account.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// The holder.
+    /// Name of the holder.
     pub holder: Arc<str>,
-    /// Total that it may ever consume, over all its incarnations.
+    /// Total that the holder may consume, over all its incarnations.
     pub granted: u64,
-    /// Era of the store in which the holder itself wrote this last; see [`super::era`].
+    /// Era of the store in which the holder itself last wrote this grant; see [`super::era`].
     pub era: u32,
 }
 
-/// What a holder tells the others of its use of one account, beside the rows that are changed on condition: it changes all
-/// the time, and a conditional row would be in conflict all the time.
+/// Usage of one account that a holder reports to the others.
+///
+/// It is kept apart from the rows with conditional writes: it changes all the time and would make
+/// them conflict all the time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// The account.
+    /// Client account.
     pub account: Arc<str>,
-    /// Consumed or held back so far.
+    /// Tokens consumed or held so far.
     pub consumed: u64,
-    /// Demand in tokens a second.
+    /// Demand in tokens per second.
     pub demand_per_s: u64,
 }
 
 /// All grants of one account.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
-    /// Era of the store in which it was settled; see [`super::era`].
+    /// Era of the store in which the account was settled; see [`super::era`].
     pub era: u32,
-    /// One for each holder that was ever granted something.
+    /// One grant for each holder that ever had one.
     pub grants: Vec<Grant>,
 }
 
 impl Ledger {
-    /// What a holder may consume.
+    /// Returns the total that a holder may consume.
     pub fn granted(&self, holder: &str) -> u64 {
         self.grant(holder).map_or(0, |grant| grant.granted)
     }
 
-    /// A holder's part, if it was ever granted something.
+    /// Returns the grant of a holder, if it ever had one.
     pub fn grant(&self, holder: &str) -> Option<&Grant> {
         self.grants.iter().find(|grant| &*grant.holder == holder)
     }
 
-    /// What all holders together may consume.
+    /// Returns the sum of all grants.
     pub fn total(&self) -> u64 {
         self.grants.iter().map(|grant| grant.granted).sum()
     }
 
-    /// Replaces a holder's grant.
+    /// Adds or replaces the grant of a holder.
     pub fn set_grant(&mut self, grant: Grant) {
         let known = self.grants.iter_mut();
         match known.into_iter().find(|known| known.holder == grant.holder) {
@@ -93,115 +96,115 @@
         }
     }
 
-    /// The row's bytes.
+    /// Encodes the row.
     pub fn encode(&self) -> Vec<u8> {
-        match former::Ledger::new(self) {
-            Some(ledger) => encode(&ledger, FORMER_LEDGER),
-            None => encode(self, LEDGER),
+        match legacy::LedgerV1::new(self) {
+            Some(ledger) => encode(&ledger, LEDGER_V1),
+            None => encode(self, LEDGER_V2),
         }
     }
 
-    /// Reads a row.
+    /// Decodes the row.
     ///
     /// # Errors
     ///
-    /// [`Error`] when it is not such a row.
+    /// [`Error`] if the bytes are not such a row.
     pub fn decode(bytes: &[u8]) -> Result<Self, Error> {
         match bytes.first() {
-            Some(&FORMER_LEDGER) => decode::<former::Ledger>(bytes, FORMER_LEDGER).map(Self::from),
-            _ => decode(bytes, LEDGER),
+            Some(&LEDGER_V1) => decode::<legacy::LedgerV1>(bytes, LEDGER_V1).map(Self::from),
+            _ => decode(bytes, LEDGER_V2),
         }
     }
 }
 
 /// Leading byte of the fence.
-const FENCE: u8 = 1;
+const FENCE_V1: u8 = 1;
 
 impl Fence {
-    /// The row's bytes.
+    /// Encodes the row.
     pub fn encode(&self) -> Vec<u8> {
-        encode(self, FENCE)
+        encode(self, FENCE_V1)
     }
 
-    /// Reads a row.
+    /// Decodes the row.
     ///
     /// # Errors
     ///
-    /// [`Error`] when it is not such a row.
+    /// [`Error`] if the bytes are not such a row.
     pub fn decode(bytes: &[u8]) -> Result<Self, Error> {
-        decode(bytes, FENCE)
+        decode(bytes, FENCE_V1)
     }
 }
 
-/// How far a holder may have gone with one account.
+/// Limit of the consumption of one account by a holder; see [`Limit`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The account.
+    /// Client account.
     pub account: Arc<str>,
-    /// Consumed or held back at the journal's moment.
+    /// Tokens consumed or held when the journal was written.
     pub consumed: u64,
-    /// What may be consumed beyond that at once.
+    /// Tokens that may be consumed immediately beyond `consumed`.
     pub burst: u64,
-    /// What may be consumed beyond that each second after [`BURST_ONLY_MS`](super::rate_limit::BURST_ONLY_MS),
+    /// Tokens that may be consumed per second after
+    /// [`BURST_ONLY_MS`](super::rate_limit::BURST_ONLY_MS), up to `bucket_size`.
     pub peak_rate: u64,
-    /// up to this much,
+    /// Tokens that may be consumed at the peak rate in addition to `sustained_rate`.
     pub bucket_size: u64,
-    /// and each second from there on.
+    /// Tokens that may be consumed per second beyond `bucket_size`.
     pub sustained_rate: u64,
 }
 
-/// A holder's own record for its next incarnation.
+/// Record of a holder for its next incarnation.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Journal {
-    /// Rises with each start of the holder's process.
+    /// Increases with each start of the process of the holder.
     pub incarnation: u64,
-    /// The moment it speaks of, by the store's clock in milliseconds; never later than the truth.
+    /// Time to which the record refers, by the store clock in milliseconds. It is never later than
+    /// the true time.
     pub at_ms: u64,
-    /// Era of the store in which it was written. One of a former era may have been followed by others that are lost.
+    /// Era of the store in which the record was written. In a later era, records that followed it
+    /// may be lost.
     pub era: u32,
-    /// Whether the writer knew what it was granted; see [`super::era::Status`].
+    /// Whether the writer knew its grants; see [`super::era::Status`].
     pub knows_grants: bool,
-    /// One for each account.
+    /// One entry per account.
     pub entries: Vec<Entry>,
 }
 
 impl Journal {
-    /// The entry of an account.
+    /// Returns the entry of an account.
     pub fn entry(&self, account: &str) -> Option<&Entry> {
         self.entries.iter().find(|entry| &*entry.account == account)
     }
 
-    /// Most that the writer can have consumed of an account by `store_ms`.
+    /// Returns the maximum that the writer can have consumed of an account by `store_ms`.
     pub fn max_consumed(&self, account: &str, store_ms: u64) -> u64 {
         let entry = self.entry(account);
         entry.map_or(0, |entry| Limit::new(entry, self.at_ms).limit_at(store_ms))
     }
 
-    /// The row's bytes.
+    /// Encodes the row.
     pub fn encode(&self) -> Vec<u8> {
-        encode(self, JOURNAL)
+        encode(self, JOURNAL_V3)
     }
 
-    /// Reads a row, also one of the program versions before: instances are replaced one after the other.
+    /// Decodes the row, including earlier formats, because instances are updated one after the
+    /// other.
     ///
     /// # Errors
     ///
-    /// [`Error`] when it is not such a row.
+    /// [`Error`] if the bytes are not such a row.
     pub fn decode(bytes: &[u8]) -> Result<Self, Error> {
         match bytes.first() {
-            Some(&FIRST_JOURNAL) => {
-                decode::<former::FirstJournal>(bytes, FIRST_JOURNAL).map(Self::from)
-            }
-            Some(&FORMER_JOURNAL) => {
-                decode::<former::Journal>(bytes, FORMER_JOURNAL).map(Self::from)
-            }
-            _ => decode(bytes, JOURNAL),
+            Some(&JOURNAL_V1) => decode::<legacy::JournalV1>(bytes, JOURNAL_V1).map(Self::from),
+            Some(&JOURNAL_V2) => decode::<legacy::JournalV2>(bytes, JOURNAL_V2).map(Self::from),
+            _ => decode(bytes, JOURNAL_V3),
         }
     }
 }
 
-/// The rows of the program versions before, which knew no eras of the store.
-mod former {
+/// Row formats of earlier program versions, which have no eras.
+mod legacy {
     use std::sync::Arc;
 
     use serde::{Deserialize, Serialize};
@@ -209,21 +212,21 @@
     use super::Entry;
 
     #[derive(Serialize, Deserialize)]
-    pub struct Grant {
+    pub struct GrantV1 {
         holder: Arc<str>,
         granted: u64,
     }
 
     #[derive(Serialize, Deserialize)]
-    pub struct Ledger {
-        grants: Vec<Grant>,
+    pub struct LedgerV1 {
+        grants: Vec<GrantV1>,
     }
 
-    impl Ledger {
-        /// The ledger as that version reads it; nothing where an era would be lost.
+    impl LedgerV1 {
+        /// Converts a ledger to this format, or returns `None` if that would lose an era.
         pub fn new(ledger: &super::Ledger) -> Option<Self> {
             let has_eras = ledger.era > 0 || ledger.grants.iter().any(|grant| grant.era > 0);
-            let grants = ledger.grants.iter().map(|grant| Grant {
+            let grants = ledger.grants.iter().map(|grant| GrantV1 {
                 holder: grant.holder.clone(),
                 granted: grant.granted,
             });
@@ -233,8 +236,8 @@
         }
     }
 
-    impl From<Ledger> for super::Ledger {
-        fn from(ledger: Ledger) -> Self {
+    impl From<LedgerV1> for super::Ledger {
+        fn from(ledger: LedgerV1) -> Self {
             let grants = ledger.grants.into_iter().map(|grant| super::Grant {
                 holder: grant.holder,
                 granted: grant.granted,
@@ -247,26 +250,26 @@
         }
     }
 
-    /// An entry whose promise ended at the grant alone.
+    /// An entry without a bucket, whose rate is limited only by the grant.
     #[derive(Deserialize)]
-    pub struct FirstEntry {
+    pub struct EntryV1 {
         account: Arc<str>,
         consumed: u64,
         burst: u64,
-        /// Always 0: nothing beyond the burst while the promise was tight.
-        _tight_rate: u64,
+        /// Always 0: only the burst could be spent during the first seconds.
+        _initial_rate: u64,
         rate: u64,
     }
 
     #[derive(Deserialize)]
-    pub struct FirstJournal {
+    pub struct JournalV1 {
         incarnation: u64,
         at_ms: u64,
-        entries: Vec<FirstEntry>,
+        entries: Vec<EntryV1>,
     }
 
-    impl From<FirstJournal> for super::Journal {
-        fn from(journal: FirstJournal) -> Self {
+    impl From<JournalV1> for super::Journal {
+        fn from(journal: JournalV1) -> Self {
             let entries = journal.entries.into_iter().map(|entry| Entry {
                 account: entry.account,
                 consumed: entry.consumed,
@@ -286,14 +289,14 @@
     }
 
     #[derive(Deserialize)]
-    pub struct Journal {
+    pub struct JournalV2 {
         incarnation: u64,
         at_ms: u64,
         entries: Vec<Entry>,
     }
 
-    impl From<Journal> for super::Journal {
-        fn from(journal: Journal) -> Self {
+    impl From<JournalV2> for super::Journal {
+        fn from(journal: JournalV2) -> Self {
             Self {
                 incarnation: journal.incarnation,
                 at_ms: journal.at_ms,
@@ -310,11 +313,11 @@
     Content: Serialize,
 {
     let bytes = postcard::to_extend(content, vec![format]);
-    // Only a type that cannot be written at all fails here, and those above can.
+    // Fails only for types that cannot be serialized, and all of the above can.
     bytes.unwrap_or_default()
 }
 
-fn decode<Content>(bytes: &[u8], wanted: u8) -> Result<Content, Error>
+fn decode<Content>(bytes: &[u8], expected: u8) -> Result<Content, Error>
 where
     Content: for<'a> Deserialize<'a>,
 {
@@ -322,7 +325,7 @@
         Some((format, content)) => (Some(*format), content),
         None => (None, bytes),
     };
-    if format != Some(wanted) {
+    if format != Some(expected) {
         return FormatSnafu { format }.fail();
     }
     postcard::from_bytes(content).map_err(|error| Error::Content {
--- a/crates/fescuewell_forward/src/quota/waiting.rs
+++ b/crates/fescuewell_forward/src/quota/waiting.rs
@@ -1,11 +1,13 @@
-//! Requests that wait for the pace, for which the next journal makes room.
+//! Tokens of requests that are held back by the rate limit; the next journal admits them.
 
-/// Time, in milliseconds, for which a request that waits for the pace counts: as long as most of them wait.
+/// Time, in milliseconds, for which a rate-limited request counts as waiting. Most requests wait no
+/// longer than this.
 ///
-/// Without it the first journal after an outage makes room for all that was refused in it, and a kill behind it is charged for them.
+/// Without this limit the first journal after an outage would admit every request refused during
+/// it, and a kill right after that journal would be charged for all of them.
 const WAITING_MS: u64 = 300;
 
-/// Tokens of requests that wait for the pace.
+/// Sum of the tokens of rate-limited requests.
 #[derive(Debug, Default, Clone, Copy)]
 pub(super) struct Waiting {
     tokens: u64,
@@ -13,7 +15,7 @@
 }
 
 impl Waiting {
-    /// Counts a request that must wait.
+    /// Adds a request that has to wait.
     pub(super) fn add(&mut self, tokens: u64, store_ms: u64) {
         if store_ms > self.since_ms + WAITING_MS {
             self.tokens = 0;
@@ -22,7 +24,7 @@
         self.tokens += tokens;
     }
 
-    /// What waits at a moment; it is made room for once.
+    /// Takes the tokens still waiting at `store_ms`. Each request is admitted only once.
     pub(super) fn take(&mut self, store_ms: u64) -> u64 {
         let waiting = std::mem::take(self);
         match store_ms > waiting.since_ms + WAITING_MS {
