--- a/crates/fescuewell_forward/tests/common/mod.rs
+++ b/crates/fescuewell_forward/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A store in memory and instances that spend from it, driven step by step.
-// Each test file uses a part of it.
+//! In-memory store and instances that spend from it, driven step by step.
+// Each test target uses only some of the items.
 #![allow(dead_code)]
 
 use std::sync::Arc;
@@ -10,11 +10,11 @@
 use fescuewell_forward::quota::{HoldOutcome, Quota};
 use fescuewell_forward::version;
 
-/// The only account.
+/// Name of the only account.
 pub const ACCOUNT: &str = "group";
 
-/// Instances that a request may borrow from.
-const LENDERS: usize = 3;
+/// Maximum number of lenders for one request.
+const MAX_LENDERS: usize = 3;
 
 /// A versioned row.
 #[derive(Debug, Clone, Default)]
@@ -26,48 +26,48 @@
 /// A write that may take effect later if its condition still holds.
 #[derive(Debug, Clone)]
 pub enum DelayedWrite {
-    /// Versions of the ledger and the fence, the ledger.
+    /// Expected versions of the ledger and the fence, and the new ledger.
     Ledger(u64, u64, Ledger),
     Fence(u64, Fence),
     Journal(usize, u64, Journal),
 }
 
-/// What the network does to one write.
+/// What happens to a write or a loan message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// Done and answered.
+    /// Takes effect and is acknowledged.
     Committed,
-    /// Done; the answer is lost.
+    /// Takes effect, but the reply is lost.
     ReplyLost,
-    /// Not answered, and done later if its condition still holds.
+    /// Not acknowledged, and takes effect later if its condition still holds.
     Delayed,
-    /// Certainly not done.
+    /// Certainly does not take effect.
     Rejected,
 }
 
-/// What the store holds at a moment.
+/// The contents of the store at one point in time.
 #[derive(Debug, Clone, Default)]
 pub struct Snapshot {
     number: u64,
     ledger: Row<Ledger>,
     journals: Vec<Row<Journal>>,
     fence: Row<Fence>,
-    signs: Vec<Option<(era::Status, u64)>>,
+    statuses: Vec<Option<(era::Status, u64)>>,
 }
 
 #[derive(Debug, Default)]
 pub struct Store {
     pub era: u32,
-    /// The count of writes.
+    /// Number of writes so far.
     pub number: u64,
-    /// The row that each transaction on the ledger expects.
+    /// Row whose version every ledger transaction expects.
     pub fence: Row<Fence>,
-    /// The instances' signs, and when they were given.
-    pub signs: Vec<Option<(era::Status, u64)>>,
+    /// Published statuses of the instances and the times of their publication.
+    pub statuses: Vec<Option<(era::Status, u64)>>,
     pub now_ms: u64,
     pub ledger: Row<Ledger>,
     pub journals: Vec<Row<Journal>>,
-    pub late: Vec<DelayedWrite>,
+    pub delayed: Vec<DelayedWrite>,
 }
 
 impl Store {
@@ -76,13 +76,16 @@
         version::join(self.era, self.number)
     }
 
-    /// Whether a row has the version that a write expects. The store compares the count only.
-    fn fits(&self, now: u64, expected: u64) -> bool {
-        version::number(now) == version::number(expected)
+    /// Returns whether a row has the version that a write expects. The store compares only the
+    /// write count, not the era.
+    fn has_version(&self, current: u64, expected: u64) -> bool {
+        version::number(current) == version::number(expected)
     }
 
     fn put_ledger(&mut self, expected: u64, fence: u64, ledger: Ledger) -> bool {
-        if !self.fits(self.ledger.version, expected) || !self.fits(self.fence.version, fence) {
+        if !self.has_version(self.ledger.version, expected)
+            || !self.has_version(self.fence.version, fence)
+        {
             return false;
         }
         let version = self.next_version();
@@ -94,7 +97,7 @@
     }
 
     fn put_fence(&mut self, expected: u64, fence: Fence) {
-        if self.fits(self.fence.version, expected) {
+        if self.has_version(self.fence.version, expected) {
             self.fence = Row {
                 version: self.next_version(),
                 content: Some(fence),
@@ -102,36 +105,36 @@
         }
     }
 
-    /// All that the store holds.
+    /// Returns a snapshot of the store.
     pub fn snapshot(&self) -> Snapshot {
         Snapshot {
             number: self.number,
             ledger: self.ledger.clone(),
             journals: self.journals.clone(),
             fence: self.fence.clone(),
-            signs: self.signs.clone(),
+            statuses: self.statuses.clone(),
         }
     }
 
-    /// The store comes back from a copy, in its next era: counts go back.
-    pub fn restore(&mut self, copy: &Snapshot) {
+    /// Restores the store from a snapshot, which begins the next era and resets the write count.
+    pub fn restore(&mut self, snapshot: &Snapshot) {
         self.era += 1;
         let era = self.era;
-        let renew = |known: u64| version::join(era, version::number(known));
-        self.number = copy.number;
-        self.ledger = copy.ledger.clone();
-        self.ledger.version = renew(self.ledger.version);
-        self.journals = copy.journals.clone();
+        let with_new_era = |previous: u64| version::join(era, version::number(previous));
+        self.number = snapshot.number;
+        self.ledger = snapshot.ledger.clone();
+        self.ledger.version = with_new_era(self.ledger.version);
+        self.journals = snapshot.journals.clone();
         for journal in &mut self.journals {
-            journal.version = renew(journal.version);
+            journal.version = with_new_era(journal.version);
         }
-        self.fence = copy.fence.clone();
-        self.fence.version = renew(self.fence.version);
-        self.signs = copy.signs.clone();
+        self.fence = snapshot.fence.clone();
+        self.fence.version = with_new_era(self.fence.version);
+        self.statuses = snapshot.statuses.clone();
     }
 
     fn put_journal(&mut self, index: usize, expected: u64, journal: Journal) -> bool {
-        if !self.fits(self.journals[index].version, expected) {
+        if !self.has_version(self.journals[index].version, expected) {
             return false;
         }
         let version = self.next_version();
@@ -142,9 +145,9 @@
         true
     }
 
-    /// A write that was held up arrives.
+    /// Delivers the last delayed write.
     pub fn deliver_write(&mut self) {
-        match self.late.pop() {
+        match self.delayed.pop() {
             Some(DelayedWrite::Ledger(expected, fence, ledger)) => {
                 self.put_ledger(expected, fence, ledger);
             }
@@ -157,21 +160,22 @@
     }
 }
 
-/// One instance: its quota, and what its requests really used.
+/// One instance: its quota and the tokens that its requests actually used.
 pub struct Instance {
     pub quota: Quota,
     started_ms: u64,
-    /// Tokens held by requests under way.
-    pub open: Vec<u64>,
-    /// Tokens that were really used, over all starts.
+    /// Tokens held by running requests.
+    pub held: Vec<u64>,
+    /// Tokens actually used, over all incarnations.
     pub used: u64,
     lender: Lender,
     borrower: Borrower,
 }
 
-/// Time in which an instance that lives gives its next sign, in milliseconds.
-const LAPSE_MS: u64 = 3_500;
+/// Time in milliseconds within which a live instance publishes its next status.
+const HEARTBEAT_TIMEOUT_MS: u64 = 3_500;
 
+/// A store and the instances that share one account.
 pub struct Cluster {
     pub store: Store,
     pub instances: Vec<Instance>,
@@ -179,9 +183,9 @@
     /// Largest total that was ever in force.
     pub max_prepaid: u64,
     pub account: Arc<str>,
-    asks: u64,
-    /// Answers that were held up, and whom they are for.
-    answers: Vec<(usize, Response)>,
+    loan_count: u64,
+    /// Delayed loan responses and the borrowers they are for.
+    delayed_responses: Vec<(usize, Response)>,
 }
 
 impl Cluster {
@@ -190,45 +194,48 @@
             store: Store {
                 now_ms: 1_000,
                 journals: vec![Row::default(); count],
-                signs: vec![None; count],
+                statuses: vec![None; count],
                 ..Store::default()
             },
             instances: Vec::new(),
             prepaid,
             max_prepaid: prepaid,
             account: ACCOUNT.into(),
-            asks: 0,
-            answers: Vec::new(),
+            loan_count: 0,
+            delayed_responses: Vec::new(),
         };
         for index in 0..count {
-            let instance = cluster.fresh(index, 0);
+            let instance = cluster.new_instance(index, 0);
             cluster.instances.push(instance);
         }
         cluster
     }
 
-    fn fresh(&self, index: usize, used: u64) -> Instance {
+    fn new_instance(&self, index: usize, used: u64) -> Instance {
         let mut quota = Quota::new(format!("entry-{index}").into(), 0);
         quota.set_prepaid(&self.account, Some(self.prepaid));
         Instance {
             quota,
             started_ms: self.store.now_ms,
-            open: Vec::new(),
+            held: Vec::new(),
             used,
             lender: Lender::default(),
             borrower: Borrower::default(),
         }
     }
 
-    /// The instance learns that the store has come back from a copy, and reads what it has of its own.
-    pub fn notice(&mut self, index: usize) {
+    /// Makes an instance enter the current era of the store and read its own rows.
+    pub fn observe_restore(&mut self, index: usize) {
         let era = self.store.era;
         if self.instances[index].quota.era() == era {
             return;
         }
         let now_ms = self.local_ms(index);
-        let cell = &self.store.journals[index];
-        let journal = cell.content.clone().map(|content| (cell.version, content));
+        let journal_row = &self.store.journals[index];
+        let journal = journal_row
+            .content
+            .clone()
+            .map(|content| (journal_row.version, content));
         let ledger = &self.store.ledger;
         let row = ledger.content.clone();
         let rows = row.map(|row| (self.account.clone(), ledger.version, row));
@@ -243,7 +250,7 @@
         quota.observe_fence(fence.version, fence.content.unwrap_or_default());
     }
 
-    /// The instance writes the fence if that is due.
+    /// Writes the fence from an instance if that is due.
     fn put_fence(&mut self, index: usize, outcome: WriteOutcome) {
         let now_ms = self.local_ms(index);
         let quota = &self.instances[index].quota;
@@ -253,7 +260,10 @@
         };
         match outcome {
             WriteOutcome::Delayed => {
-                return self.store.late.push(DelayedWrite::Fence(expected, fence));
+                return self
+                    .store
+                    .delayed
+                    .push(DelayedWrite::Fence(expected, fence));
             }
             WriteOutcome::Rejected => return,
             WriteOutcome::Committed | WriteOutcome::ReplyLost => {
@@ -265,44 +275,47 @@
         }
     }
 
-    /// The instance gives its sign and reads those of the others.
+    /// Publishes the status of an instance and reads those of the others.
     pub fn publish_status(&mut self, index: usize) {
         if !self.instances[index].quota.is_adopted() {
             return;
         }
-        self.notice(index);
-        let sign = self.instances[index].quota.status();
-        self.store.signs[index] = Some((sign, self.store.now_ms));
+        self.observe_restore(index);
+        let status = self.instances[index].quota.status();
+        self.store.statuses[index] = Some((status, self.store.now_ms));
         let now_ms = self.store.now_ms;
-        let signs = self.store.signs.iter().flatten();
-        let signs = signs.map(|(sign, at_ms)| era::Status {
-            is_live: now_ms < at_ms + LAPSE_MS,
-            ..sign.clone()
+        let statuses = self.store.statuses.iter().flatten();
+        let statuses = statuses.map(|(status, at_ms)| era::Status {
+            is_live: now_ms < at_ms + HEARTBEAT_TIMEOUT_MS,
+            ..status.clone()
         });
-        let signs = signs.collect();
-        self.instances[index].quota.set_statuses(signs, LAPSE_MS);
+        let statuses = statuses.collect();
+        self.instances[index]
+            .quota
+            .set_statuses(statuses, HEARTBEAT_TIMEOUT_MS);
     }
 
-    /// The own clock of an instance: it began with its process.
+    /// Returns the local clock of an instance, which starts with its process.
     pub fn local_ms(&self, index: usize) -> u64 {
         self.store.now_ms - self.instances[index].started_ms
     }
 
-    /// The instance's process is killed and starts again after a while: nothing in memory lasts.
+    /// Kills the process of an instance and starts it again after `down_ms`. Nothing in memory is
+    /// kept.
     pub fn restart(&mut self, index: usize, down_ms: u64) {
-        let lost: u64 = self.instances[index].open.iter().sum();
-        let used = self.instances[index].used + lost;
+        let lost_holds: u64 = self.instances[index].held.iter().sum();
+        let used = self.instances[index].used + lost_holds;
         self.store.now_ms += down_ms;
-        self.instances[index] = self.fresh(index, used);
+        self.instances[index] = self.new_instance(index, used);
     }
 
-    /// The instance takes over from its former process.
+    /// Makes an instance take over from its previous incarnation.
     pub fn adopt(&mut self, index: usize, outcome: WriteOutcome) {
         if self.instances[index].quota.is_adopted() {
             return;
         }
         let now_ms = self.local_ms(index);
-        let known = self.store.journals[index].clone();
+        let previous = self.store.journals[index].clone();
         let rows = self.store.ledger.content.clone();
         let rows: Vec<_> = rows
             .map(|ledger| (self.account.clone(), self.store.ledger.version, ledger))
@@ -317,8 +330,8 @@
         quota.begin_era(era, now_ms);
         quota.observe_fence(fence.version, fence.content.unwrap_or_default());
         let journal = quota.adopt(
-            known.content.as_ref(),
-            known.version,
+            previous.content.as_ref(),
+            previous.version,
             rows,
             ended_ms,
             now_ms,
@@ -326,12 +339,12 @@
         self.commit_journal(index, journal, outcome);
     }
 
-    /// The instance writes its journal.
+    /// Writes the journal of an instance.
     pub fn write_journal(&mut self, index: usize, outcome: WriteOutcome) {
         if !self.instances[index].quota.is_adopted() {
             return;
         }
-        self.notice(index);
+        self.observe_restore(index);
         let now_ms = self.local_ms(index);
         let journal = self.instances[index].quota.next_journal(now_ms);
         self.commit_journal(index, journal, outcome);
@@ -340,15 +353,15 @@
     fn commit_journal(&mut self, index: usize, journal: Journal, outcome: WriteOutcome) {
         let expected = self.instances[index].quota.journal_version();
         if outcome == WriteOutcome::Delayed {
-            let late = DelayedWrite::Journal(index, expected, journal);
-            self.store.late.push(late);
+            let delayed = DelayedWrite::Journal(index, expected, journal);
+            self.store.delayed.push(delayed);
             return self.instances[index].quota.journal_unknown();
         }
         if outcome == WriteOutcome::Rejected {
             return self.instances[index].quota.journal_rejected();
         }
         let done = self.store.put_journal(index, expected, journal.clone());
-        let cell = self.store.journals[index].clone();
+        let row = self.store.journals[index].clone();
         let store_ms = self.store.now_ms;
         let now_ms = self.local_ms(index);
         let quota = &mut self.instances[index].quota;
@@ -356,36 +369,36 @@
             return quota.journal_unknown();
         }
         quota.observe_clock(store_ms, now_ms);
-        match (done, cell.content) {
-            (true, _) => quota.journal_written(&journal, cell.version),
+        match (done, row.content) {
+            (true, _) => quota.journal_written(&journal, row.version),
             (false, Some(found)) => {
-                quota.resolve_conflict(&found, cell.version);
+                quota.resolve_conflict(&found, row.version);
             }
             (false, None) => {}
         }
     }
 
-    /// The instance hears what the others say of their use.
+    /// Passes the usage reported by all instances to one of them.
     pub fn exchange_usage(&mut self, index: usize) {
         let now_ms: Vec<u64> = (0..self.instances.len())
             .map(|who| self.local_ms(who))
             .collect();
-        let mut said = Vec::new();
+        let mut reports = Vec::new();
         for (who, instance) in self.instances.iter_mut().enumerate() {
             if instance.quota.is_adopted() {
                 let holder = instance.quota.holder().clone();
-                said.push((holder, instance.quota.usage(now_ms[who])));
+                reports.push((holder, instance.quota.usage(now_ms[who])));
             }
         }
-        self.instances[index].quota.set_peers(&said, &[]);
+        self.instances[index].quota.set_peers(&reports, &[]);
     }
 
-    /// The instance brings its grant to what its plan says.
+    /// Writes the ledger that the plan of an instance yields.
     pub fn plan(&mut self, index: usize, outcome: WriteOutcome) {
         if !self.instances[index].quota.is_adopted() {
             return;
         }
-        self.notice(index);
+        self.observe_restore(index);
         let now_ms = self.local_ms(index);
         let account = self.account.clone();
         self.put_fence(index, outcome);
@@ -395,8 +408,8 @@
             return;
         };
         if outcome == WriteOutcome::Delayed {
-            let late = DelayedWrite::Ledger(expected, fence, ledger);
-            return self.store.late.push(late);
+            let delayed = DelayedWrite::Ledger(expected, fence, ledger);
+            return self.store.delayed.push(delayed);
         }
         if outcome == WriteOutcome::Rejected {
             return;
@@ -405,79 +418,80 @@
         if outcome == WriteOutcome::ReplyLost {
             return;
         }
-        let cell = self.store.ledger.clone();
+        let row = self.store.ledger.clone();
         let store_ms = self.store.now_ms;
         let quota = &mut self.instances[index].quota;
         quota.observe_clock(store_ms, now_ms);
-        let ledger = cell.content.unwrap_or_default();
-        quota.observe_ledger(&account, cell.version, ledger, store_ms);
+        let ledger = row.content.unwrap_or_default();
+        quota.observe_ledger(&account, row.version, ledger, store_ms);
     }
 
-    /// The instance reads the account's row.
+    /// Makes an instance read the ledger.
     pub fn read_ledger(&mut self, index: usize) {
-        self.notice(index);
-        let cell = self.store.ledger.clone();
-        let ledger = cell.content.unwrap_or_default();
+        self.observe_restore(index);
+        let row = self.store.ledger.clone();
+        let ledger = row.content.unwrap_or_default();
         let store_ms = self.store.now_ms;
         let account = self.account.clone();
         let quota = &mut self.instances[index].quota;
-        quota.observe_ledger(&account, cell.version, ledger, store_ms);
+        quota.observe_ledger(&account, row.version, ledger, store_ms);
     }
 
-    /// A request asks for tokens.
+    /// Requests tokens for a new request.
     pub fn hold(&mut self, index: usize, tokens: u64) -> HoldOutcome {
         let now_ms = self.local_ms(index);
         let account = self.account.clone();
         self.instances[index]
             .quota
             .record_demand(&account, tokens, now_ms);
-        self.hold_again(index, tokens)
+        self.retry_hold(index, tokens)
     }
 
-    /// A request that was counted before asks once more.
-    fn hold_again(&mut self, index: usize, tokens: u64) -> HoldOutcome {
+    /// Requests tokens for a request whose demand was recorded before.
+    fn retry_hold(&mut self, index: usize, tokens: u64) -> HoldOutcome {
         let now_ms = self.local_ms(index);
         let account = self.account.clone();
         let instance = &mut self.instances[index];
-        let verdict = instance.quota.hold(&account, tokens, now_ms);
-        if verdict == HoldOutcome::Held {
-            instance.open.push(tokens);
+        let outcome = instance.quota.hold(&account, tokens, now_ms);
+        if outcome == HoldOutcome::Held {
+            instance.held.push(tokens);
         }
-        verdict
+        outcome
     }
 
-    /// A request asks for tokens wherever the fleet can find them at once.
+    /// Requests tokens for a new request and borrows them if necessary. Returns whether they are
+    /// held.
     pub fn serve(&mut self, index: usize, tokens: u64) -> bool {
         if self.hold(index, tokens) == HoldOutcome::Held {
             return true;
         }
         let now_ms = self.local_ms(index);
         let candidates = self.instances[index].quota.candidates(ACCOUNT, now_ms);
-        for candidate in candidates.iter().take(LENDERS) {
+        for candidate in candidates.iter().take(MAX_LENDERS) {
             let name = |instance: &Instance| *instance.quota.holder() == candidate.holder;
             let Some(lender) = self.instances.iter().position(name) else {
                 continue;
             };
             self.borrow(index, lender, tokens, WriteOutcome::Committed);
-            if self.hold_again(index, tokens) == HoldOutcome::Held {
+            if self.retry_hold(index, tokens) == HoldOutcome::Held {
                 return true;
             }
         }
         false
     }
 
-    /// An instance borrows what it misses for a request. A refused loan is one whose ask is lost.
+    /// Borrows the tokens that an instance lacks for a request. `Rejected` loses the loan request.
     pub fn borrow(&mut self, index: usize, lender: usize, tokens: u64, outcome: WriteOutcome) {
         let now_ms = self.local_ms(index);
-        self.asks += 1;
-        let id = self.asks;
+        self.loan_count += 1;
+        let id = self.loan_count;
         let borrower = &mut self.instances[index];
         let missing = borrower.quota.shortfall(ACCOUNT, tokens, now_ms);
         if missing == 0 || index == lender {
             return;
         }
         let quota = &borrower.quota;
-        let ask = borrower
+        let request = borrower
             .borrower
             .request(quota, &self.account, (missing, 0), id, now_ms);
         if outcome == WriteOutcome::Rejected {
@@ -485,57 +499,61 @@
         }
         let lender_ms = self.local_ms(lender);
         let lending = &mut self.instances[lender];
-        let answer = lending.lender.respond(&mut lending.quota, &ask, lender_ms);
-        let again = lending.lender.respond(&mut lending.quota, &ask, lender_ms);
-        assert_eq!(again, None, "an ask is answered once");
-        let Some(answer) = answer.filter(|_| outcome != WriteOutcome::ReplyLost) else {
+        let response = lending
+            .lender
+            .respond(&mut lending.quota, &request, lender_ms);
+        let duplicate = lending
+            .lender
+            .respond(&mut lending.quota, &request, lender_ms);
+        assert_eq!(duplicate, None, "a duplicate request gets no response");
+        let Some(response) = response.filter(|_| outcome != WriteOutcome::ReplyLost) else {
             return;
         };
         if outcome == WriteOutcome::Delayed {
-            return self.answers.push((index, answer));
+            return self.delayed_responses.push((index, response));
         }
-        self.take(index, &answer);
+        self.accept_response(index, &response);
     }
 
-    /// An instance takes a lender's answer, and a copy of it.
-    fn take(&mut self, index: usize, answer: &Response) {
+    /// Delivers a loan response to an instance twice.
+    fn accept_response(&mut self, index: usize, response: &Response) {
         let now_ms = self.local_ms(index);
         let borrower = &mut self.instances[index];
         borrower
             .borrower
-            .accept(&mut borrower.quota, answer, now_ms);
-        let again = borrower
+            .accept(&mut borrower.quota, response, now_ms);
+        let duplicate = borrower
             .borrower
-            .accept(&mut borrower.quota, answer, now_ms);
-        assert!(!again, "an answer is taken once");
+            .accept(&mut borrower.quota, response, now_ms);
+        assert!(!duplicate, "a duplicate response is not accepted");
     }
 
-    /// The last answer that was held up arrives.
+    /// Delivers the last delayed loan response.
     pub fn deliver_response(&mut self) {
-        if let Some((index, answer)) = self.answers.pop() {
-            self.take(index, &answer);
+        if let Some((index, response)) = self.delayed_responses.pop() {
+            self.accept_response(index, &response);
         }
     }
 
-    /// What an instance counts as consumed.
+    /// Returns the tokens that an instance counts as consumed.
     pub fn consumed(&self, index: usize) -> u64 {
-        let view = self.instances[index].quota.account(ACCOUNT);
-        view.map_or(0, |account| account.consumed())
+        let account = self.instances[index].quota.account(ACCOUNT);
+        account.map_or(0, |account| account.consumed())
     }
 
-    /// The oldest request of an instance ends, having used a part of its tokens.
+    /// Ends the oldest request of an instance, which used `percent` of its tokens.
     pub fn settle(&mut self, index: usize, percent: u64) {
         let instance = &mut self.instances[index];
-        if instance.open.is_empty() {
+        if instance.held.is_empty() {
             return;
         }
-        let held = instance.open.remove(0);
+        let held = instance.held.remove(0);
         let cost = held * percent.min(100) / 100;
         instance.used += cost;
         instance.quota.settle(ACCOUNT, held, cost);
     }
 
-    /// The operator changes the total; every instance learns of it.
+    /// Raises the prepaid total; every instance learns it at once.
     pub fn top_up(&mut self, tokens: u64) {
         self.prepaid += tokens;
         self.max_prepaid = self.max_prepaid.max(self.prepaid);
@@ -546,10 +564,10 @@
         }
     }
 
-    /// Used, and held by requests that may still use it.
+    /// Returns the tokens that were used, or are held by requests that may still use them.
     pub fn total_used(&self) -> u64 {
         let each = self.instances.iter();
-        each.map(|instance| instance.used + instance.open.iter().sum::<u64>())
+        each.map(|instance| instance.used + instance.held.iter().sum::<u64>())
             .sum()
     }
 }
--- a/crates/fescuewell_forward/tests/eras.rs
+++ b/crates/fescuewell_forward/tests/eras.rs
@@ -1,4 +1,4 @@
-//! Grants when the store comes back from a copy that is some seconds old.
+//! Grants after the store is restored from a snapshot that is a few seconds old.
 
 mod common;
 
@@ -8,11 +8,11 @@
 use proptest::prelude::*;
 
 const INSTANCES: usize = 3;
-/// More than the time in which an instance that lives gives its next sign, in milliseconds.
-const LAPSE_MS: u64 = 4_000;
+/// More than the time in milliseconds within which a live instance publishes its next status.
+const HEARTBEAT_TIMEOUT_MS: u64 = 4_000;
 
-/// Instances that run and have drawn nothing yet.
-fn started(prepaid: u64) -> Cluster {
+/// Creates a cluster of running instances that have drawn no tokens yet.
+fn started_cluster(prepaid: u64) -> Cluster {
     let mut cluster = Cluster::new(INSTANCES, prepaid);
     for index in 0..INSTANCES {
         cluster.adopt(index, WriteOutcome::Committed);
@@ -21,7 +21,7 @@
     cluster
 }
 
-/// Instances sign, journal and plan as they do each second.
+/// Makes instances publish their statuses, plan and write their journals, as they do each second.
 fn round(cluster: &mut Cluster, who: &[usize]) {
     cluster.store.now_ms += 500;
     for index in who {
@@ -34,7 +34,8 @@
     }
 }
 
-/// An instance serves what it can of so many requests of a size, drawing as it goes; returns how many.
+/// Requests tokens for `count` requests on one instance, drawing more when needed. Returns how many
+/// requests got theirs.
 fn serve(cluster: &mut Cluster, index: usize, count: usize, tokens: u64) -> usize {
     let mut served = 0;
     for _ in 0..count {
@@ -51,33 +52,38 @@
     served
 }
 
-/// Symptom looked for: an account gets more than its total. Sequence: an instance draws and spends; the store comes back from a copy
-/// that is older; another instance finds the same tokens free. Cause: the rows were believed.
+/// Guards against spending more than the total: an instance draws and spends tokens, the store is
+/// restored from an older snapshot, and another instance finds the same tokens unallocated.
 #[test]
 fn what_was_drawn_since_the_copy_is_not_drawn_again() {
-    let mut cluster = started(100_000);
-    let copy = cluster.store.snapshot();
+    let mut cluster = started_cluster(100_000);
+    let snapshot = cluster.store.snapshot();
     serve(&mut cluster, 0, 9, 10_000);
 
-    cluster.store.restore(&copy);
+    cluster.store.restore(&snapshot);
     for _ in 0..20 {
         round(&mut cluster, &[0, 1, 2]);
         serve(&mut cluster, 1, 3, 10_000);
         serve(&mut cluster, 2, 3, 10_000);
     }
 
-    assert!(cluster.total_used() <= 100_000, "{}", cluster.total_used());
+    assert!(
+        cluster.total_used() <= 100_000,
+        "{} tokens in use",
+        cluster.total_used()
+    );
 }
 
-/// The way back: what is really left can be drawn once all have confirmed their grants.
+/// Checks that the tokens actually left can be drawn once all instances have confirmed their
+/// grants.
 #[test]
 fn what_is_left_is_drawn_after_a_while() {
-    let mut cluster = started(100_000);
-    let copy = cluster.store.snapshot();
+    let mut cluster = started_cluster(100_000);
+    let snapshot = cluster.store.snapshot();
     let before = serve(&mut cluster, 0, 3, 10_000);
 
-    cluster.store.restore(&copy);
-    cluster.store.now_ms += LAPSE_MS;
+    cluster.store.restore(&snapshot);
+    cluster.store.now_ms += HEARTBEAT_TIMEOUT_MS;
     let mut after = 0;
     for _ in 0..20 {
         round(&mut cluster, &[0, 1, 2]);
@@ -89,15 +95,15 @@
     assert!(cluster.total_used() <= 100_000);
 }
 
-/// Symptom looked for: tokens are spent twice. Sequence: an instance draws and spends all, and is killed; the store comes back from a
-/// copy from before; the next process finds a journal without any of it.
+/// Guards against spending tokens twice: an instance draws and spends them and is killed, the store
+/// is restored from an older snapshot, and the next process finds a journal without them.
 #[test]
 fn an_instance_that_died_in_the_lost_seconds_is_charged_for_all_that_it_may_have_drawn() {
-    let mut cluster = started(100_000);
-    let copy = cluster.store.snapshot();
+    let mut cluster = started_cluster(100_000);
+    let snapshot = cluster.store.snapshot();
     serve(&mut cluster, 0, 9, 10_000);
 
-    cluster.store.restore(&copy);
+    cluster.store.restore(&snapshot);
     cluster.restart(0, 500);
     cluster.adopt(0, WriteOutcome::Committed);
     for _ in 0..20 {
@@ -107,34 +113,43 @@
         }
     }
 
-    assert!(cluster.total_used() <= 100_000, "{}", cluster.total_used());
+    assert!(
+        cluster.total_used() <= 100_000,
+        "{} tokens in use",
+        cluster.total_used()
+    );
 }
 
-/// Symptom looked for: the same, with an instance that never comes back.
+/// Guards against the same failure with an instance that never returns.
 #[test]
 fn an_instance_that_is_gone_is_charged_for_all_that_it_may_have_drawn() {
-    let mut cluster = started(100_000);
-    let copy = cluster.store.snapshot();
+    let mut cluster = started_cluster(100_000);
+    let snapshot = cluster.store.snapshot();
     serve(&mut cluster, 0, 9, 10_000);
 
-    cluster.store.restore(&copy);
+    cluster.store.restore(&snapshot);
     for _ in 0..30 {
         round(&mut cluster, &[1, 2]);
         serve(&mut cluster, 1, 2, 10_000);
         serve(&mut cluster, 2, 2, 10_000);
     }
 
-    assert!(cluster.total_used() <= 100_000, "{}", cluster.total_used());
+    assert!(
+        cluster.total_used() <= 100_000,
+        "{} tokens in use",
+        cluster.total_used()
+    );
 }
 
-/// Symptom looked for: an instance that was cut off while the store came back spends what others have drawn meanwhile.
+/// Guards against spending tokens twice: an instance that cannot reach the store during the restore
+/// spends what others draw meanwhile.
 #[test]
 fn an_instance_that_missed_the_change_goes_by_its_own_grant() {
-    let mut cluster = started(100_000);
-    let copy = cluster.store.snapshot();
+    let mut cluster = started_cluster(100_000);
+    let snapshot = cluster.store.snapshot();
     serve(&mut cluster, 0, 2, 10_000);
 
-    cluster.store.restore(&copy);
+    cluster.store.restore(&snapshot);
     for _ in 0..20 {
         round(&mut cluster, &[1, 2]);
         serve(&mut cluster, 1, 2, 10_000);
@@ -145,16 +160,20 @@
         serve(&mut cluster, 0, 2, 10_000);
     }
 
-    assert!(cluster.total_used() <= 100_000, "{}", cluster.total_used());
+    assert!(
+        cluster.total_used() <= 100_000,
+        "{} tokens in use",
+        cluster.total_used()
+    );
 }
 
-/// Symptom looked for: tokens are free twice. Sequence: an instance gives tokens back, another draws them; the copy shows them with the
-/// first one still.
+/// Guards against spending tokens twice: an instance returns tokens and another one draws them, but
+/// the snapshot still shows them with the first one.
 #[test]
 fn what_was_given_back_is_not_spent_after_the_return_of_a_copy() {
-    let mut cluster = started(100_000);
+    let mut cluster = started_cluster(100_000);
     serve(&mut cluster, 0, 2, 10_000);
-    let copy = cluster.store.snapshot();
+    let snapshot = cluster.store.snapshot();
     for _ in 0..20 {
         cluster.settle(0, 0);
     }
@@ -162,23 +181,27 @@
     round(&mut cluster, &[0, 1, 2]);
     serve(&mut cluster, 1, 9, 10_000);
 
-    cluster.store.restore(&copy);
+    cluster.store.restore(&snapshot);
     for _ in 0..20 {
         round(&mut cluster, &[0, 1, 2]);
         serve(&mut cluster, 0, 3, 10_000);
         serve(&mut cluster, 1, 3, 10_000);
     }
 
-    assert!(cluster.total_used() <= 100_000, "{}", cluster.total_used());
+    assert!(
+        cluster.total_used() <= 100_000,
+        "{} tokens in use",
+        cluster.total_used()
+    );
 }
 
-/// Symptom looked for: a draw of the new era vanishes from the row, and its tokens are drawn again. Sequence: a draw of the former era is on
-/// its way for seconds; the store comes back from a copy, counts on, and gives the row the very number that the draw expects. Cause: the
-/// store compares numbers, and numbers are given out again.
+/// Guards against losing a draw of the new era, whose tokens would be drawn again: a draw of the
+/// previous era is delayed, the store is restored, and its write count reaches the very number that
+/// the delayed draw expects, since the store compares only the count.
 #[test]
 fn a_write_of_a_former_era_that_arrives_late_has_no_effect() {
-    let mut cluster = started(100_000);
-    let copy = cluster.store.snapshot();
+    let mut cluster = started_cluster(100_000);
+    let snapshot = cluster.store.snapshot();
     cluster.store.number += 1_000;
     serve(&mut cluster, 0, 2, 1_000);
     let number = version::number(cluster.store.ledger.version);
@@ -186,7 +209,7 @@
     cluster.hold(1, 1_000);
     cluster.plan(1, WriteOutcome::Delayed);
 
-    cluster.store.restore(&copy);
+    cluster.store.restore(&snapshot);
     for _ in 0..10 {
         round(&mut cluster, &[0, 1, 2]);
     }
@@ -199,10 +222,14 @@
         serve(&mut cluster, 2, 2, 10_000);
     }
 
-    assert!(cluster.total_used() <= 100_000, "{}", cluster.total_used());
+    assert!(
+        cluster.total_used() <= 100_000,
+        "{} tokens in use",
+        cluster.total_used()
+    );
 }
 
-/// One thing that happens.
+/// A simulated event.
 #[derive(Debug, Clone)]
 enum Step {
     Pass(u64),
@@ -248,7 +275,7 @@
     ]
 }
 
-fn play(cluster: &mut Cluster, copy: &mut Option<common::Snapshot>, step: &Step) {
+fn apply(cluster: &mut Cluster, snapshot: &mut Option<common::Snapshot>, step: &Step) {
     match *step {
         Step::Pass(ms) => cluster.store.now_ms += ms,
         Step::Hold(who, tokens) => {
@@ -269,10 +296,10 @@
             cluster.hold(who, tokens);
         }
         Step::LateAnswer => cluster.deliver_response(),
-        Step::Copy => *copy = Some(cluster.store.snapshot()),
+        Step::Copy => *snapshot = Some(cluster.store.snapshot()),
         Step::Restore => {
-            if let Some(copy) = copy {
-                cluster.store.restore(copy);
+            if let Some(snapshot) = snapshot {
+                cluster.store.restore(snapshot);
             }
         }
     }
@@ -281,17 +308,17 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 1_500, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(41), ..ProptestConfig::default() })]
 
-    /// Symptom looked for: an account gets more than its total. Sequence: any mix of requests, draws, journals, loans, kills, lost and late
-    /// writes, copies of the store and returns from them, some of them twice in a row.
+    /// Guards against spending more than the total: applies any mix of requests, draws, journals,
+    /// loans, kills, lost and delayed writes, snapshots and restores, some of them repeated.
     #[test]
     fn never_more_than_prepaid_over_eras(steps in prop::collection::vec(step(), 1..160)) {
-        let mut cluster = started(60_000);
-        let mut copy = Some(cluster.store.snapshot());
+        let mut cluster = started_cluster(60_000);
+        let mut snapshot = Some(cluster.store.snapshot());
         for step in &steps {
-            play(&mut cluster, &mut copy, step);
+            apply(&mut cluster, &mut snapshot, step);
             prop_assert!(cluster.total_used() <= cluster.max_prepaid, "{} of {} in {}", cluster.total_used(), cluster.max_prepaid, ACCOUNT);
         }
-        // Whatever is free, or looks so, is used up now.
+        // Spends everything that is or appears to be unallocated.
         for index in 0..INSTANCES {
             cluster.adopt(index, WriteOutcome::Committed);
         }
--- a/crates/fescuewell_forward/tests/loans.rs
+++ b/crates/fescuewell_forward/tests/loans.rs
@@ -1,4 +1,5 @@
-//! Loans of tokens between instances: who may ask, and what a message that is repeated, late or forged does.
+//! Token loans between instances: who may request them, and the effect of duplicate, late and
+//! forged messages.
 
 mod common;
 
@@ -8,11 +9,11 @@
 use fescuewell_forward::quota::HoldOutcome;
 use proptest::prelude::*;
 
-/// Two instances, of which the first holds nearly all tokens.
-fn rich_and_poor() -> Cluster {
+/// Creates two instances, the first of which holds nearly all tokens.
+fn lender_and_borrower() -> Cluster {
     let mut cluster = Cluster::new(2, 400_000);
     cluster.adopt(0, WriteOutcome::Committed);
-    // So much demand that its part is as much as there is.
+    // Demand high enough that its share is all there is.
     let account = ACCOUNT.into();
     cluster.instances[0]
         .quota
@@ -26,7 +27,7 @@
     cluster
 }
 
-fn ask(cluster: &Cluster, id: u64, tokens: u64) -> Request {
+fn loan_request(cluster: &Cluster, id: u64, tokens: u64) -> Request {
     Request {
         id,
         account: ACCOUNT.into(),
@@ -36,11 +37,12 @@
     }
 }
 
-/// Requests were refused during a cut of the whole fleet (`route.refused cause=BudgetUnknown`) although the account had
-/// tokens: they stood at an instance to which its callers did not come, and only the store moves grants.
+/// Guards against refusing requests (`route.refused cause=BudgetUnknown`) while the store is
+/// unreachable although the account has tokens: only the store can move grants, and the tokens are
+/// held by an instance that its callers do not use.
 #[test]
 fn tokens_of_another_instance_serve_a_request_in_a_cut() {
-    let mut cluster = rich_and_poor();
+    let mut cluster = lender_and_borrower();
 
     let alone = cluster.hold(1, 5_000);
     let together = cluster.serve(1, 5_000);
@@ -51,7 +53,7 @@
 
 #[test]
 fn the_richest_lender_is_asked_first() {
-    let mut cluster = rich_and_poor();
+    let mut cluster = lender_and_borrower();
     let quota = &mut cluster.instances[1].quota;
 
     let before = quota.candidates(ACCOUNT, 0);
@@ -61,62 +63,63 @@
 
     assert_eq!(&*before[0].holder, "entry-0");
     assert!(refused.is_empty());
-    // Its pace has moved on meanwhile.
+    // The rate limit of the lender may have risen meanwhile.
     assert_eq!(later, before);
 }
 
-/// A datagram that came twice cost the lender the tokens twice, though only one answer was taken.
+/// Guards against a duplicate datagram costing the lender the tokens twice, although only one
+/// response is accepted.
 #[test]
 fn an_ask_that_is_repeated_is_not_answered_again() {
-    let mut cluster = rich_and_poor();
-    let ask = ask(&cluster, 7, 1_000);
+    let mut cluster = lender_and_borrower();
+    let request = loan_request(&cluster, 7, 1_000);
     let now_ms = cluster.local_ms(0);
     let mut lender = Lender::default();
     let quota = &mut cluster.instances[0].quota;
     let before = quota.available(ACCOUNT, now_ms);
 
-    let first = lender.respond(quota, &ask, now_ms);
-    let second = lender.respond(quota, &ask, now_ms);
+    let first = lender.respond(quota, &request, now_ms);
+    let second = lender.respond(quota, &request, now_ms);
 
-    assert_eq!(first.map(|answer| answer.tokens), Some(1_000));
+    assert_eq!(first.map(|response| response.tokens), Some(1_000));
     assert_eq!(second, None);
     assert_eq!(quota.available(ACCOUNT, now_ms), before - 1_000);
 }
 
 #[test]
 fn an_ask_of_long_ago_is_not_answered() {
-    let mut cluster = rich_and_poor();
-    let ask = ask(&cluster, 7, 1_000);
+    let mut cluster = lender_and_borrower();
+    let request = loan_request(&cluster, 7, 1_000);
     cluster.store.now_ms += 1_500;
     let now_ms = cluster.local_ms(0);
 
-    let answer = Lender::default().respond(&mut cluster.instances[0].quota, &ask, now_ms);
+    let response = Lender::default().respond(&mut cluster.instances[0].quota, &request, now_ms);
 
-    assert_eq!(answer, None);
+    assert_eq!(response, None);
 }
 
-/// Tokens were spent twice: the borrower's process was killed between its ask and the answer, and the next one took an answer
-/// to an ask that it had not sent, twice.
+/// Guards against spending tokens twice: the process of the borrower is killed between request and
+/// response, and the next one accepts the response to a request that it did not send.
 #[test]
 fn an_answer_to_nobody_gives_nothing() {
-    let mut cluster = rich_and_poor();
-    let ask = ask(&cluster, 7, 1_000);
+    let mut cluster = lender_and_borrower();
+    let request = loan_request(&cluster, 7, 1_000);
     let now_ms = cluster.local_ms(0);
     let quota = &mut cluster.instances[0].quota;
-    let answer = Lender::default().respond(quota, &ask, now_ms).unwrap();
+    let response = Lender::default().respond(quota, &request, now_ms).unwrap();
     let mut borrower = Borrower::default();
     let quota = &mut cluster.instances[1].quota;
 
-    let taken = borrower.accept(quota, &answer, 0);
+    let is_accepted = borrower.accept(quota, &response, 0);
 
-    assert!(!taken);
+    assert!(!is_accepted);
     assert_eq!(quota.account(ACCOUNT).unwrap().borrowed(), 0);
 }
 
-/// What a request did not use of borrowed tokens can be used by the next one.
+/// Checks that borrowed tokens left over from one request serve the next one.
 #[test]
 fn unused_borrowed_tokens_serve_the_next_request() {
-    let mut cluster = rich_and_poor();
+    let mut cluster = lender_and_borrower();
     assert!(cluster.serve(1, 5_000));
 
     cluster.settle(1, 20);
@@ -128,8 +131,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(13), ..ProptestConfig::default() })]
 
-    /// Tokens were given to who does not belong to the fleet. Sequence looked for: any bytes, or a message with one bit changed,
-    /// that pass for a sealed one.
+    /// Guards against giving tokens to senders outside the fleet: random bytes, or a message with
+    /// one flipped bit, must not be accepted as sealed.
     #[test]
     fn only_what_the_fleet_sealed_is_read(
         bytes in prop::collection::vec(any::<u8>(), 0..120),
--- a/crates/fescuewell_forward/tests/outage.rs
+++ b/crates/fescuewell_forward/tests/outage.rs
@@ -1,4 +1,5 @@
-//! What a fleet serves while the store is out of reach, and what it is charged when all of it is killed at the end.
+//! Service of a fleet while the store is unreachable, and the charge when the whole fleet is killed
+//! at the end.
 
 mod common;
 
@@ -6,31 +7,32 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// One step of time, in milliseconds.
+/// Simulation step, in milliseconds.
 const STEP_MS: u64 = 20;
-/// Parts of the callers that come to each instance: half of the instances are named, one of them gets most.
-const PARTS: [f64; 6] = [0.5, 0.3, 0.2, 0.0, 0.0, 0.0];
-/// Requests a second of accounts of three sizes.
-const RATES: [f64; 3] = [9.0, 3.0, 1.2];
-/// Time of usual traffic before the outage, in milliseconds.
+/// Share of the callers on each instance. Half of the instances are advertised, and one of them
+/// gets most callers.
+const CALLER_SHARES: [f64; 6] = [0.5, 0.3, 0.2, 0.0, 0.0, 0.0];
+/// Requests per second of three accounts.
+const REQUESTS_PER_S: [f64; 3] = [9.0, 3.0, 1.2];
+/// Duration of the traffic before the outage, in milliseconds.
 const BEFORE_MS: u64 = 12_000;
-/// Time without the store, in milliseconds.
+/// Duration of the outage of the store, in milliseconds.
 const OUTAGE_MS: u64 = 12_000;
-/// Time for which the tokens that are left when the outage begins would last, in seconds.
-const LEFT_S: f64 = 18.0;
-/// Mean tokens of a request.
-const MEAN: f64 = 6_500.0;
-/// Time that a request takes, in milliseconds.
-const TAKES_MS: u64 = 400;
-
-/// What became of one account.
+/// Time for which the tokens left at the start of the outage would last, in seconds.
+const REMAINING_S: f64 = 18.0;
+/// Mean size of a request, in tokens.
+const MEAN_REQUEST_TOKENS: f64 = 6_500.0;
+/// Duration of a request, in milliseconds.
+const REQUEST_DURATION_MS: u64 = 400;
+
+/// Result for one account.
 #[derive(Debug, Default, Clone, Copy)]
 struct Outcome {
     asked: u64,
     served: u64,
     /// Tokens left when the outage began.
     left: u64,
-    /// Tokens charged at the restart and used by nobody.
+    /// Tokens charged at the restart that no request used.
     unused: u64,
 }
 
@@ -46,36 +48,36 @@
 /// A fleet and the traffic of one account.
 struct Fleet {
     cluster: Cluster,
-    random: SmallRng,
+    rng: SmallRng,
     rate: f64,
     ends: Vec<(u64, usize)>,
 }
 
 impl Fleet {
     fn new(rate: f64, seed: u64) -> Self {
-        let used_before = rate * MEAN * BEFORE_MS as f64 / 1_000.0;
-        let prepaid = (used_before + rate * MEAN * LEFT_S) as u64;
-        let mut cluster = Cluster::new(PARTS.len(), prepaid);
-        for index in 0..PARTS.len() {
+        let used_before = rate * MEAN_REQUEST_TOKENS * BEFORE_MS as f64 / 1_000.0;
+        let prepaid = (used_before + rate * MEAN_REQUEST_TOKENS * REMAINING_S) as u64;
+        let mut cluster = Cluster::new(CALLER_SHARES.len(), prepaid);
+        for index in 0..CALLER_SHARES.len() {
             cluster.adopt(index, WriteOutcome::Committed);
         }
         Self {
             cluster,
-            random: SmallRng::seed_from_u64(seed),
+            rng: SmallRng::seed_from_u64(seed),
             rate,
             ends: Vec::new(),
         }
     }
 
-    /// Tokens of a request: most are small, a few are ten times as large.
-    fn size(&mut self) -> u64 {
-        let draw: f64 = self.random.random();
-        let size = -MEAN * (1.0 - draw).ln();
-        (size as u64).clamp(300, 60_000)
+    /// Draws the size of a request: most are small, a few are ten times as large.
+    fn draw_request_tokens(&mut self) -> u64 {
+        let draw: f64 = self.rng.random();
+        let tokens = -MEAN_REQUEST_TOKENS * (1.0 - draw).ln();
+        (tokens as u64).clamp(300, 60_000)
     }
 
-    /// Requests of one step; returns how many came and how many were served.
-    fn traffic(&mut self) -> (u64, u64) {
+    /// Runs the requests of one step. Returns how many arrived and how many were served.
+    fn run_requests(&mut self) -> (u64, u64) {
         let now_ms = self.cluster.store.now_ms;
         let (ended, open): (Vec<_>, Vec<_>) = self.ends.iter().partition(|end| end.0 <= now_ms);
         self.ends = open;
@@ -84,28 +86,28 @@
         }
         let mut asked = 0;
         let mut served = 0;
-        for (index, part) in PARTS.iter().enumerate() {
-            let chance = self.rate * part * STEP_MS as f64 / 1_000.0;
-            if !self.random.random_bool(chance) {
+        for (index, share) in CALLER_SHARES.iter().enumerate() {
+            let chance = self.rate * share * STEP_MS as f64 / 1_000.0;
+            if !self.rng.random_bool(chance) {
                 continue;
             }
-            let tokens = self.size();
+            let tokens = self.draw_request_tokens();
             asked += 1;
             if self.cluster.serve(index, tokens) {
                 served += 1;
-                self.ends.push((now_ms + TAKES_MS, index));
+                self.ends.push((now_ms + REQUEST_DURATION_MS, index));
             }
         }
         (asked, served)
     }
 
-    /// Usual traffic, with journals and plans as the duties make them.
-    fn usual(&mut self) {
+    /// Runs regular traffic with periodic journals and plans.
+    fn run_before_outage(&mut self) {
         for step in 0..BEFORE_MS / STEP_MS {
             self.cluster.store.now_ms += STEP_MS;
-            self.traffic();
-            for index in 0..PARTS.len() {
-                // Spread out, so that no two write at the same moment.
+            self.run_requests();
+            for index in 0..CALLER_SHARES.len() {
+                // Staggered, so that no two instances write at the same time.
                 let phase = step + 8 * index as u64;
                 if phase.is_multiple_of(25) {
                     self.cluster.write_journal(index, WriteOutcome::Committed);
@@ -119,67 +121,70 @@
         }
     }
 
-    /// The store is out of reach, then all processes are killed and start again.
-    fn outage(&mut self) -> Outcome {
+    /// Runs the outage of the store, after which all processes are killed and restarted.
+    fn run_outage(&mut self) -> Outcome {
         let mut outcome = Outcome {
             left: self.cluster.prepaid - self.cluster.total_used(),
             ..Outcome::default()
         };
         for _ in 0..OUTAGE_MS / STEP_MS {
             self.cluster.store.now_ms += STEP_MS;
-            let (asked, served) = self.traffic();
+            let (asked, served) = self.run_requests();
             outcome.asked += asked;
             outcome.served += served;
         }
         let used = self.cluster.total_used();
-        for index in 0..PARTS.len() {
+        for index in 0..CALLER_SHARES.len() {
             self.cluster.restart(index, 0);
         }
         self.cluster.store.now_ms += 1_000;
-        for index in 0..PARTS.len() {
+        for index in 0..CALLER_SHARES.len() {
             self.cluster.adopt(index, WriteOutcome::Committed);
         }
-        let charged: u64 = (0..PARTS.len())
+        let charged: u64 = (0..CALLER_SHARES.len())
             .map(|index| self.cluster.consumed(index))
             .sum();
         outcome.unused = charged
             .checked_sub(used)
-            .expect("nothing that was used is free");
+            .expect("the charge covers all used tokens");
         outcome
     }
 }
 
-fn play(rate: f64, seeds: std::ops::Range<u64>) -> Outcome {
+fn simulate(rate: f64, seeds: std::ops::Range<u64>) -> Outcome {
     let mut sum = Outcome::default();
     for seed in seeds {
         let mut fleet = Fleet::new(rate, seed);
-        fleet.usual();
-        sum += fleet.outage();
+        fleet.run_before_outage();
+        sum += fleet.run_outage();
     }
     sum
 }
 
-/// Plays a fleet with accounts of three sizes.
-fn play_all(seeds: &std::ops::Range<u64>) -> Outcome {
+/// Simulates a fleet for each of the three accounts.
+fn simulate_all(seeds: &std::ops::Range<u64>) -> Outcome {
     let mut sum = Outcome::default();
-    for rate in RATES {
-        let outcome = play(rate, seeds.clone());
+    for rate in REQUESTS_PER_S {
+        let outcome = simulate(rate, seeds.clone());
         println!("{rate} requests a second: {outcome:?}");
         sum += outcome;
     }
     sum
 }
 
-/// After a loss of power of the whole fleet at the end of an outage nearly every request to the engines was refused to the end
-/// of the day, though a fifth of the tokens had not been used. The logs of the last second before it show 10.64 million
-/// tokens consumed, 13.06 million promised and 14.15 million prepaid (`journal.overdue`), and each restart is charged what its
-/// process had promised. Each instance promised enough for its own luck with each account, so that all of them together
-/// promised twice what came, and an account whose tokens stood at the wrong instance was refused all the same.
+/// Guards against rate limits that are too wide when the whole fleet loses power at the end of an
+/// outage, since each restart is charged all that its process was allowed to spend.
+///
+/// With such limits a fifth of the tokens stays unused while nearly every request is refused; in
+/// the last second before the power loss, 10.64 million tokens are consumed, 13.06 million promised
+/// and 14.15 million prepaid (`journal.overdue`). If each instance allows for its own peak demand
+/// on each account, together they allow twice the actual demand, and accounts whose tokens are held
+/// by the wrong instance are refused nevertheless.
 #[test]
 fn a_fleet_killed_at_the_end_of_an_outage_is_charged_little_beyond_its_use() {
     let seeds = 0..20;
 
-    let outcome = play_all(&seeds);
+    let outcome = simulate_all(&seeds);
 
     let served = outcome.served as f64 / outcome.asked as f64;
     let unused = outcome.unused as f64 / outcome.left as f64;
--- a/crates/fescuewell_forward/tests/quota.rs
+++ b/crates/fescuewell_forward/tests/quota.rs
@@ -1,4 +1,4 @@
-//! What must hold of the prepaid tokens, whatever the store and the processes do.
+//! Invariants of the prepaid tokens under any behavior of the store and the processes.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use fescuewell_forward::quota::{HoldOutcome, Quota};
 use proptest::prelude::*;
 
-/// One thing that happens.
+/// A simulated event.
 #[derive(Debug, Clone)]
 enum Step {
     Pass(u64),
@@ -51,7 +51,7 @@
     ]
 }
 
-fn play(cluster: &mut Cluster, step: &Step) {
+fn apply(cluster: &mut Cluster, step: &Step) {
     match *step {
         Step::Pass(ms) => cluster.store.now_ms += ms,
         Step::Hold(who, tokens) => {
@@ -75,8 +75,9 @@
     }
 }
 
-/// Instances that were asked for all of the total, so that their grants cover it.
-fn running(count: usize, prepaid: u64) -> Cluster {
+/// Creates a cluster in which demand has been recorded for the whole total, so that the grants
+/// cover it.
+fn running_cluster(count: usize, prepaid: u64) -> Cluster {
     let mut cluster = Cluster::new(count, prepaid);
     let account = ACCOUNT.into();
     for index in 0..count {
@@ -101,15 +102,15 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 600, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// Symptom: an account gets more than its total. Sequence: any mix of requests, plans, journals, lost and late
-    /// writes, restarts, top-ups, and loans whose messages are lost, late or come twice. Cause looked for: a grant, a pace or a
-    /// loan that two processes spend.
+    /// Guards against spending more than the prepaid total: a grant, a rate limit or a loan that
+    /// two processes spend. Applies any mix of requests, plans, journals, lost and delayed writes,
+    /// restarts, top-ups, and loans whose messages are lost, delayed or duplicated.
     #[test]
     fn never_more_than_prepaid(steps in prop::collection::vec(step(), 1..220)) {
-        let mut cluster = running(INSTANCES, 60_000);
+        let mut cluster = running_cluster(INSTANCES, 60_000);
 
         for step in &steps {
-            play(&mut cluster, step);
+            apply(&mut cluster, step);
 
             prop_assert!(
                 cluster.total_used() <= cluster.max_prepaid,
@@ -124,19 +125,20 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 40, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(9), ..ProptestConfig::default() })]
 
-    /// What nobody uses comes back: once all is quiet and written, the fleet can spend nearly all of it.
+    /// Checks that unused tokens become available again: after all writes have completed, the fleet
+    /// can spend at least 90% of them.
     #[test]
     fn what_is_unused_comes_back(steps in prop::collection::vec(step(), 1..80)) {
         let steps: Vec<Step> = steps
             .into_iter()
             .filter(|step| !matches!(step, Step::Restart(..)))
             .collect();
-        let mut cluster = running(INSTANCES, 300_000);
+        let mut cluster = running_cluster(INSTANCES, 300_000);
         for step in &steps {
-            play(&mut cluster, step);
+            apply(&mut cluster, step);
         }
         for who in 0..INSTANCES {
-            while !cluster.instances[who].open.is_empty() {
+            while !cluster.instances[who].held.is_empty() {
                 cluster.settle(who, 0);
             }
             cluster.adopt(who, WriteOutcome::Committed);
@@ -161,11 +163,11 @@
     }
 }
 
-/// Symptom: after a kill the account was charged for requests that never ran. Sequence: an instance with a large
-/// grant is killed half a second after its journal and starts again. Cause: the whole grant counted as spent.
+/// Guards against charging the whole grant when an instance is killed half a second after its
+/// journal: the account would pay for requests that never ran.
 #[test]
 fn a_restart_costs_a_small_part_of_the_grant() {
-    let mut cluster = running(1, 1_000_000);
+    let mut cluster = running_cluster(1, 1_000_000);
     let granted = cluster.instances[0]
         .quota
         .account(ACCOUNT)
@@ -181,11 +183,12 @@
         .unwrap()
         .consumed();
     assert!(granted > 900_000);
-    assert!(charged < granted / 10, "{charged} of {granted}");
+    assert!(charged < granted / 10, "charged {charged} of {granted}");
 }
 
-/// Six seconds of requests at the first instance, each of which uses a hundredth of its tokens; then a journal.
-fn ask_for_a_while(cluster: &mut Cluster, tokens: u64, every_ms: u64) {
+/// Sends requests to the first instance for six seconds, each using a hundredth of its tokens and
+/// followed by a journal.
+fn send_requests(cluster: &mut Cluster, tokens: u64, every_ms: u64) {
     for _ in 0..6_000 / every_ms {
         cluster.store.now_ms += every_ms;
         cluster.hold(0, tokens);
@@ -194,13 +197,13 @@
     }
 }
 
-/// Symptom: after a kill of the whole fleet most requests of an account were refused for good, though a third of its tokens
-/// had not been used. Sequence: the store is out of reach for 14 s, processes are killed, the next ones take over. Cause: a
-/// process promised no bound but its whole grant for the time after 6.5 s without the store.
+/// Guards against charging the whole grant when processes are killed after the store was
+/// unreachable for 14 s. A limit that ends only at the grant, reached 6.5 s after the last journal,
+/// leaves a third of the tokens unusable when the whole fleet is killed.
 #[test]
 fn a_kill_in_a_long_outage_is_charged_by_demand() {
-    let mut cluster = running(1, 10_000_000);
-    ask_for_a_while(&mut cluster, 5_000, 500);
+    let mut cluster = running_cluster(1, 10_000_000);
+    send_requests(&mut cluster, 5_000, 500);
     let granted = cluster.instances[0]
         .quota
         .account(ACCOUNT)
@@ -216,7 +219,7 @@
     cluster.restart(0, 500);
     cluster.adopt(0, WriteOutcome::Committed);
 
-    // 10,000 tokens a second were asked for, so some 140,000 in that time.
+    // The demand is 10,000 tokens per second, so about 140,000 during the outage.
     let charged = cluster.instances[0]
         .quota
         .account(ACCOUNT)
@@ -224,16 +227,16 @@
         .consumed()
         - before;
     assert!(granted > 9_000_000);
-    assert!(charged < 300_000, "{charged} of {granted}");
+    assert!(charged < 300_000, "charged {charged} of {granted}");
 }
 
-/// Symptom: the first journal after an outage let through most of the grant at once, and a kill right behind it was charged for
-/// that. Sequence: requests beyond the pace come and are refused while the store is away; it comes back. Cause: the journal made room
-/// for each of them as if they still waited.
+/// Guards against a first journal after an outage that admits most of the grant at once, all of
+/// which a kill right after it is charged. This happens if requests refused during the outage count
+/// as still waiting.
 #[test]
 fn requests_refused_in_an_outage_do_not_loosen_the_next_journal() {
-    let mut cluster = running(1, 10_000_000);
-    ask_for_a_while(&mut cluster, 5_000, 500);
+    let mut cluster = running_cluster(1, 10_000_000);
+    send_requests(&mut cluster, 5_000, 500);
     for _ in 0..400 {
         cluster.store.now_ms += 20;
         cluster.hold(0, 20_000);
@@ -244,16 +247,15 @@
 
     let exposure = cluster.instances[0].quota.exposure(cluster.local_ms(0));
     let promised = exposure.promised - exposure.consumed;
-    assert!(promised <= 1_000_000, "{promised}");
+    assert!(promised <= 1_000_000, "promised {promised}");
 }
 
-/// Symptom: the first second and a half of each cut refused most requests of busy accounts that had much left. Sequence: the
-/// store goes out of reach right behind a journal. Cause: what a journal let through at once was two requests, however
-/// many came.
+/// Guards against refusing most requests of busy accounts in the first 1.5 s of an outage that
+/// begins right after a journal. This happens if the burst covers two requests at any demand.
 #[test]
 fn a_busy_account_is_served_when_a_cut_begins() {
-    let mut cluster = running(1, 1_000_000);
-    ask_for_a_while(&mut cluster, 4_000, 100);
+    let mut cluster = running_cluster(1, 1_000_000);
+    send_requests(&mut cluster, 4_000, 100);
     let mut held = 0;
 
     for _ in 0..15 {
@@ -263,14 +265,15 @@
         }
     }
 
-    assert!(held >= 12, "{held} of 15");
+    assert!(held >= 12, "held {held} of 15");
 }
 
-/// Symptom: after an update of the program each restart was charged its whole grant. Sequence: a new version takes over from
-/// one that wrote the former journal. Cause looked for: a format that only its own version reads.
+/// Guards against charging the whole grant at each restart during an update: a new version must
+/// read the journal that the previous one wrote.
 #[test]
 fn a_journal_of_the_version_before_is_read() {
-    // Format 1; incarnation 4; moment 5; one entry: "group", consumed 1, burst 2, tight rate 0, later rate 3.
+    // Format 1; incarnation 4; time 5; one entry: "group", consumed 1, burst 2, initial rate 0,
+    // later rate 3.
     let bytes = [1, 4, 5, 1, 5, b'g', b'r', b'o', b'u', b'p', 1, 2, 0, 3];
 
     let journal = Journal::decode(&bytes).unwrap();
@@ -282,7 +285,8 @@
 
 #[test]
 fn a_journal_of_the_version_between_is_read() {
-    // Format 2; incarnation 4; moment 5; one entry: "group", consumed 1, burst 2, rate 3, lump 9, steady 0.
+    // Format 2; incarnation 4; time 5; one entry: "group", consumed 1, burst 2, peak rate 3, bucket
+    // size 9, sustained rate 0.
     let bytes = [2, 4, 5, 1, 5, b'g', b'r', b'o', b'u', b'p', 1, 2, 3, 9, 0];
 
     let journal = Journal::decode(&bytes).unwrap();
@@ -291,13 +295,13 @@
     assert_eq!(journal.max_consumed(ACCOUNT, 5 + 1_500 + 2_000), 3 + 6);
 }
 
-/// Symptom: a request of a dead process and one of its successor were paid from the same tokens. Sequence: the store
-/// is out of reach, the process spends on for eight seconds and is killed. Cause: the successor believed the
-/// last journal and not the pace.
+/// Guards against spending tokens twice: a process spends for eight seconds while the store is
+/// unreachable and is killed, and its successor trusts the consumption in the last journal instead
+/// of the rate limit.
 #[test]
 fn what_was_spent_during_a_cut_is_charged_after_a_restart() {
-    let mut cluster = running(1, 1_000_000);
-    ask_for_a_while(&mut cluster, 5_000, 100);
+    let mut cluster = running_cluster(1, 1_000_000);
+    send_requests(&mut cluster, 5_000, 100);
     let mut spent = 0;
     for _ in 0..80 {
         cluster.store.now_ms += 100;
@@ -314,16 +318,16 @@
         .account(ACCOUNT)
         .unwrap()
         .consumed();
-    assert!(spent > 300_000, "a cut must be survived: {spent}");
-    assert!(charged >= spent, "{charged} for {spent}");
+    assert!(spent > 300_000, "spent only {spent} during the outage");
+    assert!(charged >= spent, "charged {charged} for {spent} spent");
 }
 
-/// Symptom: a request of a dead process and one of its successor were paid from the same tokens. Sequence: the store was
-/// out of reach for five seconds; a journal is on its way, late; the process spends at the wide pace of the journal
-/// before; the late one takes effect and the process is killed. Cause: the journal under way did not bind.
+/// Guards against spending tokens twice: after five seconds without the store a journal is delayed,
+/// the process spends at the rate of the previous journal, then the delayed one takes effect and
+/// the process is killed. The limits of a pending journal must apply as well.
 #[test]
 fn a_journal_on_its_way_binds() {
-    let mut cluster = running(1, 1_000_000);
+    let mut cluster = running_cluster(1, 1_000_000);
     cluster.store.now_ms += 5_000;
     cluster.write_journal(0, WriteOutcome::Delayed);
     let mut spent = 0;
@@ -342,15 +346,15 @@
         .account(ACCOUNT)
         .unwrap()
         .consumed();
-    assert!(charged >= spent, "{charged} for {spent}");
+    assert!(charged >= spent, "charged {charged} for {spent} spent");
 }
 
-/// Symptom: quiet days refused most requests during cuts. Sequence: the store is out of reach; every half second a
-/// journal is tried. Cause: each try bound a new pace, whose tight time began anew.
+/// Guards against refusing most requests during an outage. This happens if each journal attempt,
+/// one every half second, restarts the burst-only period.
 #[test]
 fn tries_during_a_cut_do_not_tighten_the_pace() {
-    let mut cluster = running(1, 1_000_000);
-    ask_for_a_while(&mut cluster, 20_000, 500);
+    let mut cluster = running_cluster(1, 1_000_000);
+    send_requests(&mut cluster, 20_000, 500);
     let mut held = 0;
 
     for _ in 0..16 {
@@ -361,10 +365,11 @@
         }
     }
 
-    assert!(held >= 10, "{held} of 16");
+    assert!(held >= 10, "held {held} of 16");
 }
 
-/// Two seconds in which only the second instance is asked for tokens, until the first one hears of it.
+/// Sends requests only to the second instance for two seconds, then reports its usage to the first
+/// one.
 fn move_demand(cluster: &mut Cluster) {
     for _ in 0..20 {
         cluster.store.now_ms += 100;
@@ -377,12 +382,12 @@
     cluster.exchange_usage(0);
 }
 
-/// Symptom: an overspend after a lost reply. Sequence: a return of tokens is on its way, late; the instance reads its
-/// row, which still shows the old grant; the return takes effect and others take the tokens. Cause: the
-/// instance went back to the grant that it had read.
+/// Guards against overspending after a lost reply: a return of tokens is delayed, the instance
+/// reads its row with the old grant and uses it again, then the return takes effect and others draw
+/// the tokens.
 #[test]
 fn a_return_that_may_still_take_effect_binds() {
-    let mut cluster = running(2, 400_000);
+    let mut cluster = running_cluster(2, 400_000);
     let before = cluster.instances[0]
         .quota
         .account(ACCOUNT)
@@ -409,12 +414,12 @@
     );
 }
 
-/// Symptom: an overspend after two late writes. Sequence: a return is on its way, late; a request wants more, and the
-/// write that asks for it is lost; the return takes effect. Cause: the second write's grant took the place of
-/// the first one's in what binds.
+/// Guards against overspending after two delayed writes: a return is delayed, a request needs more
+/// tokens and the write for it is lost, then the return takes effect. The second write must not
+/// replace the smaller grant of the first.
 #[test]
 fn a_later_plan_does_not_loosen_a_return_on_its_way() {
-    let mut cluster = running(2, 400_000);
+    let mut cluster = running_cluster(2, 400_000);
     move_demand(&mut cluster);
     cluster.plan(0, WriteOutcome::Delayed);
     let returned = cluster.instances[0]
@@ -437,8 +442,9 @@
     );
 }
 
-/// Symptom: an overspend after a restart. Sequence: the first journal's reply is lost, requests are served, the
-/// takeover begins anew and forgets them. Cause: the row that the own write left was taken for a stranger's.
+/// Guards against overspending after a restart: the reply to the first journal is lost, requests
+/// are served, and the takeover starts again without them because the row is mistaken for that of
+/// another process.
 #[test]
 fn a_first_journal_with_a_lost_reply_is_taken_as_written() {
     let mut cluster = Cluster::new(1, 100_000);
@@ -448,7 +454,7 @@
 
     assert!(cluster.instances[0].quota.is_adopted());
     cluster.plan(0, WriteOutcome::Committed);
-    // The grant covers it, and the next journal lets it through.
+    // The grant covers the request, and the next journal admits it.
     assert_eq!(cluster.hold(0, 5_000), HoldOutcome::RateLimited(None));
     cluster.write_journal(0, WriteOutcome::Committed);
     assert_eq!(cluster.hold(0, 5_000), HoldOutcome::Held);
@@ -463,46 +469,45 @@
     );
 }
 
-/// Symptom: an instance that was taken for dead spent on. Sequence: two processes run under one name. Cause: the
-/// older one did not notice that its journal had a new writer.
+/// Guards against two processes that spend under one name: the older one must notice that another
+/// incarnation has written its journal.
 #[test]
 fn a_journal_of_another_incarnation_ends_spending() {
-    let mut cluster = running(1, 100_000);
+    let mut cluster = running_cluster(1, 100_000);
     let mut journal = cluster.store.journals[0].clone();
     let content = journal.content.as_mut().unwrap();
     content.incarnation += 1;
 
-    let kept = cluster.instances[0].quota.resolve_conflict(content, 99);
+    let is_same_incarnation = cluster.instances[0].quota.resolve_conflict(content, 99);
 
-    assert!(!kept);
+    assert!(!is_same_incarnation);
     assert_ne!(cluster.hold(0, 10), HoldOutcome::Held);
 }
 
 #[test]
 fn a_request_larger_than_all_that_is_left_is_refused_for_good() {
-    let mut cluster = running(2, 50_000);
+    let mut cluster = running_cluster(2, 50_000);
 
-    let verdict = cluster.hold(0, 60_000);
+    let result = cluster.hold(0, 60_000);
 
-    assert_eq!(verdict, HoldOutcome::Exhausted);
+    assert_eq!(result, HoldOutcome::Exhausted);
 }
 
 #[test]
 fn an_account_without_a_total_is_never_refused() {
-    let mut cluster = running(1, 50_000);
+    let mut cluster = running_cluster(1, 50_000);
     let other = "unlimited".into();
     cluster.instances[0].quota.set_prepaid(&other, None);
 
-    let verdict = cluster.instances[0].quota.hold(&other, u64::MAX, 0);
+    let result = cluster.instances[0].quota.hold(&other, u64::MAX, 0);
 
-    assert_eq!(verdict, HoldOutcome::Held);
+    assert_eq!(result, HoldOutcome::Held);
 }
 
-/// Symptom: a lowered total went on being spent. Sequence: the operator sets the total below what is out. Cause:
-/// grants were never given back.
+/// Guards against spending more than a lowered total: grants above it must be returned.
 #[test]
 fn a_lowered_total_takes_grants_back() {
-    let mut cluster = running(2, 1_000_000);
+    let mut cluster = running_cluster(2, 1_000_000);
     cluster.prepaid = 100_000;
     for instance in &mut cluster.instances {
         instance.quota.set_prepaid(&cluster.account, Some(100_000));
@@ -544,11 +549,11 @@
 
     assert_eq!(Ledger::decode(&ledger.encode()).unwrap(), ledger);
     assert_eq!(Journal::decode(&journal.encode()).unwrap(), journal);
-    let mut former = ledger.clone();
-    former.era = 0;
-    former.grants[0].era = 0;
-    assert_eq!(Ledger::decode(&former.encode()).unwrap(), former);
-    assert_eq!(former.encode().first(), Some(&1));
+    let mut previous = ledger.clone();
+    previous.era = 0;
+    previous.grants[0].era = 0;
+    assert_eq!(Ledger::decode(&previous.encode()).unwrap(), previous);
+    assert_eq!(previous.encode().first(), Some(&1));
     assert!(Ledger::decode(&[]).is_err());
     assert!(Journal::decode(&[9, 9, 9]).is_err());
 }
@@ -563,13 +568,13 @@
     }
 }
 
-/// Symptom: an account would get more than its total. Sequence: a process starts while an account's ledger cannot be read
-/// (another program version wrote it), takes over and journals; later the ledger can be read again. Cause: an account
-/// without a readable ledger counted as one of which nothing was consumed.
+/// Guards against spending tokens twice: a process takes over and writes its journal while a ledger
+/// written by another program version cannot be read, and the ledger becomes readable later. An
+/// account without a readable ledger must not count as unused.
 #[test]
 fn an_unreadable_ledger_is_not_taken_for_an_empty_one() {
     let account: std::sync::Arc<str> = ACCOUNT.into();
-    let former = Journal {
+    let previous = Journal {
         incarnation: 1,
         at_ms: 1_000,
         era: 0,
@@ -587,7 +592,7 @@
     quota.set_prepaid(&account, Some(10_000));
     quota.observe_clock(2_000, 0);
 
-    let journal = quota.adopt(Some(&former), 1, Vec::new(), 2_000, 0);
+    let journal = quota.adopt(Some(&previous), 1, Vec::new(), 2_000, 0);
     quota.journal_written(&journal, 2);
     let mut ledger = Ledger::default();
     ledger.set_grant(Grant {
