--- a/crates/fescuewell_demo/src/forward.rs
+++ b/crates/fescuewell_demo/src/forward.rs
@@ -79,7 +79,7 @@
         for index in 0..INSTANCES {
             let mut settings = Settings::new(format!("entry-{index}"), free()?);
             settings.zone = format!("zone-{index}").into();
-            settings.grace = GRACE;
+            settings.grace_period = GRACE;
             settings.directory = (index == 0).then_some(directory);
             let rows = Arc::new(Client::new(store.address()));
             let source = Arc::new(Registry::new(rows.clone()));
--- a/crates/fescuewell_gateway/src/control.rs
+++ b/crates/fescuewell_gateway/src/control.rs
@@ -180,7 +180,7 @@
         let answer = answer.unwrap_or_else(|_| Err(missing("no answer in time")));
         let outcome = match &answer {
             Ok(_) => "answered",
-            Err(Error::NotDone { .. }) => "not_done",
+            Err(Error::NotApplied { .. }) => "not_done",
             Err(Error::Unknown { .. }) => "unknown",
             Err(Error::Compacted) => "compacted",
         };
--- a/crates/fescuewell_gateway/src/control/crashes.rs
+++ b/crates/fescuewell_gateway/src/control/crashes.rs
@@ -16,7 +16,7 @@
 use super::watch::ready_if_complete;
 use super::{CALL, Control, PAUSE};
 use crate::gateway::Probe;
-use crate::store::{Change, Outcome, Place, Row};
+use crate::store::{Outcome, Row, RowId, Transaction};
 
 /// Table of the quarantined requests.
 const TABLE: &str = "quarantine";
@@ -174,7 +174,7 @@
 fn read_pause(control: &Control) -> Duration {
     let gateway = &control.gateway;
     let instances = gateway.state().directory.count() as f64;
-    let share = instances / (gateway.settings.reads * READ_SHARE);
+    let share = instances / (gateway.settings.reads_per_s * READ_SHARE);
     READ_PAUSE.max(Duration::from_secs_f64(share))
 }
 
@@ -201,10 +201,10 @@
         }
     }
     for row in expired.into_iter().take(MOST_REMOVED) {
-        let change = Change {
-            expects: vec![(row.place.clone(), row.version)],
-            removes: vec![row.place.clone()],
-            ..Change::default()
+        let change = Transaction {
+            preconditions: vec![(row.id.clone(), row.version)],
+            deletes: vec![row.id.clone()],
+            ..Transaction::default()
         };
         let commit = control.store.commit(&change);
         // A conflict means that another instance removed it.
@@ -275,7 +275,7 @@
 }
 
 /// Reads the store's record of a request, with its place and version.
-async fn read_record(control: &Control, update: &Update) -> Option<(Place, u64, Record)> {
+async fn read_record(control: &Control, update: &Update) -> Option<(RowId, u64, Record)> {
     let row = place(TABLE, FLEET, &update.request.to_string());
     let reading = read_row(control, &row).await.ok()?;
     let known = reading.rows.iter().find(|known| known.value.is_some());
@@ -284,15 +284,15 @@
     Some((row, version, record.unwrap_or_default()))
 }
 
-async fn commit(control: &Control, row: Place, version: u64, update: &Update) -> bool {
-    let change = Change {
-        expects: vec![(row.clone(), version)],
+async fn commit(control: &Control, row: RowId, version: u64, update: &Update) -> bool {
+    let change = Transaction {
+        preconditions: vec![(row.clone(), version)],
         puts: vec![(row, encode(update))],
-        removes: Vec::new(),
+        deletes: Vec::new(),
     };
     let commit = control.store.commit(&change);
     let outcome = control.call(TABLE, CALL, commit).await;
-    matches!(outcome, Ok(Outcome::Done { .. }))
+    matches!(outcome, Ok(Outcome::Committed { .. }))
 }
 
 fn encode(update: &Update) -> Vec<u8> {
--- a/crates/fescuewell_gateway/src/control/fence.rs
+++ b/crates/fescuewell_gateway/src/control/fence.rs
@@ -10,25 +10,25 @@
 use super::ledger::{LEDGERS, MONEY, decode_ledger};
 use super::rows::{decode, place, read, read_row};
 use super::{CALL, Control};
-use crate::store::{Change, Error, Outcome, Place, Reading, Row};
+use crate::store::{Error, Outcome, ReadResponse, Row, RowId, Transaction};
 
 /// Table and key of the row that each transaction on ledgers expects. It stands in their part.
 const FENCE: &str = "fence";
 
 /// Where the fence stands.
-pub(super) fn fence_place() -> Place {
+pub(super) fn fence_place() -> RowId {
     place(FENCE, MONEY, FENCE)
 }
 
 /// Reads the fence.
-pub(super) async fn read_fence(control: &Control) -> Result<Reading, Error> {
+pub(super) async fn read_fence(control: &Control) -> Result<ReadResponse, Error> {
     read_row(control, &fence_place()).await
 }
 
 /// Takes the fence of a reading, if there is one.
-pub(super) fn learn_fence(quota: &mut Quota, reading: &Reading) {
+pub(super) fn learn_fence(quota: &mut Quota, reading: &ReadResponse) {
     for row in &reading.rows {
-        if &*row.place.table != FENCE {
+        if &*row.id.table != FENCE {
             continue;
         }
         if let Some(fence) = decode_fence(row) {
@@ -65,11 +65,11 @@
     let rows = ledgers.rows.iter();
     let rows = rows.filter_map(|row| {
         let ledger = decode_ledger(row)?;
-        Some((row.place.key.clone(), row.version, ledger))
+        Some((row.id.key.clone(), row.version, ledger))
     });
     let rows = rows.collect();
     let mine = journals.rows.iter();
-    let mut mine = mine.filter(|row| row.place.key == gateway.settings.name);
+    let mut mine = mine.filter(|row| row.id.key == gateway.settings.name);
     let journal = mine
         .next()
         .and_then(|row| Some((row.version, decode_journal(row)?)));
@@ -91,16 +91,16 @@
     let Some(fence) = next else {
         return;
     };
-    let change = Change {
-        expects: vec![(fence_place(), version)],
+    let change = Transaction {
+        preconditions: vec![(fence_place(), version)],
         puts: vec![(fence_place(), fence.encode())],
-        removes: Vec::new(),
+        deletes: Vec::new(),
     };
     let commit = control.store.commit(&change);
     let outcome = control.call("fence", CALL, commit).await;
     let mut state = control.gateway.state();
     match outcome {
-        Ok(Outcome::Done { version, .. }) => {
+        Ok(Outcome::Committed { version, .. }) => {
             if let Some(missed) = &fence.missed {
                 log_event!(
                     Event::EraSettled,
--- a/crates/fescuewell_gateway/src/control/journal.rs
+++ b/crates/fescuewell_gateway/src/control/journal.rs
@@ -13,19 +13,19 @@
 use super::overdue::OVERDUE_MS;
 use super::rows::{decode, place, read, read_within};
 use super::{CALL, Control, PAUSE};
-use crate::store::{Change, Error, Outcome, Place, Reading, Row};
+use crate::store::{Error, Outcome, ReadResponse, Row, RowId, Transaction};
 
 /// Table of the instances' journals.
 const JOURNALS: &str = "journal";
 
 /// Journals stand each in a part of its own, since nobody else reads or writes them.
-fn own_journal(control: &Control) -> Place {
+fn own_journal(control: &Control) -> RowId {
     let name = &control.gateway.settings.name;
     place(JOURNALS, name, name)
 }
 
 /// Reads the own journal, and waits for it so long.
-pub(super) async fn read_own(control: &Control, limit: Duration) -> Result<Reading, Error> {
+pub(super) async fn read_own(control: &Control, limit: Duration) -> Result<ReadResponse, Error> {
     read_within(control, JOURNALS, &control.gateway.settings.name, limit).await
 }
 
@@ -55,12 +55,12 @@
     let mine = journals
         .rows
         .iter()
-        .find(|row| *row.place.key == *gateway.settings.name);
+        .find(|row| *row.id.key == *gateway.settings.name);
     let known = mine.and_then(decode_journal);
     let version = mine.map_or(0, |row| row.version);
     let rows = ledgers.rows.iter();
     let rows: Vec<_> = rows
-        .filter_map(|row| Some((row.place.key.clone(), row.version, decode_ledger(row)?)))
+        .filter_map(|row| Some((row.id.key.clone(), row.version, decode_ledger(row)?)))
         .collect();
     let accounts = rows.len();
     let now_ms = gateway.now_ms();
@@ -147,17 +147,17 @@
 async fn write_journal(control: &Control, journal: &Journal) -> bool {
     let gateway = &control.gateway;
     let version = gateway.state().quota.journal_version();
-    let change = Change {
-        expects: vec![(own_journal(control), version)],
+    let change = Transaction {
+        preconditions: vec![(own_journal(control), version)],
         puts: vec![(own_journal(control), journal.encode())],
-        removes: Vec::new(),
+        deletes: Vec::new(),
     };
     let commit = control.store.commit(&change);
     let outcome = control.call("journal_write", CALL, commit).await;
     let now_ms = gateway.now_ms();
     let mut state = gateway.state();
     match outcome {
-        Ok(Outcome::Done {
+        Ok(Outcome::Committed {
             version,
             now_ms: store_ms,
         }) => {
@@ -178,7 +178,7 @@
             }
             state.quota.is_adopted()
         }
-        Err(Error::NotDone { .. }) => {
+        Err(Error::NotApplied { .. }) => {
             state.quota.journal_dropped();
             false
         }
--- a/crates/fescuewell_gateway/src/control/ledger.rs
+++ b/crates/fescuewell_gateway/src/control/ledger.rs
@@ -11,7 +11,7 @@
 use super::fence::{fence_place, learn_fence, renew};
 use super::rows::{decode, place, read, read_row};
 use super::{CALL, Control};
-use crate::store::{Change, Outcome, Reading, Row};
+use crate::store::{Outcome, ReadResponse, Row, Transaction};
 
 /// Table of the accounts' ledgers.
 pub(super) const LEDGERS: &str = "ledger";
@@ -32,16 +32,16 @@
 }
 
 /// Takes the rows of a reading.
-fn learn(quota: &mut Quota, reading: &Reading) {
+fn learn(quota: &mut Quota, reading: &ReadResponse) {
     learn_fence(quota, reading);
     for row in &reading.rows {
-        if &*row.place.table != LEDGERS {
+        if &*row.id.table != LEDGERS {
             continue;
         }
         let Some(ledger) = decode_ledger(row) else {
             continue;
         };
-        let name = row.place.key.clone();
+        let name = row.id.key.clone();
         quota.learn(&name, row.version, ledger, reading.now_ms);
     }
 }
@@ -117,12 +117,12 @@
 
 /// Writes some ledgers in one transaction: whether it took effect, or nothing when that is not known.
 async fn write_ledgers(control: &Control, drafts: &[Draft]) -> Option<bool> {
-    let mut change = Change::default();
+    let mut change = Transaction::default();
     let fence = control.gateway.state().quota.fence().0;
-    change.expects.push((fence_place(), fence));
+    change.preconditions.push((fence_place(), fence));
     for draft in drafts {
         let place = place(LEDGERS, MONEY, &draft.account);
-        change.expects.push((place.clone(), draft.version));
+        change.preconditions.push((place.clone(), draft.version));
         change.puts.push((place, draft.ledger.encode()));
     }
     let commit = control.store.commit(&change);
@@ -130,7 +130,7 @@
     let now_ms = control.gateway.now_ms();
     let mut state = control.gateway.state();
     match outcome {
-        Ok(Outcome::Done {
+        Ok(Outcome::Committed {
             version,
             now_ms: store_ms,
         }) => {
--- a/crates/fescuewell_gateway/src/control/lending.rs
+++ b/crates/fescuewell_gateway/src/control/lending.rs
@@ -20,7 +20,7 @@
 use super::Control;
 use super::rows::{place, read, unreadable};
 use crate::gateway::Shortage;
-use crate::store::{Change, Outcome, Row};
+use crate::store::{Outcome, Row, Transaction};
 
 /// Table of the fleet's key.
 const KEYS: &str = "key";
@@ -53,14 +53,14 @@
         return;
     };
     let row = place(KEYS, FLEET_KEY, FLEET_KEY);
-    let change = Change {
-        expects: vec![(row.clone(), 0)],
+    let change = Transaction {
+        preconditions: vec![(row.clone(), 0)],
         puts: vec![(row, key.bytes().to_vec())],
-        removes: Vec::new(),
+        deletes: Vec::new(),
     };
     let commit = control.store.commit(&change);
     match control.call("key", super::CALL, commit).await {
-        Ok(Outcome::Done { .. }) => gateway.set_fleet_key(key, era),
+        Ok(Outcome::Committed { .. }) => gateway.set_fleet_key(key, era),
         Ok(Outcome::Conflict(reading)) => {
             for row in &reading.rows {
                 take_key(control, row, era);
--- a/crates/fescuewell_gateway/src/control/members.rs
+++ b/crates/fescuewell_gateway/src/control/members.rs
@@ -12,7 +12,7 @@
 use super::{CALL, Control};
 use crate::gateway::{ARRIVALS_S, Gateway, State};
 use crate::settings::Settings;
-use crate::store::Change;
+use crate::store::Transaction;
 
 /// Table of the instances' addresses.
 const MEMBERS: &str = "member";
@@ -26,10 +26,10 @@
     let gateway = &control.gateway;
     let place = place(MEMBERS, FLEET, &gateway.settings.name);
     let member = own_row(gateway);
-    let mut change = Change::default();
+    let mut change = Transaction::default();
     // Callers that were sent away would come back to the next process at once, so the row stays and tells it.
     if gateway.is_leaving() && member.out_until_ms == 0 {
-        change.removes.push(place);
+        change.deletes.push(place);
     } else {
         change.puts.push((place, member.encode()));
     }
@@ -78,7 +78,7 @@
         let Some(value) = &row.value else { continue };
         match Member::decode(value) {
             Ok(member) => {
-                members.insert(row.place.key.clone(), member);
+                members.insert(row.id.key.clone(), member);
             }
             Err(error) => unreadable(&row, &error.to_string()),
         }
--- a/crates/fescuewell_gateway/src/control/money.rs
+++ b/crates/fescuewell_gateway/src/control/money.rs
@@ -140,12 +140,12 @@
 fn journal_share(control: &Control) -> Duration {
     let gateway = &control.gateway;
     let instances = gateway.state().directory.count() as f64;
-    Duration::from_secs_f64(instances / (gateway.settings.writes * WRITE_SHARE))
+    Duration::from_secs_f64(instances / (gateway.settings.writes_per_s * WRITE_SHARE))
 }
 
 /// Time between two writes to one part at which the whole fleet keeps to its share of that part.
 fn part_share(control: &Control) -> Duration {
     let gateway = &control.gateway;
     let instances = gateway.state().directory.count() as f64;
-    Duration::from_secs_f64(instances / (gateway.settings.part_writes * PART_SHARE))
+    Duration::from_secs_f64(instances / (gateway.settings.partition_writes_per_s * PART_SHARE))
 }
--- a/crates/fescuewell_gateway/src/control/probe.rs
+++ b/crates/fescuewell_gateway/src/control/probe.rs
@@ -30,6 +30,6 @@
 /// A larger fleet asks less often: a store that comes back must not be kept busy by questions.
 fn every(control: &Control) -> Duration {
     let instances = control.gateway.state().directory.count() as f64;
-    let share = instances / (control.gateway.settings.reads * READ_SHARE);
+    let share = instances / (control.gateway.settings.reads_per_s * READ_SHARE);
     EVERY.max(Duration::from_secs_f64(share))
 }
--- a/crates/fescuewell_gateway/src/control/rows.rs
+++ b/crates/fescuewell_gateway/src/control/rows.rs
@@ -8,25 +8,29 @@
 use fescuewell_forward::quota::row;
 
 use super::{CALL, Control};
-use crate::store::{Error, Place, Reading, Row};
+use crate::store::{Error, ReadResponse, Row, RowId};
 
 /// Part of the members.
 pub(super) const FLEET: &str = "fleet";
 
-pub(super) fn place(table: &str, part: &str, key: &str) -> Place {
-    Place {
+pub(super) fn place(table: &str, part: &str, key: &str) -> RowId {
+    RowId {
         table: table.into(),
-        part: part.into(),
+        partition: part.into(),
         key: key.into(),
     }
 }
 
-pub(super) async fn read(control: &Control, table: &str, part: &str) -> Result<Reading, Error> {
+pub(super) async fn read(
+    control: &Control,
+    table: &str,
+    part: &str,
+) -> Result<ReadResponse, Error> {
     read_within(control, table, part, CALL).await
 }
 
 /// Reads one row.
-pub(super) async fn read_row(control: &Control, at: &Place) -> Result<Reading, Error> {
+pub(super) async fn read_row(control: &Control, at: &RowId) -> Result<ReadResponse, Error> {
     let reading = control.store.read_row(at);
     let reading = control.call(&at.table, CALL, reading).await?;
     let now_ms = control.gateway.now_ms();
@@ -40,7 +44,7 @@
     table: &str,
     part: &str,
     limit: Duration,
-) -> Result<Reading, Error> {
+) -> Result<ReadResponse, Error> {
     let reading = control.store.read(table, part);
     let reading = control.call(table, limit, reading).await?;
     let now_ms = control.gateway.now_ms();
@@ -53,8 +57,8 @@
     log_event!(
         Event::InternalFault,
         "part=store table={} key={} reason={reason}",
-        row.place.table,
-        row.place.key
+        row.id.table,
+        row.id.key
     );
 }
 
--- a/crates/fescuewell_gateway/src/control/watch.rs
+++ b/crates/fescuewell_gateway/src/control/watch.rs
@@ -20,7 +20,7 @@
 
 use super::{CALL, Control, PAUSE};
 use crate::gateway::{Stage, State};
-use crate::source::{News, Unreadable, Word};
+use crate::source::{InvalidConfiguration, OperatorState, Versioned};
 use crate::store::Error;
 
 /// How long a call waits for changes. Short, since a connection that has gone silent shows only when the
@@ -50,7 +50,7 @@
 /// Follows the configuration.
 pub(super) async fn configuration(control: &Control) {
     loop {
-        let read = control.source.word();
+        let read = control.source.read_operator_state();
         let Ok(news) = control.call("configuration", CALL, read).await else {
             tokio::time::sleep(PAUSE).await;
             continue;
@@ -63,7 +63,7 @@
                 tokio::time::sleep(FED_LOOK).await;
                 continue;
             }
-            let changes = control.source.word_after(version, WAIT);
+            let changes = control.source.watch_operator_state(version, WAIT);
             match control
                 .call("configuration_after", WAIT_LIMIT, changes)
                 .await
@@ -93,10 +93,10 @@
 }
 
 /// Takes all that the operator has written.
-fn whole(control: &Control, news: News<Word>) {
+fn whole(control: &Control, news: Versioned<OperatorState>) {
     let now_ms = control.gateway.now_ms();
     apply(control, news.now_ms, news.content.configuration);
-    log_unreadable(control, news.content.unreadable);
+    log_unreadable(control, news.content.invalid_configuration);
     let mut state = control.gateway.state();
     let orders = news.content.evacuations;
     for order in state.registry.evacuations(news.version, orders, now_ms) {
@@ -105,15 +105,15 @@
 }
 
 /// Takes what the operator has changed.
-fn changed(control: &Control, news: News<Word>) {
+fn changed(control: &Control, news: Versioned<OperatorState>) {
     apply(control, news.now_ms, news.content.configuration);
-    log_unreadable(control, news.content.unreadable);
+    log_unreadable(control, news.content.invalid_configuration);
     evacuate(control, news.content.evacuations);
 }
 
 /// Logs a configuration that cannot be read, once. The one before stays in force.
-fn log_unreadable(control: &Control, unreadable: Option<Unreadable>) {
-    let Some(Unreadable { version, reason }) = unreadable else {
+fn log_unreadable(control: &Control, unreadable: Option<InvalidConfiguration>) {
+    let Some(InvalidConfiguration { version, reason }) = unreadable else {
         return;
     };
     if control.unreadable.fetch_max(version, Ordering::Relaxed) >= version {
@@ -199,7 +199,7 @@
 /// Follows the backend servers.
 pub(super) async fn servers(control: &Control) {
     loop {
-        let read = control.source.servers();
+        let read = control.source.list_servers();
         let Ok(news) = control.call("servers", CALL, read).await else {
             tokio::time::sleep(PAUSE).await;
             continue;
@@ -228,7 +228,7 @@
 async fn follow_feed(control: &Control, outbox: &mut Outbox) -> Result<(), Error> {
     let gateway = &control.gateway;
     let version = gateway.state().cursor.version();
-    let changes = control.source.servers_after(version, WAIT);
+    let changes = control.source.watch_servers(version, WAIT);
     let news = control.call("servers_after", WAIT_LIMIT, changes).await?;
     let mut rows = Vec::new();
     for change in news.content {
@@ -307,11 +307,11 @@
         return SERVERS_PAUSE;
     }
     let instances = state.directory.count() as f64;
-    let share = instances / (settings.reads * 0.25);
+    let share = instances / (settings.reads_per_s * 0.25);
     SERVERS_PAUSE.max(Duration::from_secs_f64(share))
 }
 
-fn list(control: &Control, news: News<Vec<Movement>>) {
+fn list(control: &Control, news: Versioned<Vec<Movement>>) {
     let count = news.content.len();
     let now_ms = control.gateway.now_ms();
     let mut guard = control.gateway.state();
--- a/crates/fescuewell_gateway/src/daemon.rs
+++ b/crates/fescuewell_gateway/src/daemon.rs
@@ -17,7 +17,7 @@
 use crate::gateway::{Gateway, Stage};
 use crate::metrics;
 use crate::settings::Settings;
-use crate::side::Side;
+use crate::side::AuxiliaryHandler;
 use crate::source::Source;
 use crate::store::Store;
 
@@ -91,7 +91,7 @@
             let listen = listener::Settings::new(address)
                 .with_name(name)
                 .with_max_connections(SIDE_CONNECTIONS);
-            let handler: Arc<dyn Handler> = Arc::new(Side::new(gateway.clone()));
+            let handler: Arc<dyn Handler> = Arc::new(AuxiliaryHandler::new(gateway.clone()));
             sides.push(Listener::start(listen, handler).context(ListenSnafu)?);
         }
         let control = Control::new(gateway.clone(), store, source, inbox);
@@ -124,7 +124,7 @@
     /// Ends in order: tokens go back first, callers are sent elsewhere, requests under way are answered.
     pub fn stop(&self) {
         let asked = Instant::now();
-        let grace = self.gateway.settings.grace;
+        let grace = self.gateway.settings.grace_period;
         if !self.gateway.advance(Stage::Leaving) {
             return;
         }
@@ -156,11 +156,11 @@
 }
 
 fn front_settings(settings: &Settings) -> listener::Settings {
-    let connections = settings.sockets.saturating_sub(OWN_SOCKETS).max(64);
+    let connections = settings.max_sockets.saturating_sub(OWN_SOCKETS).max(64);
     let mut front = listener::Settings::new(settings.front)
         .with_name("front")
         .with_max_connections(connections);
-    front.max_buffered_bytes = settings.memory / BODY_PART;
+    front.max_buffered_bytes = settings.memory_bytes / BODY_PART;
     front
 }
 
--- a/crates/fescuewell_gateway/src/gateway.rs
+++ b/crates/fescuewell_gateway/src/gateway.rs
@@ -196,7 +196,7 @@
             quarantine: Quarantine::default(),
             load: Load::default(),
             quota: Quota::new(settings.name.clone(), 0),
-            retry: Budget::new(settings.retry),
+            retry: Budget::new(settings.retry_budget),
             directory: Directory::default(),
             arrivals: Window::new(u64::from(ARRIVALS_S) * 1_000),
             admission: admission::Limiter::new(settings.link_mbps, settings.cores),
--- a/crates/fescuewell_gateway/src/settings.rs
+++ b/crates/fescuewell_gateway/src/settings.rs
@@ -30,21 +30,21 @@
     /// Link in Mbit/s.
     pub link_mbps: f64,
     /// Most sockets that the process may have open.
-    pub sockets: usize,
+    pub max_sockets: usize,
     /// Memory of the process in bytes.
-    pub memory: usize,
+    pub memory_bytes: usize,
     /// Time from the request to stop until the process is killed.
-    pub grace: Duration,
+    pub grace_period: Duration,
     /// How long callers may keep an address answer.
-    pub keep_addresses: Duration,
+    pub address_ttl: Duration,
     /// The fleet's budget of repeats.
-    pub retry: retry::Bounds,
+    pub retry_budget: retry::Bounds,
     /// Transactions a second that one part of the store takes.
-    pub part_writes: f64,
+    pub partition_writes_per_s: f64,
     /// Writing calls a second that all instances together may make.
-    pub writes: f64,
+    pub writes_per_s: f64,
     /// Reading calls a second that all instances together may make.
-    pub reads: f64,
+    pub reads_per_s: f64,
 }
 
 impl Settings {
@@ -64,18 +64,18 @@
             metrics: None,
             cores: 1.0,
             link_mbps: 1_000.0,
-            sockets: 4_096,
-            memory: 110 * 1024 * 1024,
-            grace: Duration::from_secs(8),
-            keep_addresses: Duration::from_secs(2),
-            retry: retry::Bounds {
+            max_sockets: 4_096,
+            memory_bytes: 110 * 1024 * 1024,
+            grace_period: Duration::from_secs(8),
+            address_ttl: Duration::from_secs(2),
+            retry_budget: retry::Bounds {
                 ratio: 0.2,
                 slack: 50.0,
                 window_ms: 10_000,
             },
-            part_writes: 200.0,
-            writes: 600.0,
-            reads: 2_000.0,
+            partition_writes_per_s: 200.0,
+            writes_per_s: 600.0,
+            reads_per_s: 2_000.0,
         }
     }
 }
--- a/crates/fescuewell_gateway/src/side.rs
+++ b/crates/fescuewell_gateway/src/side.rs
@@ -19,11 +19,11 @@
 const ALONE_AFTER: Duration = Duration::from_secs(5);
 
 /// Answers them.
-pub struct Side {
+pub struct AuxiliaryHandler {
     gateway: Arc<Gateway>,
 }
 
-impl Side {
+impl AuxiliaryHandler {
     /// A handler for the listeners beside the traffic.
     pub fn new(gateway: Arc<Gateway>) -> Self {
         Self { gateway }
@@ -50,7 +50,7 @@
             refusal::answer(reply, Code::NotReady, None, false);
             return;
         }
-        let keep = self.gateway.settings.keep_addresses;
+        let keep = self.gateway.settings.address_ttl;
         let body = self.gateway.dialect.addresses(&addresses, keep);
         let mut headers = HeaderMap::new();
         if let Ok(kind) = HeaderValue::from_str(self.gateway.dialect.content_type()) {
@@ -60,7 +60,7 @@
     }
 }
 
-impl Handler for Side {
+impl Handler for AuxiliaryHandler {
     fn handle(&self, request: Request, reply: Reply) {
         let dialect = &self.gateway.dialect;
         if &*request.path == dialect.ready_path() {
--- a/crates/fescuewell_gateway/src/source.rs
+++ b/crates/fescuewell_gateway/src/source.rs
@@ -7,11 +7,11 @@
 use fescuewell_forward::evacuation::Order;
 use fescuewell_forward::server::Movement;
 
-use crate::store::Pending;
+use crate::store::StoreFuture;
 
 /// A reading of the source.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct News<Content> {
+pub struct Versioned<Content> {
     /// What was read.
     pub content: Content,
     /// From where to go on.
@@ -22,7 +22,7 @@
 
 /// A configuration that cannot be read.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Unreadable {
+pub struct InvalidConfiguration {
     /// Version of its row.
     pub version: u64,
     /// What is wrong with it.
@@ -31,11 +31,11 @@
 
 /// What the operator has written.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Word {
+pub struct OperatorState {
     /// The newest configuration, if the reading holds one.
     pub configuration: Option<Configuration>,
     /// A configuration that the reading holds and that this program cannot read.
-    pub unreadable: Option<Unreadable>,
+    pub invalid_configuration: Option<InvalidConfiguration>,
     /// Evacuations of availability zones that the reading holds.
     pub evacuations: Vec<Order>,
 }
@@ -43,14 +43,22 @@
 /// The configuration and the list of backend servers.
 pub trait Source: Send + Sync {
     /// All that the operator has written and not taken back.
-    fn word(&self) -> Pending<'_, News<Word>>;
+    fn read_operator_state(&self) -> StoreFuture<'_, Versioned<OperatorState>>;
 
     /// What the operator has written or taken back after `version`, waiting up to `wait` for something.
-    fn word_after(&self, version: u64, wait: Duration) -> Pending<'_, News<Word>>;
+    fn watch_operator_state(
+        &self,
+        version: u64,
+        wait: Duration,
+    ) -> StoreFuture<'_, Versioned<OperatorState>>;
 
     /// All backend servers.
-    fn servers(&self) -> Pending<'_, News<Vec<Movement>>>;
+    fn list_servers(&self) -> StoreFuture<'_, Versioned<Vec<Movement>>>;
 
     /// Changes of backend servers after `version`, waiting up to `wait` for one.
-    fn servers_after(&self, version: u64, wait: Duration) -> Pending<'_, News<Vec<Movement>>>;
+    fn watch_servers(
+        &self,
+        version: u64,
+        wait: Duration,
+    ) -> StoreFuture<'_, Versioned<Vec<Movement>>>;
 }
--- a/crates/fescuewell_gateway/src/store.rs
+++ b/crates/fescuewell_gateway/src/store.rs
@@ -7,15 +7,15 @@
 use snafu::Snafu;
 
 /// An answer that is still to come.
-pub type Pending<'a, Answer> = Pin<Box<dyn Future<Output = Result<Answer, Error>> + Send + 'a>>;
+pub type StoreFuture<'a, Answer> = Pin<Box<dyn Future<Output = Result<Answer, Error>> + Send + 'a>>;
 
 /// Where a row stands.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Place {
+pub struct RowId {
     /// Table.
     pub table: Arc<str>,
     /// Part of the table; transactions are atomic within a part.
-    pub part: Arc<str>,
+    pub partition: Arc<str>,
     /// Name within the part.
     pub key: Arc<str>,
 }
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Row {
     /// Where it stands.
-    pub place: Place,
+    pub id: RowId,
     /// Its content; nothing for a removed row.
     pub value: Option<Vec<u8>>,
     /// Version of its last write.
@@ -33,7 +33,7 @@
 
 /// Rows as of one moment.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Reading {
+pub struct ReadResponse {
     /// The rows, in the order of their keys or of their changes.
     pub rows: Vec<Row>,
     /// The store's version at that moment.
@@ -44,27 +44,27 @@
 
 /// Conditions and writes that take effect together or not at all.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Change {
+pub struct Transaction {
     /// Rows and the versions that they must have; 0 for "absent".
-    pub expects: Vec<(Place, u64)>,
+    pub preconditions: Vec<(RowId, u64)>,
     /// Rows to be written.
-    pub puts: Vec<(Place, Vec<u8>)>,
+    pub puts: Vec<(RowId, Vec<u8>)>,
     /// Rows to be removed.
-    pub removes: Vec<Place>,
+    pub deletes: Vec<RowId>,
 }
 
 /// What became of a change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
     /// It took effect under this version.
-    Done {
+    Committed {
         /// Version of all rows that it wrote.
         version: u64,
         /// The store's clock in milliseconds.
         now_ms: u64,
     },
     /// A condition did not hold and nothing was written.
-    Conflict(Reading),
+    Conflict(ReadResponse),
 }
 
 /// Why there is no outcome.
@@ -72,9 +72,9 @@
 pub enum Error {
     /// Nothing was done.
     #[snafu(display("the store did nothing: {reason}"))]
-    NotDone {
+    NotApplied {
         /// Whether it was one call too many.
-        is_busy: bool,
+        is_throttled: bool,
         /// What was seen.
         reason: Arc<str>,
     },
@@ -97,11 +97,11 @@
     fn era(&self) -> u32;
 
     /// Reads the rows of a part.
-    fn read<'a>(&'a self, table: &'a str, part: &'a str) -> Pending<'a, Reading>;
+    fn read<'a>(&'a self, table: &'a str, partition: &'a str) -> StoreFuture<'a, ReadResponse>;
 
     /// Reads one row.
-    fn read_row<'a>(&'a self, place: &'a Place) -> Pending<'a, Reading>;
+    fn read_row<'a>(&'a self, place: &'a RowId) -> StoreFuture<'a, ReadResponse>;
 
     /// Carries out a change.
-    fn commit<'a>(&'a self, change: &'a Change) -> Pending<'a, Outcome>;
+    fn commit<'a>(&'a self, change: &'a Transaction) -> StoreFuture<'a, Outcome>;
 }
--- a/crates/fescuewell_gateway/tests/common/mod.rs
+++ b/crates/fescuewell_gateway/tests/common/mod.rs
@@ -15,8 +15,10 @@
 use fescuewell_gateway::dialect::{Dialect, Facts, Names};
 use fescuewell_gateway::gateway::Gateway;
 use fescuewell_gateway::settings::Settings;
-use fescuewell_gateway::source::{News, Source, Word};
-use fescuewell_gateway::store::{Change, Error, Outcome, Pending, Place, Reading, Row, Store};
+use fescuewell_gateway::source::{OperatorState, Source, Versioned};
+use fescuewell_gateway::store::{
+    Error, Outcome, ReadResponse, Row, RowId, Store, StoreFuture, Transaction,
+};
 use http::{HeaderMap, HeaderName};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -45,18 +47,18 @@
     /// Time that calls on the accounts' ledgers take beyond the usual.
     ledger_delay: Duration,
     version: u64,
-    rows: HashMap<Place, (Vec<u8>, u64)>,
+    rows: HashMap<RowId, (Vec<u8>, u64)>,
     readings: HashMap<String, usize>,
 }
 
 /// A store of rows in memory, and the configuration in it.
-pub struct Memory {
+pub struct MemoryStore {
     content: Mutex<Content>,
     started: Instant,
     configuration: Configuration,
 }
 
-impl Memory {
+impl MemoryStore {
     pub fn new(prepaid: u64) -> Arc<Self> {
         let tenant = Tenant {
             name: ACCOUNT.into(),
@@ -81,7 +83,7 @@
         })
     }
 
-    pub fn set(&self, behaviour: Behaviour) {
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
         self.content().behaviour = behaviour;
     }
 
@@ -91,13 +93,13 @@
     }
 
     /// How often a table was to be read whole, with or without an answer.
-    pub fn readings(&self, table: &str) -> usize {
+    pub fn read_count(&self, table: &str) -> usize {
         let content = self.content();
         content.readings.get(table).copied().unwrap_or_default()
     }
 
     /// Rows of a table.
-    pub fn rows(&self, table: &str) -> usize {
+    pub fn row_count(&self, table: &str) -> usize {
         let content = self.content();
         let places = content.rows.keys();
         places.filter(|place| *place.table == *table).count()
@@ -118,9 +120,9 @@
     /// The instance's journal as it stands.
     pub fn journal(&self) -> Journal {
         let content = self.content();
-        let place = Place {
+        let place = RowId {
             table: "journal".into(),
-            part: INSTANCE.into(),
+            partition: INSTANCE.into(),
             key: INSTANCE.into(),
         };
         let (value, _) = &content.rows[&place];
@@ -138,8 +140,8 @@
             Behaviour::Answer => {}
             Behaviour::Silent => std::future::pending().await,
             Behaviour::Refuse => {
-                return Err(Error::NotDone {
-                    is_busy: false,
+                return Err(Error::NotApplied {
+                    is_throttled: false,
                     reason: "refused".into(),
                 });
             }
@@ -148,48 +150,52 @@
         Ok(())
     }
 
-    async fn news<Content>(&self, content: Content) -> Result<News<Content>, Error> {
+    async fn news<Content>(&self, content: Content) -> Result<Versioned<Content>, Error> {
         self.arrive().await?;
-        Ok(News {
+        Ok(Versioned {
             content,
             version: 1,
             now_ms: self.now_ms(),
         })
     }
 
-    fn reading(&self, places: &[Place]) -> Reading {
+    fn reading(&self, places: &[RowId]) -> ReadResponse {
         let content = self.content();
         let rows = places.iter().filter_map(|place| {
             let (value, version) = content.rows.get(place)?;
             Some(Row {
-                place: place.clone(),
+                id: place.clone(),
                 value: Some(value.clone()),
                 version: *version,
             })
         });
-        Reading {
+        ReadResponse {
             rows: rows.collect(),
             version: content.version,
             now_ms: self.now_ms(),
         }
     }
 
-    fn places(&self, table: &str, part: &str) -> Vec<Place> {
+    fn places(&self, table: &str, part: &str) -> Vec<RowId> {
         let content = self.content();
         let places = content.rows.keys();
-        let wanted = places.filter(|place| *place.table == *table && *place.part == *part);
+        let wanted = places.filter(|place| *place.table == *table && *place.partition == *part);
         wanted.cloned().collect()
     }
 
-    fn apply(&self, change: &Change) -> Outcome {
+    fn apply(&self, change: &Transaction) -> Outcome {
         let mut content = self.content();
-        for (place, wanted) in &change.expects {
+        for (place, wanted) in &change.preconditions {
             let version = content.rows.get(place).map_or(0, |row| row.1);
             if version == *wanted {
                 continue;
             }
             drop(content);
-            let places: Vec<Place> = change.expects.iter().map(|(at, _)| at.clone()).collect();
+            let places: Vec<RowId> = change
+                .preconditions
+                .iter()
+                .map(|(at, _)| at.clone())
+                .collect();
             return Outcome::Conflict(self.reading(&places));
         }
         content.version += 1;
@@ -197,22 +203,22 @@
         for (place, value) in &change.puts {
             content.rows.insert(place.clone(), (value.clone(), version));
         }
-        for place in &change.removes {
+        for place in &change.deletes {
             content.rows.remove(place);
         }
-        Outcome::Done {
+        Outcome::Committed {
             version,
             now_ms: self.now_ms(),
         }
     }
 }
 
-impl Store for Memory {
+impl Store for MemoryStore {
     fn era(&self) -> u32 {
         0
     }
 
-    fn read<'a>(&'a self, table: &'a str, part: &'a str) -> Pending<'a, Reading> {
+    fn read<'a>(&'a self, table: &'a str, part: &'a str) -> StoreFuture<'a, ReadResponse> {
         *self.content().readings.entry(table.into()).or_default() += 1;
         Box::pin(async move {
             self.arrive().await?;
@@ -221,7 +227,7 @@
         })
     }
 
-    fn read_row<'a>(&'a self, place: &'a Place) -> Pending<'a, Reading> {
+    fn read_row<'a>(&'a self, place: &'a RowId) -> StoreFuture<'a, ReadResponse> {
         Box::pin(async move {
             self.arrive().await?;
             self.wait_for(&place.table).await;
@@ -229,7 +235,7 @@
         })
     }
 
-    fn commit<'a>(&'a self, change: &'a Change) -> Pending<'a, Outcome> {
+    fn commit<'a>(&'a self, change: &'a Transaction) -> StoreFuture<'a, Outcome> {
         Box::pin(async move {
             self.arrive().await?;
             let first = change.puts.first();
@@ -240,26 +246,30 @@
     }
 }
 
-impl Source for Memory {
-    fn word(&self) -> Pending<'_, News<Word>> {
-        Box::pin(self.news(Word {
+impl Source for MemoryStore {
+    fn read_operator_state(&self) -> StoreFuture<'_, Versioned<OperatorState>> {
+        Box::pin(self.news(OperatorState {
             configuration: Some(self.configuration.clone()),
-            ..Word::default()
+            ..OperatorState::default()
         }))
     }
 
-    fn word_after(&self, _: u64, wait: Duration) -> Pending<'_, News<Word>> {
+    fn watch_operator_state(
+        &self,
+        _: u64,
+        wait: Duration,
+    ) -> StoreFuture<'_, Versioned<OperatorState>> {
         Box::pin(async move {
             tokio::time::sleep(wait).await;
-            self.news(Word::default()).await
+            self.news(OperatorState::default()).await
         })
     }
 
-    fn servers(&self) -> Pending<'_, News<Vec<Movement>>> {
+    fn list_servers(&self) -> StoreFuture<'_, Versioned<Vec<Movement>>> {
         Box::pin(self.news(Vec::new()))
     }
 
-    fn servers_after(&self, _: u64, wait: Duration) -> Pending<'_, News<Vec<Movement>>> {
+    fn watch_servers(&self, _: u64, wait: Duration) -> StoreFuture<'_, Versioned<Vec<Movement>>> {
         Box::pin(async move {
             tokio::time::sleep(wait).await;
             self.news(Vec::new()).await
@@ -318,7 +328,11 @@
 }
 
 /// An instance and its duties; `seed` decides what it draws at random.
-pub fn instance(settings: Settings, store: &Arc<Memory>, seed: u64) -> (Arc<Gateway>, Control) {
+pub fn instance(
+    settings: Settings,
+    store: &Arc<MemoryStore>,
+    seed: u64,
+) -> (Arc<Gateway>, Control) {
     let (gateway, inbox) = Gateway::new(settings, Arc::new(Silence(names()))).unwrap();
     gateway.state().random = SmallRng::seed_from_u64(seed);
     let control = Control::new(gateway.clone(), store.clone(), store.clone(), inbox);
@@ -327,9 +341,9 @@
 
 /// Plays a scenario beside the duties of one instance, in virtual time that jumps from event to event. `seed` decides what
 /// the instance draws at random.
-pub fn play<Scenario, Play>(prepaid: u64, seed: u64, scenario: Scenario) -> Play::Output
+pub fn run_scenario<Scenario, Play>(prepaid: u64, seed: u64, scenario: Scenario) -> Play::Output
 where
-    Scenario: FnOnce(Arc<Gateway>, Arc<Memory>) -> Play,
+    Scenario: FnOnce(Arc<Gateway>, Arc<MemoryStore>) -> Play,
     Play: Future,
 {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -338,7 +352,7 @@
         .build()
         .unwrap();
     runtime.block_on(async move {
-        let store = Memory::new(prepaid);
+        let store = MemoryStore::new(prepaid);
         let (gateway, control) = instance(settings(INSTANCE), &store, seed);
         tokio::select! {
             () = control.run() => unreachable!("the duties end with the process"),
--- a/crates/fescuewell_gateway/tests/duties.rs
+++ b/crates/fescuewell_gateway/tests/duties.rs
@@ -15,7 +15,7 @@
 #[test]
 fn a_journal_does_not_wait_for_a_plan() {
     for step in 0..10 {
-        let written = common::play(10_000_000, step, async move |gateway, store| {
+        let written = common::run_scenario(10_000_000, step, async move |gateway, store| {
             for _ in 0..40 {
                 tokio::time::sleep(Duration::from_millis(100)).await;
                 let now_ms = gateway.now_ms();
--- a/crates/fescuewell_gateway/tests/lending.rs
+++ b/crates/fescuewell_gateway/tests/lending.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use common::{ACCOUNT, Behaviour, Memory};
+use common::{ACCOUNT, Behaviour, MemoryStore};
 use fescuewell_gateway::control::Control;
 use fescuewell_gateway::gateway::Gateway;
 
@@ -20,7 +20,7 @@
     socket.local_addr().unwrap()
 }
 
-fn instance(name: &str, store: &Arc<Memory>) -> (Arc<Gateway>, Control) {
+fn instance(name: &str, store: &Arc<MemoryStore>) -> (Arc<Gateway>, Control) {
     let mut settings = common::settings(name);
     settings.peer = Some(free_address());
     common::instance(settings, store, 1)
@@ -56,13 +56,13 @@
         .build()
         .unwrap();
     runtime.block_on(async {
-        let store = Memory::new(400_000);
+        let store = MemoryStore::new(400_000);
         // One instance is enough for the callers. All choose this one, and it gets the tokens.
         let (rich, rich_control) = instance("entry-1", &store);
         let (poor, poor_control) = instance("entry-2", &store);
         let scenario = async {
             until_acquainted(&rich, &poor).await;
-            store.set(Behaviour::Silent);
+            store.set_behaviour(Behaviour::Silent);
             // A datagram may be lost: then it is asked again.
             while !poor.borrow(&ACCOUNT.into(), TOKENS).await {}
         };
@@ -84,8 +84,8 @@
 /// silent: nobody took their shortages.
 #[test]
 fn an_instance_without_peers_borrows_nothing() {
-    let borrowed = common::play(10_000, 1, async |gateway, store| {
-        store.set(Behaviour::Silent);
+    let borrowed = common::run_scenario(10_000, 1, async |gateway, store| {
+        store.set_behaviour(Behaviour::Silent);
         gateway.borrow(&ACCOUNT.into(), 20_000).await
     });
 
--- a/crates/fescuewell_gateway/tests/outage.rs
+++ b/crates/fescuewell_gateway/tests/outage.rs
@@ -32,11 +32,11 @@
 /// An outage of `outage`, after which the store is back for [`RENEWED_WITHIN`]. Returns whether the journal speaks of the
 /// time after the return then.
 fn is_renewed(behaviour: Behaviour, outage: Duration, seed: u64) -> bool {
-    common::play(10_000_000, seed, async move |gateway, store| {
+    common::run_scenario(10_000_000, seed, async move |gateway, store| {
         ask(&gateway, Duration::from_secs(4)).await;
-        store.set(behaviour);
+        store.set_behaviour(behaviour);
         ask(&gateway, outage).await;
-        store.set(Behaviour::Answer);
+        store.set_behaviour(Behaviour::Answer);
         let back_ms = store.now_ms();
         tokio::time::sleep(RENEWED_WITHIN).await;
         store.journal().at_ms >= back_ms
--- a/crates/fescuewell_gateway/tests/quarantine.rs
+++ b/crates/fescuewell_gateway/tests/quarantine.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use common::{Behaviour, Memory};
+use common::{Behaviour, MemoryStore};
 use fescuewell_forward::crash::{Content, Evidence, Fingerprint, Loss, Verdict};
 use fescuewell_forward::server::{Entry, State};
 use fescuewell_gateway::gateway::Gateway;
@@ -62,17 +62,17 @@
 /// outage, and the next answer as its end.
 #[test]
 fn a_store_that_answers_now_and_then_is_read_at_the_usual_pace() {
-    let readings = common::play(1_000_000, 1, async move |_, store| {
+    let readings = common::run_scenario(1_000_000, 1, async move |_, store| {
         tokio::time::sleep(Duration::from_secs(3)).await;
-        let before = store.readings(TABLE);
+        let before = store.read_count(TABLE);
         for step in 0..200 {
-            store.set(match step % 2 {
+            store.set_behaviour(match step % 2 {
                 0 => Behaviour::Refuse,
                 _ => Behaviour::Answer,
             });
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
-        store.readings(TABLE) - before
+        store.read_count(TABLE) - before
     });
 
     assert!(readings <= 5, "{readings} readings in ten seconds");
@@ -80,14 +80,14 @@
 
 #[test]
 fn a_quarantine_is_written_once() {
-    let rows = common::play(1_000_000, 1, async move |gateway, store| {
+    let rows = common::run_scenario(1_000_000, 1, async move |gateway, store| {
         tokio::time::sleep(CLOCK_KNOWN).await;
         crash(&gateway, 0..2);
         tokio::time::sleep(WRITTEN).await;
-        let before = store.rows(TABLE);
+        let before = store.row_count(TABLE);
         crash(&gateway, 2..4);
         tokio::time::sleep(WRITTEN).await;
-        (before, store.rows(TABLE))
+        (before, store.row_count(TABLE))
     });
 
     assert_eq!(rows, (0, 1));
@@ -96,7 +96,7 @@
 /// Guards against instances that each send a quarantined request once more when its time is over.
 #[test]
 fn one_instance_of_the_fleet_gets_leave_for_a_probe() {
-    let leaves = common::play(1_000_000, 1, async move |gateway, store| {
+    let leaves = common::run_scenario(1_000_000, 1, async move |gateway, store| {
         tokio::time::sleep(CLOCK_KNOWN).await;
         crash(&gateway, 0..3);
         tokio::time::sleep(WRITTEN).await;
@@ -123,13 +123,17 @@
 /// Guards against probes that nobody can bound: without the store no instance knows of those of others.
 #[test]
 fn nobody_probes_while_the_store_is_away() {
-    let may_probe = common::play(1_000_000, 1, async move |gateway, store: Arc<Memory>| {
-        tokio::time::sleep(CLOCK_KNOWN).await;
-        crash(&gateway, 0..3);
-        tokio::time::sleep(QUARANTINE).await;
-        store.set(Behaviour::Refuse);
-        (verdict(&gateway), gateway.may_probe(request()).await)
-    });
+    let may_probe = common::run_scenario(
+        1_000_000,
+        1,
+        async move |gateway, store: Arc<MemoryStore>| {
+            tokio::time::sleep(CLOCK_KNOWN).await;
+            crash(&gateway, 0..3);
+            tokio::time::sleep(QUARANTINE).await;
+            store.set_behaviour(Behaviour::Refuse);
+            (verdict(&gateway), gateway.may_probe(request()).await)
+        },
+    );
 
     assert_eq!(may_probe, (Verdict::Quarantined { may_probe: true }, false));
 }
--- a/tests/forward/fixture.rs
+++ b/tests/forward/fixture.rs
@@ -166,9 +166,9 @@
         boot.instance.link_mbps = self.link_mbps;
         boot.instance.peer = self.peer;
         if self.repeats == 0.0 {
-            boot.instance.retry.ratio = 0.0;
+            boot.instance.retry_budget.ratio = 0.0;
         }
-        boot.instance.retry.slack = self.repeats;
+        boot.instance.retry_budget.slack = self.repeats;
         let rows = Arc::new(Client::new(boot.store));
         let source = Arc::new(Registry::new(rows.clone()));
         let daemon = Daemon::start(boot.instance, Arc::new(Wire::default()), rows, source);
