--- a/crates/fescuewell_gateway/src/control.rs
+++ b/crates/fescuewell_gateway/src/control.rs
@@ -6,11 +6,11 @@
 mod ledger;
 mod lending;
 mod members;
-mod money;
 mod overdue;
 mod peers;
 mod probe;
 mod rows;
+mod sync;
 mod watch;
 
 use std::sync::Arc;
@@ -85,20 +85,12 @@
     pub async fn run(self) {
         let configuration = watch::configuration(&self);
         let servers = watch::servers(&self);
-        let money = money::run(&self);
+        let sync = sync::run(&self);
         let peers = peers::run(&self);
         let overdue = overdue::run(&self);
         let probe = probe::run(&self);
         let crashes = crashes::keep(&self);
-        tokio::join!(
-            configuration,
-            servers,
-            money,
-            peers,
-            overdue,
-            probe,
-            crashes
-        );
+        tokio::join!(configuration, servers, sync, peers, overdue, probe, crashes);
     }
 
     /// Notes what a call to the store came to, and the time that it took.
