--- a/crates/fescuewell_gateway/src/control/watch.rs
+++ b/crates/fescuewell_gateway/src/control/watch.rs
@@ -50,7 +50,7 @@
 /// Follows the configuration.
 pub(super) async fn configuration(control: &Control) {
     loop {
-        let read = control.source.read_operator_state();
+        let read = control.source.read_state();
         let Ok(news) = control.call("configuration", CALL, read).await else {
             tokio::time::sleep(PAUSE).await;
             continue;
@@ -63,7 +63,7 @@
                 tokio::time::sleep(FED_LOOK).await;
                 continue;
             }
-            let changes = control.source.watch_operator_state(version, WAIT);
+            let changes = control.source.watch_state(version, WAIT);
             match control
                 .call("configuration_after", WAIT_LIMIT, changes)
                 .await
--- a/crates/fescuewell_gateway/src/source.rs
+++ b/crates/fescuewell_gateway/src/source.rs
@@ -7,7 +7,7 @@
 use fescuewell_forward::evacuation::Order;
 use fescuewell_forward::server::Movement;
 
-use crate::store::StoreFuture;
+use crate::store::BoxFuture;
 
 /// A reading of the source.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -43,22 +43,18 @@
 /// The configuration and the list of backend servers.
 pub trait Source: Send + Sync {
     /// All that the operator has written and not taken back.
-    fn read_operator_state(&self) -> StoreFuture<'_, Versioned<OperatorState>>;
+    fn read_state(&self) -> BoxFuture<'_, Versioned<OperatorState>>;
 
     /// What the operator has written or taken back after `version`, waiting up to `wait` for something.
-    fn watch_operator_state(
-        &self,
-        version: u64,
-        wait: Duration,
-    ) -> StoreFuture<'_, Versioned<OperatorState>>;
+    fn watch_state(&self, version: u64, wait: Duration) -> BoxFuture<'_, Versioned<OperatorState>>;
 
     /// All backend servers.
-    fn list_servers(&self) -> StoreFuture<'_, Versioned<Vec<Movement>>>;
+    fn list_servers(&self) -> BoxFuture<'_, Versioned<Vec<Movement>>>;
 
     /// Changes of backend servers after `version`, waiting up to `wait` for one.
     fn watch_servers(
         &self,
         version: u64,
         wait: Duration,
-    ) -> StoreFuture<'_, Versioned<Vec<Movement>>>;
+    ) -> BoxFuture<'_, Versioned<Vec<Movement>>>;
 }
--- a/crates/fescuewell_gateway/src/store.rs
+++ b/crates/fescuewell_gateway/src/store.rs
@@ -7,7 +7,7 @@
 use snafu::Snafu;
 
 /// An answer that is still to come.
-pub type StoreFuture<'a, Answer> = Pin<Box<dyn Future<Output = Result<Answer, Error>> + Send + 'a>>;
+pub type BoxFuture<'a, Answer> = Pin<Box<dyn Future<Output = Result<Answer, Error>> + Send + 'a>>;
 
 /// Where a row stands.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -97,11 +97,11 @@
     fn era(&self) -> u32;
 
     /// Reads the rows of a part.
-    fn read<'a>(&'a self, table: &'a str, partition: &'a str) -> StoreFuture<'a, ReadResponse>;
+    fn read<'a>(&'a self, table: &'a str, partition: &'a str) -> BoxFuture<'a, ReadResponse>;
 
     /// Reads one row.
-    fn read_row<'a>(&'a self, place: &'a RowId) -> StoreFuture<'a, ReadResponse>;
+    fn read_row<'a>(&'a self, place: &'a RowId) -> BoxFuture<'a, ReadResponse>;
 
     /// Carries out a change.
-    fn commit<'a>(&'a self, change: &'a Transaction) -> StoreFuture<'a, Outcome>;
+    fn commit<'a>(&'a self, change: &'a Transaction) -> BoxFuture<'a, Outcome>;
 }
--- a/crates/fescuewell_gateway/tests/common/mod.rs
+++ b/crates/fescuewell_gateway/tests/common/mod.rs
@@ -17,7 +17,7 @@
 use fescuewell_gateway::settings::Settings;
 use fescuewell_gateway::source::{OperatorState, Source, Versioned};
 use fescuewell_gateway::store::{
-    Error, Outcome, ReadResponse, Row, RowId, Store, StoreFuture, Transaction,
+    BoxFuture, Error, Outcome, ReadResponse, Row, RowId, Store, Transaction,
 };
 use http::{HeaderMap, HeaderName};
 use rand::SeedableRng;
@@ -218,7 +218,7 @@
         0
     }
 
-    fn read<'a>(&'a self, table: &'a str, part: &'a str) -> StoreFuture<'a, ReadResponse> {
+    fn read<'a>(&'a self, table: &'a str, part: &'a str) -> BoxFuture<'a, ReadResponse> {
         *self.content().readings.entry(table.into()).or_default() += 1;
         Box::pin(async move {
             self.arrive().await?;
@@ -227,7 +227,7 @@
         })
     }
 
-    fn read_row<'a>(&'a self, place: &'a RowId) -> StoreFuture<'a, ReadResponse> {
+    fn read_row<'a>(&'a self, place: &'a RowId) -> BoxFuture<'a, ReadResponse> {
         Box::pin(async move {
             self.arrive().await?;
             self.wait_for(&place.table).await;
@@ -235,7 +235,7 @@
         })
     }
 
-    fn commit<'a>(&'a self, change: &'a Transaction) -> StoreFuture<'a, Outcome> {
+    fn commit<'a>(&'a self, change: &'a Transaction) -> BoxFuture<'a, Outcome> {
         Box::pin(async move {
             self.arrive().await?;
             let first = change.puts.first();
@@ -247,29 +247,25 @@
 }
 
 impl Source for MemoryStore {
-    fn read_operator_state(&self) -> StoreFuture<'_, Versioned<OperatorState>> {
+    fn read_state(&self) -> BoxFuture<'_, Versioned<OperatorState>> {
         Box::pin(self.news(OperatorState {
             configuration: Some(self.configuration.clone()),
             ..OperatorState::default()
         }))
     }
 
-    fn watch_operator_state(
-        &self,
-        _: u64,
-        wait: Duration,
-    ) -> StoreFuture<'_, Versioned<OperatorState>> {
+    fn watch_state(&self, _: u64, wait: Duration) -> BoxFuture<'_, Versioned<OperatorState>> {
         Box::pin(async move {
             tokio::time::sleep(wait).await;
             self.news(OperatorState::default()).await
         })
     }
 
-    fn list_servers(&self) -> StoreFuture<'_, Versioned<Vec<Movement>>> {
+    fn list_servers(&self) -> BoxFuture<'_, Versioned<Vec<Movement>>> {
         Box::pin(self.news(Vec::new()))
     }
 
-    fn watch_servers(&self, _: u64, wait: Duration) -> StoreFuture<'_, Versioned<Vec<Movement>>> {
+    fn watch_servers(&self, _: u64, wait: Duration) -> BoxFuture<'_, Versioned<Vec<Movement>>> {
         Box::pin(async move {
             tokio::time::sleep(wait).await;
             self.news(Vec::new()).await
