--- a/crates/fescuewell_gateway/src/control.rs
+++ b/crates/fescuewell_gateway/src/control.rs
@@ -1,4 +1,5 @@
-//! The duties of the control thread: the configuration, the list of backend servers, grants and membership.
+//! The control thread: watches the configuration and the backend server list, and synchronizes
+//! token grants and membership with the store.
 
 mod crashes;
 mod fence;
@@ -27,43 +28,45 @@
 use crate::source::Source;
 use crate::store::{Error, Store};
 
-/// What the duties work with.
+/// Shared context of the control tasks.
 #[derive(Clone)]
 pub struct Control {
     gateway: Arc<Gateway>,
     store: Arc<dyn Store>,
     source: Arc<dyn Source>,
     inbox: Inbox,
-    next_silent_ms: Arc<AtomicU64>,
-    /// Version of the last configuration that could not be read.
-    unreadable: Arc<AtomicU64>,
-    /// What this instance, as a reader, passes on.
+    next_silent_log_ms: Arc<AtomicU64>,
+    /// Version of the last invalid configuration that was logged.
+    last_invalid_version: Arc<AtomicU64>,
+    /// Digests that this instance relays if it is a reader.
     digests: (flume::Sender<Digest>, flume::Receiver<Digest>),
 }
 
-/// Longest time for one call to the store. It answers within milliseconds; one that was slowed down fiftyfold still
-/// fits, and a connection that has gone silent costs no more than this.
-const CALL: Duration = Duration::from_millis(1_200);
-/// Times between calls vary from this part,
-const SPREAD_FROM: f64 = 0.9;
-/// to this part of what they should be.
-const SPREAD_TO: f64 = 1.1;
-/// Least time between two lines on calls that fail while the store is known to be down, in milliseconds: enough to see
-/// when it was tried, and a bounded volume however often it is.
-const SILENT_EVERY_MS: u64 = 500;
-/// Time that a call which was sent into an outage is still waited for once another one has been answered, counted from its
-/// beginning: an answer takes some milliseconds.
+/// Timeout of one store call. The store normally replies within milliseconds; the timeout still
+/// allows for a store that is fifty times slower, and bounds the cost of a dead connection.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Lower bound of the jitter factor applied to intervals.
+const JITTER_MIN: f64 = 0.9;
+/// Upper bound of the jitter factor applied to intervals.
+const JITTER_MAX: f64 = 1.1;
+/// Minimum interval between log lines about calls that fail while the store is known to be down, in
+/// milliseconds. It shows when calls were tried and bounds the log volume at any call rate.
+const SILENT_LOG_INTERVAL_MS: u64 = 500;
+/// Timeout, from the start of the call, of a call that was sent during an outage, once another call
+/// has got a reply. A reply takes a few milliseconds.
 ///
-/// Without this each duty waits for its own lost call first, up to [`CALL`] long and one after the other: the journal stays as
-/// old as the outage for that long, and a loss of power then is charged for all of it.
-const OVERTAKEN: Duration = Duration::from_millis(60);
-/// Digests that wait to be sent. Each holds what the one before held, so that one that finds no room is no loss.
-const MOST_DIGESTS: usize = 2;
-/// Pause after a failed call.
-const PAUSE: Duration = Duration::from_millis(150);
+/// Without it, each task first waits up to [`CALL_TIMEOUT`] for its own lost call, one after the
+/// other. The journal stays as old as the outage for that long, and a power loss is charged for all
+/// of that time.
+const SUPERSEDED_TIMEOUT: Duration = Duration::from_millis(60);
+/// Maximum number of queued digests. Each digest contains the changes of the previous one, so one
+/// that does not fit in the queue can be dropped.
+const MAX_QUEUED_DIGESTS: usize = 2;
+/// Delay before a failed call is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(150);
 
 impl Control {
-    /// The duties of an instance.
+    /// Creates the control context of an instance.
     pub fn new(
         gateway: Arc<Gateway>,
         store: Arc<dyn Store>,
@@ -75,13 +78,13 @@
             store,
             source,
             inbox,
-            next_silent_ms: Arc::default(),
-            unreadable: Arc::default(),
-            digests: flume::bounded(MOST_DIGESTS),
+            next_silent_log_ms: Arc::default(),
+            last_invalid_version: Arc::default(),
+            digests: flume::bounded(MAX_QUEUED_DIGESTS),
         }
     }
 
-    /// Carries the duties out for as long as it is polled.
+    /// Runs the control tasks until the future is dropped.
     pub async fn run(self) {
         let configuration = watch::configuration(&self);
         let servers = watch::servers(&self);
@@ -89,59 +92,67 @@
         let peers = peers::run(&self);
         let overdue = overdue::run(&self);
         let probe = probe::run(&self);
-        let crashes = crashes::keep(&self);
+        let crashes = crashes::sync(&self);
         tokio::join!(configuration, servers, sync, peers, overdue, probe, crashes);
     }
 
-    /// Notes what a call to the store came to, and the time that it took.
-    fn note_outcome<Answer>(&self, answer: &Result<Answer, Error>, call: &str, took: Duration) {
-        let up = matches!(answer, Ok(_) | Err(Error::Compacted));
+    /// Records the result and the duration of a store call.
+    fn record_outcome<Response>(
+        &self,
+        result: &Result<Response, Error>,
+        call: &str,
+        took: Duration,
+    ) {
+        let up = matches!(result, Ok(_) | Err(Error::Compacted));
         let silence = self.gateway.store_silence();
-        let is_news = self.gateway.set_store_up(up);
+        let has_changed = self.gateway.set_store_up(up);
         let took_ms = took.as_millis();
-        match answer {
-            Err(error) if !up && is_news => {
+        match result {
+            Err(error) if !up && has_changed => {
                 let reason = error.to_string().replace(' ', "_");
                 log_event!(Event::TableDown, "call={call} reason={reason}");
             }
-            Err(error) if !up => self.still_down(error, call, took_ms),
-            _ if !is_news => {}
+            Err(error) if !up => self.log_still_down(error, call, took_ms),
+            _ if !has_changed => {}
             _ => {
                 log_event!(
                     Event::TableUp,
                     "call={call} took_ms={took_ms} silent_ms={}",
                     silence.as_millis()
                 );
-                // The journal is as old as the outage, and a restart now would be charged for all of that.
+                // The journal is as old as the outage, and a restart now is charged for all of that
+                // time.
                 self.gateway.want_tokens();
             }
         }
     }
 
-    /// Ends when the store is back and a call that was begun before has had its time.
-    async fn overtaken(&self, begun: Instant) {
+    /// Completes when the store is reachable again and a call sent before that has had time to get
+    /// its reply.
+    async fn wait_superseded(&self, started: Instant) {
         let mut returns = self.gateway.returns();
         if returns.changed().await.is_err() {
-            // The gateway is gone, and nobody waits for calls any more.
+            // The gateway was dropped, so no call is waiting any more.
             std::future::pending::<()>().await;
         }
-        tokio::time::sleep_until(begun + OVERTAKEN).await;
+        tokio::time::sleep_until(started + SUPERSEDED_TIMEOUT).await;
     }
 
-    /// Varies a time, so that instances that started together do not call at the same moment for ever.
-    fn spread(&self, time: Duration) -> Duration {
+    /// Applies jitter to an interval, so that instances that start together do not keep calling at
+    /// the same time.
+    fn jitter(&self, time: Duration) -> Duration {
         let part = self.gateway.draw() as f64 / u64::MAX as f64;
-        time.mul_f64(SPREAD_FROM + (SPREAD_TO - SPREAD_FROM) * part)
+        time.mul_f64(JITTER_MIN + (JITTER_MAX - JITTER_MIN) * part)
     }
 
     /// Logs a call that failed while the store was known to be down.
-    fn still_down(&self, error: &Error, call: &str, took_ms: u128) {
+    fn log_still_down(&self, error: &Error, call: &str, took_ms: u128) {
         let now_ms = self.gateway.now_ms();
-        if now_ms < self.next_silent_ms.load(Ordering::Relaxed) {
+        if now_ms < self.next_silent_log_ms.load(Ordering::Relaxed) {
             return;
         }
-        let next_ms = now_ms + SILENT_EVERY_MS;
-        self.next_silent_ms.store(next_ms, Ordering::Relaxed);
+        let next_ms = now_ms + SILENT_LOG_INTERVAL_MS;
+        self.next_silent_log_ms.store(next_ms, Ordering::Relaxed);
         let reason = error.to_string().replace(' ', "_");
         log_event!(
             Event::TableSilent,
@@ -149,40 +160,41 @@
         );
     }
 
-    /// Limits a call's time: an answer that does not come in time is missing.
-    async fn call<Answer, Call>(
+    /// Applies a timeout to a store call and records its result.
+    async fn call<Response, Call>(
         &self,
         name: &str,
         limit: Duration,
         call: Call,
-    ) -> Result<Answer, Error>
+    ) -> Result<Response, Error>
     where
-        Call: Future<Output = Result<Answer, Error>>,
+        Call: Future<Output = Result<Response, Error>>,
     {
-        let begun = Instant::now();
-        let into_outage = !self.gateway.is_store_up();
-        let answer = tokio::select! {
-            answer = tokio::time::timeout(limit, call) => answer,
-            () = self.overtaken(begun), if into_outage => {
-                // It says nothing of the store as it is now.
+        let started = Instant::now();
+        let was_store_down = !self.gateway.is_store_up();
+        let result = tokio::select! {
+            result = tokio::time::timeout(limit, call) => result,
+            () = self.wait_superseded(started), if was_store_down => {
+                // A call that was sent during the outage says nothing about the store's current
+                // state.
                 self.gateway.metrics.store_call(name, "overtaken");
-                return Err(missing("another call was answered"));
+                return Err(no_reply("superseded by another call"));
             }
         };
-        let answer = answer.unwrap_or_else(|_| Err(missing("no answer in time")));
-        let outcome = match &answer {
+        let result = result.unwrap_or_else(|_| Err(no_reply("timed out")));
+        let outcome = match &result {
             Ok(_) => "answered",
             Err(Error::NotApplied { .. }) => "not_done",
             Err(Error::Unknown { .. }) => "unknown",
             Err(Error::Compacted) => "compacted",
         };
         self.gateway.metrics.store_call(name, outcome);
-        self.note_outcome(&answer, name, begun.elapsed());
-        answer
+        self.record_outcome(&result, name, started.elapsed());
+        result
     }
 }
 
-fn missing(reason: &str) -> Error {
+fn no_reply(reason: &str) -> Error {
     Error::Unknown {
         reason: reason.into(),
     }
--- a/crates/fescuewell_gateway/src/control/crashes.rs
+++ b/crates/fescuewell_gateway/src/control/crashes.rs
@@ -1,7 +1,8 @@
-//! Exchange of crash records with other instances and with the store.
+//! Exchanges crash records with other instances and with the store.
 //!
-//! Changes are gossiped to a few random peers, which forward what is new to them; periodic samples repair lost updates. The store
-//! holds quarantined requests only, for instances that start alone or are cut off from their peers.
+//! Changes are gossiped to a few random peers, which forward what is new to them; periodic samples
+//! repair lost updates. The store holds quarantined requests only, for instances that start alone
+//! or are cut off from their peers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,59 +13,59 @@
 use tokio::net::UdpSocket;
 use tokio::time::Instant;
 
-use super::rows::{FLEET, place, read, read_row, unreadable};
-use super::watch::ready_if_complete;
-use super::{CALL, Control, PAUSE};
+use super::rows::{FLEET_PARTITION, log_unreadable, read, read_row, row_id};
+use super::watch::advance_stage;
+use super::{CALL_TIMEOUT, Control, RETRY_DELAY};
 use crate::gateway::Probe;
 use crate::store::{Outcome, Row, RowId, Transaction};
 
 /// Table of the quarantined requests.
 const TABLE: &str = "quarantine";
-/// Leading byte of a row.
+/// Format version, the first byte of a row.
 const FORMAT: u8 = 1;
 /// Records per message; fits one Ethernet frame.
-const MOST_RECORDS: usize = 8;
+const MAX_RECORDS: usize = 8;
 /// Gossip fan-out of a change.
 const FANOUT: usize = 8;
 /// Average bandwidth of changes in bytes per second.
-const BYTES_S: f64 = 4_096.0;
-/// Minimum interval between two messages with changes.
-const ANNOUNCE_PAUSE: Duration = Duration::from_millis(10);
+const BYTES_PER_S: f64 = 4_096.0;
+/// Minimum interval between two gossip messages.
+const MIN_ANNOUNCE_INTERVAL: Duration = Duration::from_millis(10);
 /// Interval between two samples.
-const SAMPLE_EVERY: Duration = Duration::from_millis(300);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(300);
 /// Interval between two requests for records after a start.
-const ASK_EVERY: Duration = Duration::from_millis(200);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(200);
 /// Number of such requests.
-const ASKS: usize = 10;
+const MAX_REQUESTS: usize = 10;
 /// Maximum interval between two reads of the table.
-const READ_EVERY: Duration = Duration::from_secs(60);
+const MAX_READ_INTERVAL: Duration = Duration::from_secs(60);
 /// Minimum interval between two reads of the table in a small fleet.
-const READ_PAUSE: Duration = Duration::from_secs(2);
+const MIN_READ_INTERVAL: Duration = Duration::from_secs(2);
 /// Fraction of the store's read capacity that isolated instances may use together.
 const READ_SHARE: f64 = 0.05;
-/// Time without any message after which an instance counts as isolated; several samples.
+/// Time without any message after which an instance counts as isolated. It covers several samples.
 const ISOLATED_AFTER: Duration = Duration::from_millis(2_500);
 /// Maximum number of expired rows removed per read.
-const MOST_REMOVED: usize = 32;
+const MAX_REMOVED: usize = 32;
 
 /// Exchanges records with other instances.
 pub(super) async fn exchange(control: &Control, socket: &UdpSocket) {
     tokio::join!(
         announce(control, socket),
         sample(control, socket),
-        ask(control, socket)
+        request_records(control, socket)
     );
 }
 
 /// Merges a peer's records.
 pub(super) fn receive(control: &Control, updates: Vec<Update>, from: SocketAddr) {
-    let updates = updates.into_iter().take(MOST_RECORDS);
+    let updates = updates.into_iter().take(MAX_RECORDS);
     control.gateway.learn_crashes(updates, &from.to_string());
 }
 
 /// Sends records to a peer that has just started.
-pub(super) fn answer(control: &Control, socket: &UdpSocket, from: SocketAddr) {
-    let updates = control.gateway.state().quarantine.sample(MOST_RECORDS);
+pub(super) fn send_records(control: &Control, socket: &UdpSocket, from: SocketAddr) {
+    let updates = control.gateway.state().quarantine.sample(MAX_RECORDS);
     send(control, socket, Message::Crashes(updates), &[from]);
 }
 
@@ -73,7 +74,7 @@
     let gateway = &control.gateway;
     let mut changes = gateway.crash_changes();
     loop {
-        let updates = gateway.state().quarantine.take_fresh(MOST_RECORDS);
+        let updates = gateway.state().quarantine.take_fresh(MAX_RECORDS);
         if updates.is_empty() {
             if changes.changed().await.is_err() {
                 return;
@@ -82,30 +83,30 @@
         }
         let peers = peers(control, FANOUT);
         let bytes = send(control, socket, Message::Crashes(updates), &peers);
-        let pause = Duration::from_secs_f64(bytes as f64 / BYTES_S);
-        tokio::time::sleep(pause.max(ANNOUNCE_PAUSE)).await;
+        let pause = Duration::from_secs_f64(bytes as f64 / BYTES_PER_S);
+        tokio::time::sleep(pause.max(MIN_ANNOUNCE_INTERVAL)).await;
     }
 }
 
 /// Sends periodic samples, which also serve as keep-alive messages.
 async fn sample(control: &Control, socket: &UdpSocket) {
     loop {
-        tokio::time::sleep(control.spread(SAMPLE_EVERY)).await;
-        let updates = control.gateway.state().quarantine.sample(MOST_RECORDS);
+        tokio::time::sleep(control.jitter(SAMPLE_INTERVAL)).await;
+        let updates = control.gateway.state().quarantine.sample(MAX_RECORDS);
         let peers = peers(control, 1);
         send(control, socket, Message::Crashes(updates), &peers);
     }
 }
 
 /// Requests records from peers after a start.
-async fn ask(control: &Control, socket: &UdpSocket) {
-    let mut asked = 0;
-    while asked < ASKS {
+async fn request_records(control: &Control, socket: &UdpSocket) {
+    let mut requests = 0;
+    while requests < MAX_REQUESTS {
         let peers = peers(control, 1);
         if send(control, socket, Message::CrashesWanted, &peers) > 0 {
-            asked += 1;
+            requests += 1;
         }
-        tokio::time::sleep(ASK_EVERY).await;
+        tokio::time::sleep(REQUEST_INTERVAL).await;
     }
 }
 
@@ -122,7 +123,7 @@
 }
 
 /// Selects random peers.
-fn peers(control: &Control, most: usize) -> Vec<SocketAddr> {
+fn peers(control: &Control, max: usize) -> Vec<SocketAddr> {
     let gateway = &control.gateway;
     let own = gateway.settings.peer;
     let mut state = gateway.state();
@@ -130,30 +131,34 @@
     let members = state.directory.live();
     let peers = members.filter_map(|(_, member)| member.peer);
     let others = peers.filter(|peer| Some(*peer) != own);
-    others.choose_multiple(&mut state.random, most)
+    others.choose_multiple(&mut state.random, max)
 }
 
 /// Synchronizes quarantined requests with the store.
-pub(super) async fn keep(control: &Control) {
-    tokio::join!(read_again(control), record(control), probe(control));
+pub(super) async fn sync(control: &Control) {
+    tokio::join!(
+        sync_periodically(control),
+        record_quarantines(control),
+        permit_probes(control)
+    );
 }
 
-/// Reads the table at start, after store outages, periodically, and frequently while isolated.
-async fn read_again(control: &Control) {
+/// Synchronizes at start, after store outages, periodically, and frequently while isolated.
+async fn sync_periodically(control: &Control) {
     let gateway = &control.gateway;
     let mut returns = gateway.returns();
     while !reconcile(control).await {
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
     gateway.state().quarantine.set_loaded();
-    ready_if_complete(control);
+    advance_stage(control);
     loop {
-        let due = Instant::now() + control.spread(READ_EVERY);
+        let due = Instant::now() + control.jitter(MAX_READ_INTERVAL);
         loop {
-            // Bounds reads of a store that is flapping.
-            tokio::time::sleep(read_pause(control)).await;
-            let is_back = returns.has_changed().unwrap_or(true);
-            let is_due = is_back || is_isolated(control) || Instant::now() >= due;
+            // Limits the read rate while the store flaps.
+            tokio::time::sleep(read_interval(control)).await;
+            let has_returned = returns.has_changed().unwrap_or(true);
+            let is_due = has_returned || is_isolated(control) || Instant::now() >= due;
             if is_due && gateway.is_store_up() {
                 break;
             }
@@ -163,7 +168,7 @@
     }
 }
 
-/// Returns `true` if other instances are alive but none can be received.
+/// Returns `true` if other instances are alive but none can be reached.
 fn is_isolated(control: &Control) -> bool {
     let gateway = &control.gateway;
     let others = gateway.state().directory.count() - 1;
@@ -171,24 +176,24 @@
 }
 
 /// Returns the minimum interval between two reads.
-fn read_pause(control: &Control) -> Duration {
+fn read_interval(control: &Control) -> Duration {
     let gateway = &control.gateway;
     let instances = gateway.state().directory.count() as f64;
     let share = instances / (gateway.settings.reads_per_s * READ_SHARE);
-    READ_PAUSE.max(Duration::from_secs_f64(share))
+    MIN_READ_INTERVAL.max(Duration::from_secs_f64(share))
 }
 
 /// Merges the table, writes missing records and removes expired ones. Returns `false` if the table could not be read.
 async fn reconcile(control: &Control) -> bool {
-    let Ok(reading) = read(control, TABLE, FLEET).await else {
+    let Ok(response) = read(control, TABLE, FLEET_PARTITION).await else {
         return false;
     };
     let mut known = Vec::new();
     let mut expired = Vec::new();
-    for row in &reading.rows {
-        // Unreadable rows may stem from a newer version and are kept.
+    for row in &response.rows {
+        // An unreadable row may come from a newer program version and is kept.
         match decode(row) {
-            Some(update) if update.record.is_expired(reading.now_ms) => expired.push(row),
+            Some(update) if update.record.is_expired(response.now_ms) => expired.push(row),
             Some(update) => known.push(update),
             None => {}
         }
@@ -200,21 +205,21 @@
             write(control, update).await;
         }
     }
-    for row in expired.into_iter().take(MOST_REMOVED) {
-        let change = Transaction {
+    for row in expired.into_iter().take(MAX_REMOVED) {
+        let transaction = Transaction {
             preconditions: vec![(row.id.clone(), row.version)],
             deletes: vec![row.id.clone()],
             ..Transaction::default()
         };
-        let commit = control.store.commit(&change);
-        // A conflict means that another instance removed it.
-        let _ = control.call(TABLE, CALL, commit).await;
+        let commit = control.store.commit(&transaction);
+        // On a conflict, another instance has already removed the row.
+        let _ = control.call(TABLE, CALL_TIMEOUT, commit).await;
     }
     true
 }
 
 /// Writes quarantines detected by this instance.
-async fn record(control: &Control) {
+async fn record_quarantines(control: &Control) {
     let gateway = &control.gateway;
     let mut changes = gateway.crash_changes();
     loop {
@@ -228,7 +233,7 @@
     }
 }
 
-/// Merges one record into the store. Failed writes are repeated by the next reconciliation.
+/// Merges one record into the store. A failed write is retried by the next synchronization.
 async fn write(control: &Control, update: Update) {
     let Some((row, version, mut record)) = read_record(control, &update).await else {
         return;
@@ -238,15 +243,16 @@
     commit(control, row, version, &update).await;
 }
 
-/// Permits one probe per quarantine period in the whole fleet by committing it to the store first.
-async fn probe(control: &Control) {
+/// Permits one probe per quarantine period in the whole fleet, by committing each probe to the
+/// store first.
+async fn permit_probes(control: &Control) {
     while let Ok(Probe { request, reply }) = control.inbox.probes.recv_async().await {
-        // The caller may have disconnected.
-        let _ = reply.send(is_probed(control, request).await);
+        // The request may have been cancelled.
+        let _ = reply.send(commit_probe(control, request).await);
     }
 }
 
-async fn is_probed(control: &Control, request: Fingerprint) -> bool {
+async fn commit_probe(control: &Control, request: Fingerprint) -> bool {
     let gateway = &control.gateway;
     let empty = Update {
         request,
@@ -274,29 +280,29 @@
     is_written
 }
 
-/// Reads the store's record of a request, with its place and version.
+/// Reads the store's record of a request, with its row identifier and version.
 async fn read_record(control: &Control, update: &Update) -> Option<(RowId, u64, Record)> {
-    let row = place(TABLE, FLEET, &update.request.to_string());
-    let reading = read_row(control, &row).await.ok()?;
-    let known = reading.rows.iter().find(|known| known.value.is_some());
+    let row = row_id(TABLE, FLEET_PARTITION, &update.request.to_string());
+    let response = read_row(control, &row).await.ok()?;
+    let known = response.rows.iter().find(|known| known.value.is_some());
     let version = known.map_or(0, |known| known.version);
     let record = known.and_then(decode).map(|known| known.record);
     Some((row, version, record.unwrap_or_default()))
 }
 
 async fn commit(control: &Control, row: RowId, version: u64, update: &Update) -> bool {
-    let change = Transaction {
+    let transaction = Transaction {
         preconditions: vec![(row.clone(), version)],
         puts: vec![(row, encode(update))],
         deletes: Vec::new(),
     };
-    let commit = control.store.commit(&change);
-    let outcome = control.call(TABLE, CALL, commit).await;
+    let commit = control.store.commit(&transaction);
+    let outcome = control.call(TABLE, CALL_TIMEOUT, commit).await;
     matches!(outcome, Ok(Outcome::Committed { .. }))
 }
 
 fn encode(update: &Update) -> Vec<u8> {
-    // Only a type that cannot be written at all fails here.
+    // Serialization fails only for types that postcard does not support.
     postcard::to_extend(update, vec![FORMAT]).unwrap_or_default()
 }
 
@@ -306,6 +312,6 @@
         _ => Err("unknown format".into()),
     };
     update
-        .inspect_err(|reason: &String| unreadable(row, reason))
+        .inspect_err(|reason: &String| log_unreadable(row, reason))
         .ok()
 }
--- a/crates/fescuewell_gateway/src/control/fence.rs
+++ b/crates/fescuewell_gateway/src/control/fence.rs
@@ -1,4 +1,5 @@
-//! The eras of the store: what is done when it has come back from a copy. See [`fescuewell_forward::quota::era`].
+//! The fence row, and recovery after the store was restored from a snapshot. See
+//! [`fescuewell_forward::quota::era`].
 
 use fescuewell_core::log_event;
 use fescuewell_core::prelude::*;
@@ -6,28 +7,29 @@
 use fescuewell_forward::quota::era::Fence;
 use fescuewell_forward::version;
 
-use super::journal::{decode_journal, read_own};
-use super::ledger::{LEDGERS, MONEY, decode_ledger};
-use super::rows::{decode, place, read, read_row};
-use super::{CALL, Control};
+use super::journal::{decode_journal, read_journal};
+use super::ledger::{LEDGER_PARTITION, LEDGER_TABLE, decode_ledger};
+use super::rows::{decode, read, read_row, row_id};
+use super::{CALL_TIMEOUT, Control};
 use crate::store::{Error, Outcome, ReadResponse, Row, RowId, Transaction};
 
-/// Table and key of the row that each transaction on ledgers expects. It stands in their part.
+/// Table and key of the fence. Every ledger transaction has its version as a precondition, so it is
+/// stored in the ledgers' partition.
 const FENCE: &str = "fence";
 
-/// Where the fence stands.
-pub(super) fn fence_place() -> RowId {
-    place(FENCE, MONEY, FENCE)
+/// Returns the identifier of the fence row.
+pub(super) fn fence_id() -> RowId {
+    row_id(FENCE, LEDGER_PARTITION, FENCE)
 }
 
-/// Reads the fence.
+/// Reads the fence row.
 pub(super) async fn read_fence(control: &Control) -> Result<ReadResponse, Error> {
-    read_row(control, &fence_place()).await
+    read_row(control, &fence_id()).await
 }
 
-/// Takes the fence of a reading, if there is one.
-pub(super) fn learn_fence(quota: &mut Quota, reading: &ReadResponse) {
-    for row in &reading.rows {
+/// Applies the fence in a response, if there is one.
+pub(super) fn apply_fence(quota: &mut Quota, response: &ReadResponse) {
+    for row in &response.rows {
         if &*row.id.table != FENCE {
             continue;
         }
@@ -41,25 +43,26 @@
     decode(row, Fence::decode)
 }
 
-/// Goes over to the store's present era if it has come back from a copy; returns whether this instance has.
+/// Moves to the store's current era if the store was restored from a snapshot. Returns `true` if
+/// this instance is in the current era.
 ///
-/// Until then the rows that it knows are those of a former era, and no transaction on them is sent.
-pub(super) async fn enter(control: &Control) -> bool {
+/// Before that, the rows it knows belong to an earlier era, and no transaction on them may be sent.
+pub(super) async fn enter_era(control: &Control) -> bool {
     let gateway = &control.gateway;
     let former = gateway.state().quota.era();
     if control.store.era() == former {
         return true;
     }
     let readings = (
-        read(control, LEDGERS, MONEY).await,
+        read(control, LEDGER_TABLE, LEDGER_PARTITION).await,
         read_fence(control).await,
-        read_own(control, CALL).await,
+        read_journal(control, CALL_TIMEOUT).await,
     );
     let (Ok(ledgers), Ok(fence), Ok(journals)) = readings else {
         return false;
     };
     let era = version::era(journals.version);
-    if [&ledgers, &fence].map(|reading| version::era(reading.version)) != [era, era] {
+    if [&ledgers, &fence].map(|response| version::era(response.version)) != [era, era] {
         return false;
     }
     let rows = ledgers.rows.iter();
@@ -68,21 +71,21 @@
         Some((row.id.key.clone(), row.version, ledger))
     });
     let rows = rows.collect();
-    let mine = journals.rows.iter();
-    let mut mine = mine.filter(|row| row.id.key == gateway.settings.name);
-    let journal = mine
+    let own = journals.rows.iter();
+    let mut own = own.filter(|row| row.id.key == gateway.settings.name);
+    let journal = own
         .next()
         .and_then(|row| Some((row.version, decode_journal(row)?)));
     let now_ms = gateway.now_ms();
     let mut state = gateway.state();
     state.quota.restore(era, journal, rows, now_ms);
-    learn_fence(&mut state.quota, &fence);
+    apply_fence(&mut state.quota, &fence);
     log_event!(Event::StoreRestored, "era={era} before={former}");
     true
 }
 
-/// Writes the fence where that is due.
-pub(super) async fn renew(control: &Control) {
+/// Writes the fence if it is due.
+pub(super) async fn renew_fence(control: &Control) {
     let now_ms = control.gateway.now_ms();
     let (version, next) = {
         let state = control.gateway.state();
@@ -91,13 +94,13 @@
     let Some(fence) = next else {
         return;
     };
-    let change = Transaction {
-        preconditions: vec![(fence_place(), version)],
-        puts: vec![(fence_place(), fence.encode())],
+    let transaction = Transaction {
+        preconditions: vec![(fence_id(), version)],
+        puts: vec![(fence_id(), fence.encode())],
         deletes: Vec::new(),
     };
-    let commit = control.store.commit(&change);
-    let outcome = control.call("fence", CALL, commit).await;
+    let commit = control.store.commit(&transaction);
+    let outcome = control.call("fence", CALL_TIMEOUT, commit).await;
     let mut state = control.gateway.state();
     match outcome {
         Ok(Outcome::Committed { version, .. }) => {
@@ -111,8 +114,8 @@
             }
             state.quota.learn_fence(version, fence);
         }
-        Ok(Outcome::Conflict(reading)) => learn_fence(&mut state.quota, &reading),
-        // `call` has noted the failure; the next plan tries again.
+        Ok(Outcome::Conflict(response)) => apply_fence(&mut state.quota, &response),
+        // `call` has recorded the failure; the next reconciliation retries.
         Err(_) => {}
     }
 }
--- a/crates/fescuewell_gateway/src/control/journal.rs
+++ b/crates/fescuewell_gateway/src/control/journal.rs
@@ -1,4 +1,4 @@
-//! The journal of this instance: what its next process may have to be charged for.
+//! The journal of this instance, which bounds what its next process is charged for.
 
 use std::time::Duration;
 
@@ -8,56 +8,66 @@
 use fescuewell_forward::quota::row::Journal;
 use fescuewell_forward::version;
 
-use super::fence::{learn_fence, read_fence};
-use super::ledger::{LEDGERS, MONEY, decode_ledger};
+use super::fence::{apply_fence, read_fence};
+use super::ledger::{LEDGER_PARTITION, LEDGER_TABLE, decode_ledger};
 use super::overdue::OVERDUE_MS;
-use super::rows::{decode, place, read, read_within};
-use super::{CALL, Control, PAUSE};
+use super::rows::{decode, read, read_within, row_id};
+use super::{CALL_TIMEOUT, Control, RETRY_DELAY};
 use crate::store::{Error, Outcome, ReadResponse, Row, RowId, Transaction};
 
 /// Table of the instances' journals.
-const JOURNALS: &str = "journal";
+const JOURNAL_TABLE: &str = "journal";
 
-/// Journals stand each in a part of its own, since nobody else reads or writes them.
-fn own_journal(control: &Control) -> RowId {
+/// Each journal has its own partition, since no other instance reads or writes it.
+fn journal_id(control: &Control) -> RowId {
     let name = &control.gateway.settings.name;
-    place(JOURNALS, name, name)
+    row_id(JOURNAL_TABLE, name, name)
 }
 
-/// Reads the own journal, and waits for it so long.
-pub(super) async fn read_own(control: &Control, limit: Duration) -> Result<ReadResponse, Error> {
-    read_within(control, JOURNALS, &control.gateway.settings.name, limit).await
+/// Reads this instance's journal.
+pub(super) async fn read_journal(
+    control: &Control,
+    limit: Duration,
+) -> Result<ReadResponse, Error> {
+    read_within(
+        control,
+        JOURNAL_TABLE,
+        &control.gateway.settings.name,
+        limit,
+    )
+    .await
 }
 
-/// Takes over what the former process of this instance may have spent. Until that has succeeded nothing may be
-/// spent, so it is tried until it does.
+/// Adopts the consumption of the previous process. Retries until it succeeds, because nothing may
+/// be consumed before.
 pub(super) async fn adopt(control: &Control) {
     while !try_adopt(control).await {
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
 async fn try_adopt(control: &Control) -> bool {
-    let Ok(ledgers) = read(control, LEDGERS, MONEY).await else {
+    let Ok(ledgers) = read(control, LEDGER_TABLE, LEDGER_PARTITION).await else {
         return false;
     };
     let Ok(fence) = read_fence(control).await else {
         return false;
     };
     let gateway = &control.gateway;
-    let asked_ms = gateway.now_ms();
-    let Ok(journals) = read_own(control, CALL).await else {
+    let requested_ms = gateway.now_ms();
+    let Ok(journals) = read_journal(control, CALL_TIMEOUT).await else {
         return false;
     };
-    // The own clock began when this process started, and the former one had ended by then. Counting back from
-    // the question to that moment keeps the time that the store could not be reached out of the charge.
-    let ended_ms = journals.now_ms.saturating_sub(asked_ms);
-    let mine = journals
+    // The local clock started with this process, when the previous one had already ended. Counting
+    // back from the request to that moment leaves the time during which the store was unreachable
+    // out of the charge.
+    let ended_ms = journals.now_ms.saturating_sub(requested_ms);
+    let own = journals
         .rows
         .iter()
         .find(|row| *row.id.key == *gateway.settings.name);
-    let known = mine.and_then(decode_journal);
-    let version = mine.map_or(0, |row| row.version);
+    let known = own.and_then(decode_journal);
+    let version = own.map_or(0, |row| row.version);
     let rows = ledgers.rows.iter();
     let rows: Vec<_> = rows
         .filter_map(|row| Some((row.id.key.clone(), row.version, decode_ledger(row)?)))
@@ -65,20 +75,20 @@
     let accounts = rows.len();
     let now_ms = gateway.now_ms();
     let era = version::era(journals.version);
-    if [&ledgers, &fence].map(|reading| version::era(reading.version)) != [era, era] {
-        // The store came back from a copy meanwhile.
+    if [&ledgers, &fence].map(|response| version::era(response.version)) != [era, era] {
+        // The store was restored from a snapshot in the meantime.
         return false;
     }
     let journal = {
         let quota = &mut gateway.state().quota;
         quota.set_first(gateway.settings.is_first_start);
         quota.begin_era(era, now_ms);
-        learn_fence(quota, &fence);
+        apply_fence(quota, &fence);
         quota.adopt(known.as_ref(), version, rows, ended_ms, now_ms)
     };
     let written = write_journal(control, &journal).await;
     if written {
-        inherited(control, known.as_ref(), &journal);
+        log_charges(control, known.as_ref(), &journal);
         log_event!(
             Event::JournalAdopted,
             "incarnation={} accounts={accounts} journal_age_ms={}",
@@ -89,8 +99,8 @@
     written
 }
 
-/// Logs what is charged for the former process, account by account.
-fn inherited(control: &Control, known: Option<&Journal>, journal: &Journal) {
+/// Logs the charge for the previous process, per account.
+fn log_charges(control: &Control, known: Option<&Journal>, journal: &Journal) {
     let state = control.gateway.state();
     for entry in &journal.entries {
         let Some(before) = known.and_then(|known| known.entry(&entry.account)) else {
@@ -111,19 +121,19 @@
     decode(row, Journal::decode)
 }
 
-/// Writes the journal as it stands.
-pub(super) async fn journal(control: &Control) {
+/// Writes a new journal.
+pub(super) async fn renew_journal(control: &Control) {
     if !control.gateway.state().quota.is_adopted() {
         return;
     }
     let now_ms = control.gateway.now_ms();
     let before = control.gateway.state().quota.exposure(now_ms);
-    // An earlier try whose answer is missing is given again, and speaks of the time of that try.
-    let is_given_again = control.gateway.state().quota.is_journal_unanswered();
-    if !write(control).await {
+    // A journal whose reply was lost is resent unchanged, with the time of the first attempt.
+    let is_resend = control.gateway.state().quota.is_journal_unanswered();
+    if !write_current(control).await {
         return;
     }
-    if is_given_again && !write(control).await {
+    if is_resend && !write_current(control).await {
         return;
     }
     if before.age_ms < OVERDUE_MS || before.consumed == before.recorded {
@@ -138,7 +148,7 @@
     );
 }
 
-async fn write(control: &Control) -> bool {
+async fn write_current(control: &Control) -> bool {
     let now_ms = control.gateway.now_ms();
     let journal = control.gateway.state().quota.journal(now_ms);
     write_journal(control, &journal).await
@@ -147,13 +157,13 @@
 async fn write_journal(control: &Control, journal: &Journal) -> bool {
     let gateway = &control.gateway;
     let version = gateway.state().quota.journal_version();
-    let change = Transaction {
-        preconditions: vec![(own_journal(control), version)],
-        puts: vec![(own_journal(control), journal.encode())],
+    let transaction = Transaction {
+        preconditions: vec![(journal_id(control), version)],
+        puts: vec![(journal_id(control), journal.encode())],
         deletes: Vec::new(),
     };
-    let commit = control.store.commit(&change);
-    let outcome = control.call("journal_write", CALL, commit).await;
+    let commit = control.store.commit(&transaction);
+    let outcome = control.call("journal_write", CALL_TIMEOUT, commit).await;
     let now_ms = gateway.now_ms();
     let mut state = gateway.state();
     match outcome {
@@ -165,9 +175,10 @@
             state.quota.journal_written(journal, version);
             true
         }
-        Ok(Outcome::Conflict(reading)) => {
-            // An earlier write of this process took effect although its reply was lost.
-            for row in &reading.rows {
+        Ok(Outcome::Conflict(response)) => {
+            // Either an earlier write of this process was applied although its reply was lost, or
+            // another process now writes this journal.
+            for row in &response.rows {
                 let Some(found) = decode_journal(row) else {
                     continue;
                 };
--- a/crates/fescuewell_gateway/src/control/ledger.rs
+++ b/crates/fescuewell_gateway/src/control/ledger.rs
@@ -1,4 +1,5 @@
-//! The ledgers of the client accounts, which all instances change on condition of their versions.
+//! The ledgers of the client accounts, which all instances update with optimistic concurrency
+//! control.
 
 use std::cmp::Ordering;
 use std::sync::Arc;
@@ -8,125 +9,128 @@
 use fescuewell_forward::quota::Quota;
 use fescuewell_forward::quota::row::Ledger;
 
-use super::fence::{fence_place, learn_fence, renew};
-use super::rows::{decode, place, read, read_row};
-use super::{CALL, Control};
+use super::fence::{apply_fence, fence_id, renew_fence};
+use super::rows::{decode, read, read_row, row_id};
+use super::{CALL_TIMEOUT, Control};
 use crate::store::{Outcome, ReadResponse, Row, Transaction};
 
 /// Table of the accounts' ledgers.
-pub(super) const LEDGERS: &str = "ledger";
-/// Part of the ledgers.
-pub(super) const MONEY: &str = "money";
-/// Accounts up to which their rows are read one by one: together they are smaller than the rows of all accounts, of which a call
-/// that reads everything has some 35 kB with 40 accounts and 25 holders.
-const MOST_SINGLE: usize = 5;
-/// Plans of which one reads the rows of all accounts.
-const WHOLE_EACH: u64 = 4;
-/// Rows in one transaction: one that is in conflict holds up the others, and each costs a call.
-const ROWS: usize = 10;
-/// Tries to change ledgers that others change at the same time.
-const TRIES: usize = 6;
+pub(super) const LEDGER_TABLE: &str = "ledger";
+/// Partition of the ledgers.
+pub(super) const LEDGER_PARTITION: &str = "money";
+/// Maximum number of accounts whose rows are read one by one. That is less data than a full read,
+/// which takes about 35 kB with 40 accounts and 25 holders.
+const MAX_SINGLE_READS: usize = 5;
+/// One reconciliation in so many reads the rows of all accounts.
+const FULL_READ_PERIOD: u64 = 4;
+/// Maximum number of rows in one transaction. A conflict on one row fails the others with it, and
+/// each transaction costs a call.
+const MAX_ROWS: usize = 10;
+/// Maximum number of attempts to update ledgers that other instances update at the same time.
+const MAX_ATTEMPTS: usize = 6;
 
 pub(super) fn decode_ledger(row: &Row) -> Option<Ledger> {
     decode(row, Ledger::decode)
 }
 
-/// Takes the rows of a reading.
-fn learn(quota: &mut Quota, reading: &ReadResponse) {
-    learn_fence(quota, reading);
-    for row in &reading.rows {
-        if &*row.id.table != LEDGERS {
+/// Applies the ledgers and the fence in a response.
+fn apply_rows(quota: &mut Quota, response: &ReadResponse) {
+    apply_fence(quota, response);
+    for row in &response.rows {
+        if &*row.id.table != LEDGER_TABLE {
             continue;
         }
         let Some(ledger) = decode_ledger(row) else {
             continue;
         };
         let name = row.id.key.clone();
-        quota.learn(&name, row.version, ledger, reading.now_ms);
+        quota.learn(&name, row.version, ledger, response.now_ms);
     }
 }
 
-/// Reads the accounts' rows before the plan of this number. Mostly only those in use here, one by one where they are few, as at most
-/// instances of a large fleet; now and then all, since in a cut the row of any account tells who can lend.
-pub(super) async fn ledgers(control: &Control, number: u64) {
+/// Reads the ledgers for a reconciliation. Usually reads only the accounts in use on this instance,
+/// one by one if they are few, as on most instances of a large fleet. Every few rounds it reads all
+/// accounts, because during a store outage the ledger of any account shows which instances can
+/// lend.
+pub(super) async fn read_ledgers(control: &Control, round: u64) {
     let names = {
         let now_ms = control.gateway.now_ms();
         control.gateway.state().quota.names_in_use(now_ms)
     };
-    if names.len() > MOST_SINGLE || number.is_multiple_of(WHOLE_EACH) {
-        let Ok(reading) = read(control, LEDGERS, MONEY).await else {
+    if names.len() > MAX_SINGLE_READS || round.is_multiple_of(FULL_READ_PERIOD) {
+        let Ok(response) = read(control, LEDGER_TABLE, LEDGER_PARTITION).await else {
             return;
         };
-        return learn(&mut control.gateway.state().quota, &reading);
+        return apply_rows(&mut control.gateway.state().quota, &response);
     }
     for name in names {
-        let place = place(LEDGERS, MONEY, &name);
-        let Ok(reading) = read_row(control, &place).await else {
+        let id = row_id(LEDGER_TABLE, LEDGER_PARTITION, &name);
+        let Ok(response) = read_row(control, &id).await else {
             return;
         };
-        learn(&mut control.gateway.state().quota, &reading);
+        apply_rows(&mut control.gateway.state().quota, &response);
     }
 }
 
-/// Brings the ledgers of the accounts to what the plan says, against others who do the same.
-pub(super) async fn plan(control: &Control, names: &[Arc<str>]) {
-    for _ in 0..TRIES {
-        renew(control).await;
-        let drafts = draft(control, names);
-        if drafts.is_empty() {
+/// Updates the ledgers of the accounts as planned, and retries on conflicts with other instances.
+pub(super) async fn reconcile(control: &Control, names: &[Arc<str>]) {
+    for _ in 0..MAX_ATTEMPTS {
+        renew_fence(control).await;
+        let updates = plan_updates(control, names);
+        if updates.is_empty() {
             return;
         }
-        let mut is_conflict = false;
-        for drafts in drafts.chunks(ROWS) {
-            match write_ledgers(control, drafts).await {
+        let mut has_conflict = false;
+        for updates in updates.chunks(MAX_ROWS) {
+            match write_ledgers(control, updates).await {
                 Some(true) => {}
-                Some(false) => is_conflict = true,
+                Some(false) => has_conflict = true,
                 None => return,
             }
         }
-        if !is_conflict {
+        if !has_conflict {
             return;
         }
     }
 }
 
-/// A row that is to replace an account's ledger of this version.
-struct Draft {
+/// A new ledger for an account, and the version that it replaces.
+struct LedgerUpdate {
     account: Arc<str>,
     version: u64,
     ledger: Ledger,
 }
 
-fn draft(control: &Control, names: &[Arc<str>]) -> Vec<Draft> {
+fn plan_updates(control: &Control, names: &[Arc<str>]) -> Vec<LedgerUpdate> {
     let now_ms = control.gateway.now_ms();
     let mut state = control.gateway.state();
-    let mut drafts = Vec::new();
+    let mut updates = Vec::new();
     for account in names {
         let Some((version, ledger)) = state.quota.plan(account, now_ms) else {
             continue;
         };
         let account = account.clone();
-        drafts.push(Draft {
+        updates.push(LedgerUpdate {
             account,
             version,
             ledger,
         });
     }
-    drafts
+    updates
 }
 
-/// Writes some ledgers in one transaction: whether it took effect, or nothing when that is not known.
-async fn write_ledgers(control: &Control, drafts: &[Draft]) -> Option<bool> {
-    let mut change = Transaction::default();
+/// Writes ledgers in one transaction. Returns whether it was applied, or `None` if that is unknown.
+async fn write_ledgers(control: &Control, updates: &[LedgerUpdate]) -> Option<bool> {
+    let mut transaction = Transaction::default();
     let fence = control.gateway.state().quota.fence().0;
-    change.preconditions.push((fence_place(), fence));
-    for draft in drafts {
-        let place = place(LEDGERS, MONEY, &draft.account);
-        change.preconditions.push((place.clone(), draft.version));
-        change.puts.push((place, draft.ledger.encode()));
+    transaction.preconditions.push((fence_id(), fence));
+    for update in updates {
+        let id = row_id(LEDGER_TABLE, LEDGER_PARTITION, &update.account);
+        transaction.preconditions.push((id.clone(), update.version));
+        transaction.puts.push((id, update.ledger.encode()));
     }
-    let commit = control.store.commit(&change);
-    let outcome = control.call("plan", CALL, commit).await;
+    let commit = control.store.commit(&transaction);
+    let outcome = control.call("plan", CALL_TIMEOUT, commit).await;
     let now_ms = control.gateway.now_ms();
     let mut state = control.gateway.state();
     match outcome {
@@ -135,24 +139,26 @@
             now_ms: store_ms,
         }) => {
             state.quota.clock(store_ms, now_ms);
-            for draft in drafts {
-                tell(&state.quota, &draft.account, &draft.ledger);
-                let ledger = draft.ledger.clone();
-                state.quota.learn(&draft.account, version, ledger, store_ms);
+            for update in updates {
+                log_change(&state.quota, &update.account, &update.ledger);
+                let ledger = update.ledger.clone();
+                state
+                    .quota
+                    .learn(&update.account, version, ledger, store_ms);
             }
             Some(true)
         }
-        Ok(Outcome::Conflict(reading)) => {
-            state.quota.clock(reading.now_ms, now_ms);
-            learn(&mut state.quota, &reading);
+        Ok(Outcome::Conflict(response)) => {
+            state.quota.clock(response.now_ms, now_ms);
+            apply_rows(&mut state.quota, &response);
             Some(false)
         }
         Err(_) => None,
     }
 }
 
-/// Logs how the own grant of an account changes.
-fn tell(quota: &Quota, name: &str, ledger: &Ledger) {
+/// Logs a change of this instance's grant.
+fn log_change(quota: &Quota, name: &str, ledger: &Ledger) {
     let Some(account) = quota.view(name) else {
         return;
     };
--- a/crates/fescuewell_gateway/src/control/lending.rs
+++ b/crates/fescuewell_gateway/src/control/lending.rs
@@ -1,4 +1,4 @@
-//! Borrows tokens from other instances for requests that miss them, and lends to others.
+//! Borrows tokens from other instances for requests that lack them, and lends tokens to others.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
@@ -18,60 +18,63 @@
 use tokio::time::Instant;
 
 use super::Control;
-use super::rows::{place, read, unreadable};
+use super::rows::{log_unreadable, read, row_id};
 use crate::gateway::Shortage;
 use crate::store::{Outcome, Row, Transaction};
 
-/// Table of the fleet's key.
-const KEYS: &str = "key";
-/// Name of its part and its row.
+/// Table of the fleet key.
+const KEY_TABLE: &str = "key";
+/// Partition and key of the fleet key's row.
 const FLEET_KEY: &str = "fleet";
-/// Lenders that are asked for one request, one after the other. In a cut each of them has promised little, so that a large request
-/// takes several.
-const TRIES: usize = 8;
-/// Time in which a lender has to answer: a few milliseconds between availability zones, and its turn of a small processor.
-const ANSWER: Duration = Duration::from_millis(30);
+/// Maximum number of lenders tried for one request, one after the other. During a store outage the
+/// journal of each lender permits few tokens, so a large request needs several lenders.
+const MAX_LENDERS: usize = 8;
+/// Timeout for a lender's reply: a few milliseconds between availability zones, plus scheduling
+/// delay on a small processor.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(30);
 
-/// Reads the fleet's key, or makes it where there is none. Without it nothing is lent or borrowed; it is tried again later.
+/// Reads the fleet key, or generates it if there is none. Without the key nothing is lent or
+/// borrowed, and loading it is retried later.
 ///
-/// A store that comes back from a copy may lack it: whoever knows it writes it again. Otherwise instances that start later would make
-/// another one, and the fleet would fall into two that do not believe each other.
-pub(super) async fn learn_key(control: &Control) {
+/// A store restored from a snapshot may lack the key, so an instance that knows it writes it again.
+/// Otherwise instances that start later would generate another key, and the fleet would split into
+/// two groups that reject each other's messages.
+pub(super) async fn load_key(control: &Control) {
     let gateway = &control.gateway;
     let known = gateway.fleet_key();
     if known.is_some() && gateway.fleet_key_era() == control.store.era() {
         return;
     }
-    let Ok(reading) = read(control, KEYS, FLEET_KEY).await else {
+    let Ok(response) = read(control, KEY_TABLE, FLEET_KEY).await else {
         return;
     };
-    let era = version::era(reading.version);
-    if let Some(row) = reading.rows.first() {
-        return take_key(control, row, era);
+    let era = version::era(response.version);
+    if let Some(row) = response.rows.first() {
+        return apply_key(control, row, era);
     }
-    let Some(key) = known.map(|key| Key::clone(&key)).or_else(new_key) else {
+    let Some(key) = known.map(|key| Key::clone(&key)).or_else(generate_key) else {
         return;
     };
-    let row = place(KEYS, FLEET_KEY, FLEET_KEY);
-    let change = Transaction {
+    let row = row_id(KEY_TABLE, FLEET_KEY, FLEET_KEY);
+    let transaction = Transaction {
         preconditions: vec![(row.clone(), 0)],
         puts: vec![(row, key.bytes().to_vec())],
         deletes: Vec::new(),
     };
-    let commit = control.store.commit(&change);
-    match control.call("key", super::CALL, commit).await {
+    let commit = control.store.commit(&transaction);
+    match control.call("key", super::CALL_TIMEOUT, commit).await {
         Ok(Outcome::Committed { .. }) => gateway.set_fleet_key(key, era),
-        Ok(Outcome::Conflict(reading)) => {
-            for row in &reading.rows {
-                take_key(control, row, era);
+        Ok(Outcome::Conflict(response)) => {
+            for row in &response.rows {
+                apply_key(control, row, era);
             }
         }
-        // It may have been written all the same: the next look reads it.
+        // The write may still have been applied; the next attempt reads it.
         Err(_) => {}
     }
 }
 
-fn new_key() -> Option<Key> {
+fn generate_key() -> Option<Key> {
     let mut bytes = [0; 32];
     match OsRng.try_fill_bytes(&mut bytes) {
         Ok(()) => Some(Key::new(bytes)),
@@ -83,44 +86,46 @@
     }
 }
 
-fn take_key(control: &Control, row: &Row, era: u32) {
+fn apply_key(control: &Control, row: &Row, era: u32) {
     let bytes = row.value.as_deref().unwrap_or_default();
     match <[u8; 32]>::try_from(bytes) {
         Ok(bytes) => control.gateway.set_fleet_key(Key::new(bytes), era),
-        Err(error) => unreadable(row, &error.to_string()),
+        Err(error) => log_unreadable(row, &error.to_string()),
     }
 }
 
-/// Demand that a loan covers beyond the request that misses tokens, in milliseconds, while the store can be reached: until the next
-/// draw.
-const AHEAD_MS: u64 = 2_000;
-/// Longest time for which an ask waits for a journal of the lender: a transaction and its turn.
-const DEFERRED: Duration = Duration::from_millis(60);
-/// Asks that may wait for a journal; more of them are answered at once with what there is.
-const MOST_DEFERRED: usize = 64;
+/// Future demand that a loan covers in addition to the request, in milliseconds, while the store is
+/// reachable: until the next draw.
+const PREFETCH_MS: u64 = 2_000;
+/// Maximum time a loan request waits for the lender's journal: one transaction plus the wait for
+/// its turn.
+const DEFER_TIMEOUT: Duration = Duration::from_millis(60);
+/// Maximum number of loan requests that wait for a journal. Further ones get an immediate reply
+/// with the tokens available.
+const MAX_DEFERRED: usize = 64;
 
 /// A request whose tokens are being borrowed.
 #[derive(Debug)]
-struct Request {
+struct PendingLoan {
     shortage: Shortage,
     lenders: VecDeque<Arc<str>>,
-    /// Who was asked last, and until when an answer is waited for.
-    asked: Arc<str>,
-    until: Instant,
+    /// The lender that was asked last, and the deadline for its reply.
+    lender: Arc<str>,
+    deadline: Instant,
 }
 
-/// The loans of this instance.
+/// Lends and borrows the tokens of this instance.
 pub(super) struct Lending<'a> {
     control: &'a Control,
     socket: &'a UdpSocket,
     lender: RefCell<Lender>,
     borrower: RefCell<Borrower>,
-    /// By the id of the ask that is waited for.
-    requests: RefCell<HashMap<u64, Request>>,
-    asked: Notify,
-    /// Asks, and who sent them, that wait for a journal.
+    /// Pending loans by the id of the current loan request.
+    pending: RefCell<HashMap<u64, PendingLoan>>,
+    request_sent: Notify,
+    /// Loan requests that wait for a journal, with their senders.
     deferred: RefCell<Vec<(Ask, SocketAddr)>>,
-    deferring: Notify,
+    deferred_added: Notify,
 }
 
 impl<'a> Lending<'a> {
@@ -130,47 +135,47 @@
             socket,
             lender: RefCell::default(),
             borrower: RefCell::default(),
-            requests: RefCell::default(),
-            asked: Notify::new(),
+            pending: RefCell::default(),
+            request_sent: Notify::new(),
             deferred: RefCell::default(),
-            deferring: Notify::new(),
+            deferred_added: Notify::new(),
         }
     }
 
-    /// Borrows for requests, for as long as it is polled.
+    /// Processes shortages and loan requests until the future is dropped.
     pub(super) async fn run(&self) {
         tokio::join!(
-            self.take_shortages(),
-            self.give_up_in_time(),
-            self.answer_deferred()
+            self.handle_shortages(),
+            self.expire_requests(),
+            self.reply_deferred()
         );
     }
 
-    async fn take_shortages(&self) {
+    async fn handle_shortages(&self) {
         while let Ok(shortage) = self.control.inbox.shortages.recv_async().await {
             let now_ms = self.control.gateway.now_ms();
             let lenders = {
                 let state = self.control.gateway.state();
                 let candidates = state.quota.candidates(&shortage.account, now_ms);
                 let holders = candidates.into_iter().map(|candidate| candidate.holder);
-                holders.take(TRIES).collect()
+                holders.take(MAX_LENDERS).collect()
             };
-            self.ask_next(shortage, lenders);
+            self.request_next(shortage, lenders);
         }
     }
 
-    /// Asks the next lender, or tells the request that there is none.
-    fn ask_next(&self, shortage: Shortage, mut lenders: VecDeque<Arc<str>>) {
+    /// Sends a loan request to the next lender, or fails the shortage if there is none.
+    fn request_next(&self, shortage: Shortage, mut lenders: VecDeque<Arc<str>>) {
         let gateway = &self.control.gateway;
         let Some(key) = gateway.fleet_key() else {
-            return reply(shortage, false);
+            return complete(shortage, false);
         };
         let now_ms = gateway.now_ms();
         let missing = self.missing(&shortage, now_ms);
         if missing == 0 {
-            return reply(shortage, true);
+            return complete(shortage, true);
         }
-        let more = self.more(&shortage, now_ms);
+        let prefetch = self.prefetch(&shortage, now_ms);
         while let Some(lender) = lenders.pop_front() {
             let id = gateway.draw();
             let state = gateway.state();
@@ -178,117 +183,127 @@
                 continue;
             };
             let mut borrower = self.borrower.borrow_mut();
-            let ask = borrower.ask(&state.quota, &shortage.account, (missing, more), id, now_ms);
+            let ask = borrower.ask(
+                &state.quota,
+                &shortage.account,
+                (missing, prefetch),
+                id,
+                now_ms,
+            );
             drop(state);
             let bytes = key.seal(&Message::Ask(ask));
-            // One that cannot be sent is like one that was lost.
+            // A send failure is handled like a lost datagram.
             let _ = self.socket.try_send_to(&bytes, address);
-            let request = Request {
+            let request = PendingLoan {
                 shortage,
                 lenders,
-                asked: lender,
-                until: Instant::now() + ANSWER,
+                lender,
+                deadline: Instant::now() + REPLY_TIMEOUT,
             };
-            self.requests.borrow_mut().insert(id, request);
-            self.asked.notify_one();
+            self.pending.borrow_mut().insert(id, request);
+            self.request_sent.notify_one();
             return;
         }
-        reply(shortage, false);
+        complete(shortage, false);
     }
 
-    /// Goes on to the next lender where one does not answer.
-    async fn give_up_in_time(&self) {
+    /// Moves on to the next lender when a reply times out.
+    async fn expire_requests(&self) {
         loop {
             let next = self
-                .requests
+                .pending
                 .borrow()
                 .values()
-                .map(|asked| asked.until)
+                .map(|request| request.deadline)
                 .min();
             let Some(next) = next else {
-                self.asked.notified().await;
+                self.request_sent.notified().await;
                 continue;
             };
             tokio::time::sleep_until(next).await;
             let now = Instant::now();
             let late: Vec<u64> = {
-                let requests = self.requests.borrow();
-                let late = requests.iter().filter(|(_, asked)| asked.until <= now);
+                let requests = self.pending.borrow();
+                let late = requests
+                    .iter()
+                    .filter(|(_, request)| request.deadline <= now);
                 late.map(|(id, _)| *id).collect()
             };
             for id in late {
-                let Some(request) = self.requests.borrow_mut().remove(&id) else {
+                let Some(request) = self.pending.borrow_mut().remove(&id) else {
                     continue;
                 };
-                self.note_silence(&request);
-                self.go_on(request);
+                self.record_silence(&request);
+                self.try_next(request);
             }
         }
     }
 
-    /// A lender that does not answer counts as one that has nothing, for a moment.
-    fn note_silence(&self, request: &Request) {
+    /// Treats a lender that does not reply as having no tokens for a short time.
+    fn record_silence(&self, request: &PendingLoan) {
         let gateway = &self.control.gateway;
         let now_ms = gateway.now_ms();
         let account = &request.shortage.account;
         let mut state = gateway.state();
-        state.quota.lender_said(account, &request.asked, 0, now_ms);
+        state.quota.lender_said(account, &request.lender, 0, now_ms);
     }
 
-    fn go_on(&self, request: Request) {
-        self.ask_next(request.shortage, request.lenders);
+    fn try_next(&self, request: PendingLoan) {
+        self.request_next(request.shortage, request.lenders);
     }
 
-    /// What is asked for beyond what a request misses, so that the next requests need not ask again. In an outage lenders
-    /// can give only what they have promised, and it is to go to requests that are here.
-    fn more(&self, shortage: &Shortage, now_ms: u64) -> u64 {
+    /// Returns the tokens to request beyond the shortage, so that the next requests need no loan.
+    /// During an outage lenders can give only what their journals cover, and that is left to
+    /// requests that need it now.
+    fn prefetch(&self, shortage: &Shortage, now_ms: u64) -> u64 {
         let gateway = &self.control.gateway;
-        let requests = self.requests.borrow();
-        let mut open = requests.values();
-        if !gateway.is_store_up() || open.any(|open| open.shortage.account == shortage.account) {
+        let requests = self.pending.borrow();
+        let mut others = requests.values();
+        if !gateway.is_store_up() || others.any(|other| other.shortage.account == shortage.account)
+        {
             return 0;
         }
         let demand = gateway.state().quota.demand(&shortage.account, now_ms);
-        demand * AHEAD_MS / 1_000
+        demand * PREFETCH_MS / 1_000
     }
 
-    /// Answers an ask, at once or after a journal that makes room for it.
-    pub(super) fn lend(&self, key: &Key, ask: Ask, from: SocketAddr) {
+    /// Handles a loan request, either at once or after a journal that raises the limit for it.
+    pub(super) fn handle_request(&self, key: &Key, ask: Ask, from: SocketAddr) {
         let gateway = &self.control.gateway;
         let now_ms = gateway.now_ms();
         if gateway.is_store_up() && gateway.state().quota.make_room(&ask, now_ms) {
             let mut deferred = self.deferred.borrow_mut();
-            if deferred.len() < MOST_DEFERRED {
+            if deferred.len() < MAX_DEFERRED {
                 deferred.push((ask, from));
-                self.deferring.notify_one();
+                self.deferred_added.notify_one();
                 gateway.want_journal();
                 return;
             }
         }
-        self.answer(key, &ask, from, now_ms);
+        self.send_reply(key, &ask, from, now_ms);
     }
 
-    /// Answers the asks that wait for a journal.
-    async fn answer_deferred(&self) {
+    /// Replies to the loan requests that wait for a journal.
+    async fn reply_deferred(&self) {
         let gateway = &self.control.gateway;
         let mut plans = gateway.plans();
         loop {
-            self.deferring.notified().await;
+            self.deferred_added.notified().await;
             plans.mark_unchanged();
-            // The journal, or the end of the time; what there is then decides.
-            let _ = tokio::time::timeout(DEFERRED, plans.changed()).await;
+            // Reply after the journal or the timeout, with the tokens available by then.
+            let _ = tokio::time::timeout(DEFER_TIMEOUT, plans.changed()).await;
             let Some(key) = gateway.fleet_key() else {
                 continue;
             };
             let deferred = std::mem::take(&mut *self.deferred.borrow_mut());
             let now_ms = gateway.now_ms();
             for (ask, from) in deferred {
-                self.answer(&key, &ask, from, now_ms);
+                self.send_reply(&key, &ask, from, now_ms);
             }
         }
     }
 
-    fn answer(&self, key: &Key, ask: &Ask, from: SocketAddr, now_ms: u64) {
+    fn send_reply(&self, key: &Key, ask: &Ask, from: SocketAddr, now_ms: u64) {
         let answer = {
             let mut state = self.control.gateway.state();
             let mut lender = self.lender.borrow_mut();
@@ -304,25 +319,26 @@
             answer.left
         );
         let bytes = key.seal(&Message::Answer(answer));
-        // A lost answer costs the tokens, and nobody spends them.
+        // If the reply is lost, its tokens count as consumed although nobody spends them.
         let _ = self.socket.try_send_to(&bytes, from);
     }
 
-    /// Takes a lender's answer.
-    pub(super) fn take(&self, answer: &Answer) {
+    /// Handles a lender's reply.
+    pub(super) fn handle_reply(&self, answer: &Answer) {
         let now_ms = self.control.gateway.now_ms();
         {
             let mut state = self.control.gateway.state();
             let mut borrower = self.borrower.borrow_mut();
             borrower.take(&mut state.quota, answer, now_ms);
         }
-        // Others of the account may have been waiting for the same, and for a late answer.
+        // Other requests of the account may be waiting for the same tokens, also after a late
+        // reply.
         self.control.gateway.notify_planned();
-        let request = self.requests.borrow_mut().remove(&answer.id);
+        let request = self.pending.borrow_mut().remove(&answer.id);
         let Some(request) = request else { return };
         match self.missing(&request.shortage, now_ms) {
-            0 => reply(request.shortage, true),
-            _ => self.go_on(request),
+            0 => complete(request.shortage, true),
+            _ => self.try_next(request),
         }
     }
 
@@ -333,7 +349,7 @@
     }
 }
 
-fn reply(shortage: Shortage, has_tokens: bool) {
-    // A request that is gone needs no answer; the tokens stay with the account.
+fn complete(shortage: Shortage, has_tokens: bool) {
+    // The request may be gone; its tokens stay with the account.
     let _ = shortage.reply.send(has_tokens);
 }
--- a/crates/fescuewell_gateway/src/control/members.rs
+++ b/crates/fescuewell_gateway/src/control/members.rs
@@ -1,4 +1,4 @@
-//! The sign that this instance lives, and those of the others.
+//! Membership: the heartbeat of this instance and the state of the others.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -8,43 +8,44 @@
 use fescuewell_forward::directory::{Directory, Member};
 use fescuewell_forward::version;
 
-use super::rows::{FLEET, place, read, unreadable};
-use super::{CALL, Control};
+use super::rows::{FLEET_PARTITION, log_unreadable, read, row_id};
+use super::{CALL_TIMEOUT, Control};
 use crate::gateway::{ARRIVALS_S, Gateway, State};
 use crate::settings::Settings;
 use crate::store::Transaction;
 
-/// Table of the instances' addresses.
-const MEMBERS: &str = "member";
-/// Most instances that one log line names: enough to see which availability zone it is.
-const MOST_TOLD: usize = 8;
-/// Link for which a whole core of an instance has use, in Mbit/s: prompts are some 17 kB each.
-const LINK_EACH_MBPS: f64 = 200.0;
+/// Table of the members.
+const MEMBER_TABLE: &str = "member";
+/// Maximum number of instances named in one log line, enough to recognize an availability zone.
+const MAX_LOGGED_INSTANCES: usize = 8;
+/// Link bandwidth that one core can make use of, in Mbit/s: prompts have about 17 kB each.
+const LINK_MBPS_PER_CORE: f64 = 200.0;
 
-/// Writes the sign that this instance lives, or takes it away when it leaves.
-pub(super) async fn sign(control: &Control) {
+/// Writes the heartbeat of this instance, or removes its member row when it leaves.
+pub(super) async fn write_heartbeat(control: &Control) {
     let gateway = &control.gateway;
-    let place = place(MEMBERS, FLEET, &gateway.settings.name);
-    let member = own_row(gateway);
-    let mut change = Transaction::default();
-    // Callers that were sent away would come back to the next process at once, so the row stays and tells it.
+    let id = row_id(MEMBER_TABLE, FLEET_PARTITION, &gateway.settings.name);
+    let member = own_member(gateway);
+    let mut transaction = Transaction::default();
+    // Keep the row if callers were sent away: the next process reads it and stays unready, or they
+    // would come back at once.
     if gateway.is_leaving() && member.out_until_ms == 0 {
-        change.deletes.push(place);
+        transaction.deletes.push(id);
     } else {
-        change.puts.push((place, member.encode()));
+        transaction.puts.push((id, member.encode()));
     }
-    let commit = control.store.commit(&change);
-    // A sign that is lost is followed by the next one; `call` has noted the failure.
-    let _ = control.call("sign", CALL, commit).await;
+    let commit = control.store.commit(&transaction);
+    // The next heartbeat replaces a lost one; `call` has recorded the failure.
+    let _ = control.call("sign", CALL_TIMEOUT, commit).await;
 }
 
-/// What this instance tells of itself now.
-fn own_row(gateway: &Gateway) -> Member {
+/// Returns the current member row of this instance.
+fn own_member(gateway: &Gateway) -> Member {
     let settings = &gateway.settings;
     let now_ms = gateway.now_ms();
     let mut state = gateway.state();
     let store_ms = state.quota.store_time(now_ms);
-    let sign = state.quota.sign();
+    let heartbeat = state.quota.sign();
     Member {
         address: settings.front,
         peer: settings.peer,
@@ -52,8 +53,8 @@
         weight: weight(settings),
         requests: state.arrivals.sum(now_ms) as u32 / ARRIVALS_S,
         usage: state.quota.usage(now_ms),
-        era: sign.era,
-        is_certain: sign.is_certain,
+        era: heartbeat.era,
+        is_certain: heartbeat.is_certain,
         at_ms: if gateway.is_leaving() { 0 } else { store_ms },
         out_until_ms: match state.admission.unready_left_ms(now_ms) {
             0 => 0,
@@ -62,25 +63,25 @@
     }
 }
 
-/// How much traffic the instance can carry, in thousandths of a core: no more than its link has room for.
+/// Returns the traffic this instance can handle, in thousandths of a core, limited by its link.
 fn weight(settings: &Settings) -> u32 {
-    let by_link = settings.link_mbps / LINK_EACH_MBPS;
+    let by_link = settings.link_mbps / LINK_MBPS_PER_CORE;
     (settings.cores.min(by_link) * 1_000.0) as u32
 }
 
-/// Reads which instances live.
-pub(super) async fn members(control: &Control) {
-    let Ok(reading) = read(control, MEMBERS, FLEET).await else {
+/// Reads the member list.
+pub(super) async fn read_members(control: &Control) {
+    let Ok(response) = read(control, MEMBER_TABLE, FLEET_PARTITION).await else {
         return;
     };
     let mut members: BTreeMap<Arc<str>, Member> = BTreeMap::new();
-    for row in reading.rows {
+    for row in response.rows {
         let Some(value) = &row.value else { continue };
         match Member::decode(value) {
             Ok(member) => {
                 members.insert(row.id.key.clone(), member);
             }
-            Err(error) => unreadable(&row, &error.to_string()),
+            Err(error) => log_unreadable(&row, &error.to_string()),
         }
     }
     let now_ms = control.gateway.now_ms();
@@ -90,66 +91,66 @@
         .live()
         .map(|(name, _)| name.clone())
         .collect();
-    let named_before = names(&state.directory);
-    let era = version::era(reading.version);
-    state.directory.replace_in(era, members, reading.now_ms);
+    let advertised_before = advertised_names(&state.directory);
+    let era = version::era(response.version);
+    state.directory.replace_in(era, members, response.now_ms);
     let signs = state.directory.signs();
     let lapse_ms = state.directory.lapse_ms();
     state.quota.hear(signs, lapse_ms);
-    stay_out(&mut state, &control.gateway.settings.name, now_ms);
+    update_admission(&mut state, &control.gateway.settings.name, now_ms);
     let after: Vec<Arc<str>> = state
         .directory
         .live()
         .map(|(name, _)| name.clone())
         .collect();
-    let said = state.directory.live();
-    let said: Vec<_> = said
+    let usages = state.directory.live();
+    let usages: Vec<_> = usages
         .map(|(name, member)| (name.clone(), member.usage.clone()))
         .collect();
-    let named: Vec<Arc<str>> = names(&state.directory);
-    state.quota.set_peers(&said, &named);
-    state.warmup.set_named(named.clone());
+    let advertised: Vec<Arc<str>> = advertised_names(&state.directory);
+    state.quota.set_peers(&usages, &advertised);
+    state.warmup.set_named(advertised.clone());
     drop(state);
-    if named != named_before {
-        log_event!(Event::InstancesNamed, "named={}", named.join(","));
+    if advertised != advertised_before {
+        log_event!(Event::InstancesNamed, "named={}", advertised.join(","));
     }
-    tell(Event::PeerJoined, &before, &after);
-    tell(Event::PeerLost, &after, &before);
+    log_changes(Event::PeerJoined, &before, &after);
+    log_changes(Event::PeerLost, &after, &before);
 }
 
-/// Logs the instances of `to` that `from` lacks: one line for a change of the fleet. With a line for each of them a start of all
-/// wrote the square of their number.
-fn tell(event: Event, from: &[Arc<str>], to: &[Arc<str>]) {
+/// Logs the instances of `to` that are not in `from`, in a single line. One line per instance would
+/// make the log grow with the square of the fleet size when all instances start.
+fn log_changes(event: Event, from: &[Arc<str>], to: &[Arc<str>]) {
     let known: BTreeSet<&Arc<str>> = from.iter().collect();
-    let news: Vec<&str> = to
+    let added: Vec<&str> = to
         .iter()
         .filter(|name| !known.contains(name))
         .map(|name| &**name)
         .collect();
-    if news.is_empty() {
+    if added.is_empty() {
         return;
     }
-    let named = news[..news.len().min(MOST_TOLD)].join(",");
-    log_event!(event, "count={} instances={named}", news.len());
+    let named = added[..added.len().min(MAX_LOGGED_INSTANCES)].join(",");
+    log_event!(event, "count={} instances={named}", added.len());
 }
 
-fn names(directory: &Directory) -> Vec<Arc<str>> {
-    let named = directory.named();
-    named.iter().map(|(name, _)| (*name).clone()).collect()
+fn advertised_names(directory: &Directory) -> Vec<Arc<str>> {
+    let advertised = directory.named();
+    advertised.iter().map(|(name, _)| (*name).clone()).collect()
 }
 
-/// Stays out as long as the former process was to, unless the instance is needed.
-fn stay_out(state: &mut State, name: &str, now_ms: u64) {
+/// Keeps the instance unready for as long as its previous process was to be, unless it is needed.
+fn update_admission(state: &mut State, name: &str, now_ms: u64) {
     let left_ms = state.directory.unready_left_ms(name);
     state.admission.set_unready(now_ms, left_ms);
     let spared_ms = match state.directory.can_spare(name) {
-        // Half of the time after which a sign is missed: two signs.
+        // Half of the lapse time, which is two heartbeats.
         true => state.directory.lapse_ms() / 2,
         false => 0,
     };
     state.admission.set_spare(now_ms + spared_ms);
-    let has_room = state.directory.has_capacity_beside(name);
-    state.admission.set_fleet_has_capacity(has_room);
+    let has_capacity = state.directory.has_capacity_beside(name);
+    state.admission.set_fleet_has_capacity(has_capacity);
     let is_needed = state.directory.is_named(name);
     state.admission.set_required(now_ms, is_needed);
 }
--- a/crates/fescuewell_gateway/src/control/overdue.rs
+++ b/crates/fescuewell_gateway/src/control/overdue.rs
@@ -1,7 +1,7 @@
-//! Tells in the log what a kill would cost while the journal cannot be renewed.
+//! Logs what a kill of this process would cost while the journal cannot be renewed.
 //!
-//! After a kill nobody knows what the process had consumed: its successor logs what it is charged, and only these lines
-//! say how much of that had been spent.
+//! After a kill, the actual consumption of the process is unknown: the next process logs only what
+//! it is charged. These log lines show how much of that had been consumed.
 
 use std::time::Duration;
 
@@ -10,20 +10,21 @@
 
 use super::Control;
 
-/// Time between two looks: some ten lines in a usual outage.
-const EVERY: Duration = Duration::from_secs(1);
-/// Age from which a journal is overdue, in milliseconds: four times the time between two journals in a small fleet.
+/// Interval between two checks, which gives about ten log lines in a typical outage.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Age from which a journal is overdue, in milliseconds: four journal intervals of a small fleet.
 pub(super) const OVERDUE_MS: u64 = 2_000;
 
-/// Looks at the journal's age for as long as it is polled.
+/// Checks the journal's age until the future is dropped.
 pub(super) async fn run(control: &Control) {
     loop {
-        tokio::time::sleep(EVERY).await;
-        tell(control);
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        log_overdue(control);
     }
 }
 
-/// Whether the journal could not be renewed for long. While nothing is held it is renewed rarely, and a kill costs nothing.
+/// Returns `true` if the journal is overdue. While the instance holds no tokens, the journal is
+/// renewed rarely and a kill costs nothing.
 pub(super) fn is_overdue(control: &Control) -> bool {
     let gateway = &control.gateway;
     let now_ms = gateway.now_ms();
@@ -31,7 +32,7 @@
     !quota.is_idle() && quota.exposure(now_ms).age_ms >= OVERDUE_MS
 }
 
-fn tell(control: &Control) {
+fn log_overdue(control: &Control) {
     if control.gateway.is_store_up() || !is_overdue(control) {
         return;
     }
--- a/crates/fescuewell_gateway/src/control/peers.rs
+++ b/crates/fescuewell_gateway/src/control/peers.rs
@@ -1,5 +1,5 @@
-//! Messages between instances: load reports, which are optional hints for load balancing, token transfers, server list digests and
-//! crash records.
+//! Messages between instances: load reports, which are optional hints for load balancing, token
+//! loans, server list digests and crash records.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,13 +14,13 @@
 use super::{Control, crashes, watch};
 
 /// Minimum interval between two load reports.
-const PAUSE: Duration = Duration::from_millis(10);
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(10);
 /// Number of peers up to which that interval applies; it grows with more peers, so that the bandwidth stays constant.
-const PEERS_AT_PAUSE: u32 = 4;
+const PEERS_AT_MIN_INTERVAL: u32 = 4;
 /// Interval after which an unchanged report is repeated, to repair losses.
-const REPEAT: Duration = Duration::from_millis(500);
+const REPEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// Maximum message size in bytes; fits one Ethernet frame.
-const MOST: usize = 1_400;
+const MAX_MESSAGE_BYTES: usize = 1_400;
 
 /// Exchanges messages with other instances.
 pub(super) async fn run(control: &Control) {
@@ -40,20 +40,20 @@
     };
     let lending = Lending::new(control, &socket);
     tokio::join!(
-        send(control, &socket),
-        pass_on(control, &socket),
+        send_reports(control, &socket),
+        relay_digests(control, &socket),
         receive(control, &socket, &lending),
         crashes::exchange(control, &socket),
         lending.run()
     );
 }
 
-async fn send(control: &Control, socket: &UdpSocket) {
+async fn send_reports(control: &Control, socket: &UdpSocket) {
     let gateway = &control.gateway;
     let mut was_empty = true;
     for number in 1.. {
-        // The end of the time is as good a reason as a change.
-        let _ = tokio::time::timeout(REPEAT, gateway.load_changed()).await;
+        // Send after the timeout or a change, whichever comes first.
+        let _ = tokio::time::timeout(REPEAT_INTERVAL, gateway.load_changed()).await;
         let (report, peers) = report(control, number);
         let is_empty = report.servers.is_empty();
         if is_empty && was_empty {
@@ -63,14 +63,14 @@
         let Ok(bytes) = postcard::to_extend(&report, Vec::new()) else {
             continue;
         };
-        if bytes.len() <= MOST {
+        if bytes.len() <= MAX_MESSAGE_BYTES {
             for peer in &peers {
-                // A hint that cannot be sent is no loss.
+                // Load reports are hints and may be lost.
                 let _ = socket.try_send_to(&bytes, *peer);
             }
         }
-        let parts = peers.len() as u32 / PEERS_AT_PAUSE;
-        tokio::time::sleep(PAUSE * parts.max(1)).await;
+        let parts = peers.len() as u32 / PEERS_AT_MIN_INTERVAL;
+        tokio::time::sleep(MIN_REPORT_INTERVAL * parts.max(1)).await;
     }
 }
 
@@ -90,8 +90,8 @@
     (report, peers)
 }
 
-/// Relays server list digests to the subscribers of the availability zone.
-async fn pass_on(control: &Control, socket: &UdpSocket) {
+/// Relays server list digests to the followers in the availability zone.
+async fn relay_digests(control: &Control, socket: &UdpSocket) {
     let gateway = &control.gateway;
     while let Ok(digest) = control.digests.1.recv_async().await {
         let followers = gateway.state().directory.followers(&gateway.settings.zone);
@@ -99,19 +99,20 @@
             continue;
         };
         let bytes = key.seal(&Message::Digest(digest));
-        if bytes.len() > MOST {
-            // Names and reasons of an unusual length: followers notice the gap, and read by themselves.
+        if bytes.len() > MAX_MESSAGE_BYTES {
+            // Caused by unusually long names or reasons. Followers detect the gap and read the list
+            // themselves.
             continue;
         }
         for follower in followers {
-            // One that is lost is followed by the next one, which holds the same changes.
+            // The next digest contains the changes of a lost one.
             let _ = socket.try_send_to(&bytes, follower);
         }
     }
 }
 
 /// Dispatches an authenticated message; others are ignored.
-fn handle(
+fn dispatch(
     control: &Control,
     socket: &UdpSocket,
     lending: &Lending<'_>,
@@ -127,24 +128,24 @@
         gateway.set_peer_heard();
     }
     match message {
-        Some(Message::Ask(ask)) => lending.lend(&key, ask, from),
-        Some(Message::Answer(answer)) => lending.take(&answer),
+        Some(Message::Ask(ask)) => lending.handle_request(&key, ask, from),
+        Some(Message::Answer(answer)) => lending.handle_reply(&answer),
         Some(Message::Digest(digest)) => watch::receive_digest(control, digest),
         Some(Message::Crashes(updates)) => crashes::receive(control, updates, from),
-        Some(Message::CrashesWanted) => crashes::answer(control, socket, from),
+        Some(Message::CrashesWanted) => crashes::send_records(control, socket, from),
         None => {}
     }
 }
 
 async fn receive(control: &Control, socket: &UdpSocket, lending: &Lending<'_>) {
-    let mut buffer = [0; MOST];
+    let mut buffer = [0; MAX_MESSAGE_BYTES];
     loop {
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(MIN_REPORT_INTERVAL).await;
             continue;
         };
         if buffer.first() == Some(&message::FORMAT) {
-            handle(control, socket, lending, &buffer[..length], from);
+            dispatch(control, socket, lending, &buffer[..length], from);
             continue;
         }
         // Malformed reports are ignored.
--- a/crates/fescuewell_gateway/src/control/probe.rs
+++ b/crates/fescuewell_gateway/src/control/probe.rs
@@ -1,35 +1,37 @@
-//! Asks the store whether it is back.
+//! Probes the store during an outage to detect its recovery.
 //!
-//! The other duties wait up to a second for each call, since a slow store is better than none. Beside them a small reading
-//! that is given up soon is sent again and again while the store does not answer. The first one that is answered tells all
-//! duties, so that what is urgent then, the journal before all, does not wait for calls that were sent into the outage.
+//! Other store calls wait for up to about a second, because a slow store is better than none.
+//! During an outage, this task repeats a small read with a short timeout. The first reply wakes all
+//! other tasks, so that urgent work, above all the journal, does not wait for calls that were sent
+//! during the outage.
 
 use std::time::Duration;
 
 use super::Control;
-use super::journal::read_own;
+use super::journal::read_journal;
 
-/// Time between two questions in a small fleet, and the time that each is waited for.
-const EVERY: Duration = Duration::from_millis(100);
-/// Part of the store's reading calls that the questions of the whole fleet may take.
+/// Interval between two probes in a small fleet, and the timeout of each.
+const PROBE_INTERVAL: Duration = Duration::from_millis(100);
+/// Fraction of the store's read capacity that the probes of the whole fleet may use.
 const READ_SHARE: f64 = 0.25;
 
-/// Asks while the store does not answer, for as long as it is polled.
+/// Probes the store while it does not reply, until the future is dropped.
 pub(super) async fn run(control: &Control) {
     loop {
-        let every = control.spread(every(control));
-        let next = tokio::time::Instant::now() + every;
+        let interval = control.jitter(probe_interval(control));
+        let next = tokio::time::Instant::now() + interval;
         if !control.gateway.is_store_up() {
-            // The answer itself is of no use; `call` tells the duties that there was one.
-            let _ = read_own(control, EVERY).await;
+            // The result is not needed; `call` notifies the other tasks of a reply.
+            let _ = read_journal(control, PROBE_INTERVAL).await;
         }
         tokio::time::sleep_until(next).await;
     }
 }
 
-/// A larger fleet asks less often: a store that comes back must not be kept busy by questions.
-fn every(control: &Control) -> Duration {
+/// Returns the probe interval. It grows with the fleet, so that probes do not overload a store that
+/// is recovering.
+fn probe_interval(control: &Control) -> Duration {
     let instances = control.gateway.state().directory.count() as f64;
     let share = instances / (control.gateway.settings.reads_per_s * READ_SHARE);
-    EVERY.max(Duration::from_secs_f64(share))
+    PROBE_INTERVAL.max(Duration::from_secs_f64(share))
 }
--- a/crates/fescuewell_gateway/src/control/rows.rs
+++ b/crates/fescuewell_gateway/src/control/rows.rs
@@ -1,4 +1,4 @@
-//! Reading rows, and what is said of rows that cannot be read.
+//! Helpers for reading and decoding rows.
 
 use std::time::Duration;
 
@@ -7,16 +7,16 @@
 
 use fescuewell_forward::quota::row;
 
-use super::{CALL, Control};
+use super::{CALL_TIMEOUT, Control};
 use crate::store::{Error, ReadResponse, Row, RowId};
 
-/// Part of the members.
-pub(super) const FLEET: &str = "fleet";
+/// Partition of the rows that belong to the whole fleet.
+pub(super) const FLEET_PARTITION: &str = "fleet";
 
-pub(super) fn place(table: &str, part: &str, key: &str) -> RowId {
+pub(super) fn row_id(table: &str, partition: &str, key: &str) -> RowId {
     RowId {
         table: table.into(),
-        partition: part.into(),
+        partition: partition.into(),
         key: key.into(),
     }
 }
@@ -24,35 +24,35 @@
 pub(super) async fn read(
     control: &Control,
     table: &str,
-    part: &str,
+    partition: &str,
 ) -> Result<ReadResponse, Error> {
-    read_within(control, table, part, CALL).await
+    read_within(control, table, partition, CALL_TIMEOUT).await
 }
 
 /// Reads one row.
-pub(super) async fn read_row(control: &Control, at: &RowId) -> Result<ReadResponse, Error> {
-    let reading = control.store.read_row(at);
-    let reading = control.call(&at.table, CALL, reading).await?;
+pub(super) async fn read_row(control: &Control, id: &RowId) -> Result<ReadResponse, Error> {
+    let call = control.store.read_row(id);
+    let response = control.call(&id.table, CALL_TIMEOUT, call).await?;
     let now_ms = control.gateway.now_ms();
-    control.gateway.state().quota.clock(reading.now_ms, now_ms);
-    Ok(reading)
+    control.gateway.state().quota.clock(response.now_ms, now_ms);
+    Ok(response)
 }
 
-/// Reads the rows of a part, and waits for them so long.
+/// Reads the rows of a partition with a timeout.
 pub(super) async fn read_within(
     control: &Control,
     table: &str,
-    part: &str,
+    partition: &str,
     limit: Duration,
 ) -> Result<ReadResponse, Error> {
-    let reading = control.store.read(table, part);
-    let reading = control.call(table, limit, reading).await?;
+    let call = control.store.read(table, partition);
+    let response = control.call(table, limit, call).await?;
     let now_ms = control.gateway.now_ms();
-    control.gateway.state().quota.clock(reading.now_ms, now_ms);
-    Ok(reading)
+    control.gateway.state().quota.clock(response.now_ms, now_ms);
+    Ok(response)
 }
 
-pub(super) fn unreadable(row: &Row, reason: &str) {
+pub(super) fn log_unreadable(row: &Row, reason: &str) {
     let reason = reason.replace(' ', "_");
     log_event!(
         Event::InternalFault,
@@ -62,13 +62,13 @@
     );
 }
 
-/// The content of a row; one that cannot be read is logged and passed over.
+/// Decodes a row. Returns `None` and logs an event if the row is unreadable.
 pub(super) fn decode<Content, Decode>(row: &Row, decode: Decode) -> Option<Content>
 where
     Decode: Fn(&[u8]) -> Result<Content, row::Error>,
 {
     let content = decode(row.value.as_deref()?);
     content
-        .inspect_err(|error| unreadable(row, &error.to_string()))
+        .inspect_err(|error| log_unreadable(row, &error.to_string()))
         .ok()
 }
--- a/crates/fescuewell_gateway/src/control/sync.rs
+++ b/crates/fescuewell_gateway/src/control/sync.rs
@@ -1,85 +1,98 @@
-//! When grants, journal and membership are brought in step with the store.
+//! Schedules the synchronization of grants, journal and membership with the store.
 //!
-//! Two kinds of transactions: the *journal* of this instance and its member row, which nobody else writes, and
-//! the *ledgers* of the client accounts, which all instances change on condition of their versions.
+//! There are two kinds of transactions. The *journal* of this instance and its member row are
+//! written by this instance only. The *ledgers* of the client accounts are updated by all
+//! instances, with version preconditions.
 //!
-//! Three loops run beside each other, so that none waits for another: the journal, draws that requests wait for, and the
-//! plan of all accounts with the signs of life. In one loop a journal that requests wait for stands behind the conflicts of a
-//! plan of all ledgers, and a holder with tokens refuses them.
+//! Three loops run concurrently, so that none blocks another: the journal, draws for waiting
+//! requests, and the reconciliation of all accounts with the heartbeat. In a single loop, a journal
+//! that requests wait for is delayed by the conflicts of a reconciliation, and a holder with tokens
+//! refuses those requests.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
 use super::Control;
-use super::fence::enter;
-use super::journal::{adopt, journal};
-use super::ledger::{ledgers, plan};
+use super::fence::enter_era;
+use super::journal::{adopt, renew_journal};
+use super::ledger::{read_ledgers, reconcile};
 use super::lending;
-use super::members::{members, sign};
+use super::members::{read_members, write_heartbeat};
 use super::overdue::is_overdue;
-use super::watch::ready_if_complete;
+use super::watch::advance_stage;
 
-/// Time between two journals in a small fleet. What a process may have spent is known to its successor as of the
-/// last one.
-const JOURNAL_EVERY: Duration = Duration::from_millis(500);
-/// Time between two journals while this instance holds no tokens.
-const IDLE_JOURNAL: Duration = Duration::from_secs(4);
-/// Signs that a member may miss before it counts as absent.
-const LAPSE_SIGNS: u32 = 4;
-/// Time between two plans in a small fleet.
-const PLAN_EVERY: Duration = Duration::from_millis(1_000);
-/// Plans for which a ledger that was read tells that an account is exhausted.
-const FRESH_PLANS: f64 = 2.5;
-/// Least time between two plans that waiting requests ask for.
-const PLAN_PAUSE: Duration = Duration::from_millis(40);
-/// Least time between two journals that waiting requests ask for.
-const JOURNAL_PAUSE: Duration = Duration::from_millis(15);
-/// Pauses whose demand a journal lets through at once.
-const BURST_PAUSES: u32 = 2;
-/// Part of the store's writing calls that all journals may take.
+/// Interval between two journals in a small fleet. After a restart, the consumption is known as of
+/// the last journal.
+const JOURNAL_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval between two journals while this instance holds no tokens.
+const IDLE_JOURNAL_INTERVAL: Duration = Duration::from_secs(4);
+/// Number of missed heartbeats after which a member counts as absent.
+const MAX_MISSED_HEARTBEATS: u32 = 4;
+/// Interval between two reconciliations in a small fleet.
+const RECONCILE_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Number of reconciliation intervals for which a ledger read from the store proves that an account
+/// is exhausted.
+const FRESHNESS_INTERVALS: f64 = 2.5;
+/// Minimum interval between two draws for waiting requests.
+const MIN_DRAW_INTERVAL: Duration = Duration::from_millis(40);
+/// Minimum interval between two journals for waiting requests.
+const MIN_JOURNAL_INTERVAL: Duration = Duration::from_millis(15);
+/// Number of minimum journal intervals whose demand a journal permits at once.
+const BURST_INTERVALS: u32 = 2;
+/// Fraction of the store's write capacity that all journals may use together.
 const WRITE_SHARE: f64 = 0.4;
-/// Part of one part's transactions that all signs, and all plans, may take.
-const PART_SHARE: f64 = 0.3;
+/// Fraction of one partition's write capacity that all heartbeats, and all reconciliations, may
+/// use.
+const PARTITION_SHARE: f64 = 0.3;
 
-/// Keeps grants, journal and membership in step with the store.
+/// Synchronizes grants, journal and membership with the store.
 pub(super) async fn run(control: &Control) {
     adopt(control).await;
-    // Before it is ready, and before its own sign replaces what its former process wrote.
-    members(control).await;
-    ready_if_complete(control);
-    lending::learn_key(control).await;
-    tokio::join!(journals(control), draws(control), plans(control));
+    // Must run before the instance is ready, and before its own heartbeat overwrites the member row
+    // of its previous process.
+    read_members(control).await;
+    advance_stage(control);
+    lending::load_key(control).await;
+    tokio::join!(
+        journal_loop(control),
+        draw_loop(control),
+        reconcile_loop(control)
+    );
 }
 
-/// Renews the journal in time, and at once where a request waits for it.
-async fn journals(control: &Control) {
+/// Renews the journal periodically, and at once when a request waits for it.
+async fn journal_loop(control: &Control) {
     let gateway = &control.gateway;
     let mut written_at = Instant::now();
     let mut next = written_at;
     loop {
         let wanted = control.inbox.journals.recv_async();
         let is_wanted = matches!(tokio::time::timeout_at(next, wanted).await, Ok(Ok(())));
-        let pause = journal_pause(control);
+        let min_interval = min_journal_interval(control);
         if is_wanted && !is_overdue(control) {
-            // An overdue one cannot wait: a kill now would be charged for all of that time.
-            tokio::time::sleep_until(written_at + pause).await;
+            // An overdue journal is not delayed: a kill now would be charged for all of that time.
+            tokio::time::sleep_until(written_at + min_interval).await;
         }
         let idle = gateway.state().quota.is_idle();
-        let every = if idle { IDLE_JOURNAL } else { JOURNAL_EVERY };
-        let burst_ms = (pause * BURST_PAUSES).as_millis() as u64;
+        let interval = if idle {
+            IDLE_JOURNAL_INTERVAL
+        } else {
+            JOURNAL_INTERVAL
+        };
+        let burst_ms = (min_interval * BURST_INTERVALS).as_millis() as u64;
         gateway.state().quota.set_burst(burst_ms);
-        if enter(control).await {
-            journal(control).await;
+        if enter_era(control).await {
+            renew_journal(control).await;
         }
         written_at = Instant::now();
-        next = written_at + control.spread(every.max(journal_share(control)));
+        next = written_at + control.jitter(interval.max(fair_journal_interval(control)));
         gateway.notify_planned();
     }
 }
 
-/// Draws tokens for requests that wait for them, and gives all back when the instance leaves.
-async fn draws(control: &Control) {
+/// Draws tokens for waiting requests, and returns all tokens when the instance leaves.
+async fn draw_loop(control: &Control) {
     let gateway = &control.gateway;
     while control.inbox.plans.recv_async().await.is_ok() {
         let is_leaving = gateway.is_leaving();
@@ -87,65 +100,66 @@
             true => gateway.state().quota.names(),
             false => gateway.state().quota.short_names(),
         };
-        if enter(control).await {
-            plan(control, &names).await;
+        if enter_era(control).await {
+            reconcile(control, &names).await;
         }
         if is_leaving {
-            journal(control).await;
+            renew_journal(control).await;
         }
         gateway.notify_planned();
-        tokio::time::sleep(PLAN_PAUSE).await;
+        tokio::time::sleep(MIN_DRAW_INTERVAL).await;
     }
 }
 
-/// Signs, reads the signs of the others, and brings all grants to what they should be.
-async fn plans(control: &Control) {
+/// Writes the heartbeat, reads the members, and reconciles all grants.
+async fn reconcile_loop(control: &Control) {
     let gateway = &control.gateway;
-    for number in 0.. {
-        let every = control.spread(PLAN_EVERY.max(part_share(control)));
-        let next = Instant::now() + every;
-        sign(control).await;
-        members(control).await;
+    for round in 0.. {
+        let interval = control.jitter(RECONCILE_INTERVAL.max(fair_partition_interval(control)));
+        let next = Instant::now() + interval;
+        write_heartbeat(control).await;
+        read_members(control).await;
         gateway.tend_gate();
-        if enter(control).await {
-            ledgers(control, number).await;
+        if enter_era(control).await {
+            read_ledgers(control, round).await;
             let names = gateway.state().quota.names();
-            plan(control, &names).await;
+            reconcile(control, &names).await;
         }
-        lending::learn_key(control).await;
-        set_periods(control, every);
+        lending::load_key(control).await;
+        set_staleness(control, interval);
         tokio::time::sleep_until(next).await;
     }
 }
 
-/// What is old depends on how often it is renewed.
-fn set_periods(control: &Control, every: Duration) {
+/// Adapts the staleness limits to the interval at which the data is renewed.
+fn set_staleness(control: &Control, interval: Duration) {
     let mut state = control.gateway.state();
-    let lapse = every * LAPSE_SIGNS;
+    let lapse = interval * MAX_MISSED_HEARTBEATS;
     state.directory.set_lapse(lapse.as_millis() as u64);
-    let fresh = every.mul_f64(FRESH_PLANS);
+    let fresh = interval.mul_f64(FRESHNESS_INTERVALS);
     state.quota.set_fresh(fresh.as_millis() as u64);
 }
 
-/// Least time between two journals of one instance where requests wait for them.
-fn journal_pause(control: &Control) -> Duration {
-    JOURNAL_PAUSE.max(journal_share(control))
+/// Returns the minimum interval between two journals of one instance while requests wait for them.
+fn min_journal_interval(control: &Control) -> Duration {
+    MIN_JOURNAL_INTERVAL.max(fair_journal_interval(control))
 }
 
-/// Time between two journals at which the whole fleet keeps to its share of the store's writes. Each journal stands in a part
-/// of its own.
+/// Returns the journal interval at which the whole fleet stays within its share of the store's
+/// writes. Each journal has its own partition.
 ///
-/// With the share of one part in its place those of a large fleet are seconds apart, and a cut that begins between two finds
-/// promises made for the former demand.
-fn journal_share(control: &Control) -> Duration {
+/// With the limit of a single partition instead, the journals of a large fleet are seconds apart,
+/// and an outage that starts in between finds promises made for earlier demand.
+fn fair_journal_interval(control: &Control) -> Duration {
     let gateway = &control.gateway;
     let instances = gateway.state().directory.count() as f64;
     Duration::from_secs_f64(instances / (gateway.settings.writes_per_s * WRITE_SHARE))
 }
 
-/// Time between two writes to one part at which the whole fleet keeps to its share of that part.
-fn part_share(control: &Control) -> Duration {
+/// Returns the interval between writes to one partition at which the whole fleet stays within its
+/// share of that partition.
+fn fair_partition_interval(control: &Control) -> Duration {
     let gateway = &control.gateway;
     let instances = gateway.state().directory.count() as f64;
-    Duration::from_secs_f64(instances / (gateway.settings.partition_writes_per_s * PART_SHARE))
+    Duration::from_secs_f64(instances / (gateway.settings.partition_writes_per_s * PARTITION_SHARE))
 }
--- a/crates/fescuewell_gateway/src/control/watch.rs
+++ b/crates/fescuewell_gateway/src/control/watch.rs
@@ -1,8 +1,8 @@
-//! Keeps the configuration and the list of backend servers in step with the store.
+//! Keeps the configuration and the backend server list up to date with the store.
 //!
-//! Both are read whole once and then followed by a call that waits for changes. Such a call can stay silent
-//! while changes are made, and a whole reading can be old; so the whole is read again now and then, and nothing
-//! older than what is known counts.
+//! Both are first read in full and then watched with long polls. A long poll can miss changes, and
+//! a full read can be stale. The full state is therefore reread from time to time, and anything
+//! older than the known version is ignored.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -18,105 +18,112 @@
 use fescuewell_http::upstream::{self, Reach};
 use tokio::time::Instant;
 
-use super::{CALL, Control, PAUSE};
+use super::{CALL_TIMEOUT, Control, RETRY_DELAY};
 use crate::gateway::{Stage, State};
 use crate::source::{InvalidConfiguration, OperatorState, Versioned};
 use crate::store::Error;
 
-/// How long a call waits for changes. Short, since a connection that has gone silent shows only when the
-/// answer is overdue, and a change must be in force within two seconds.
-const WAIT: Duration = Duration::from_millis(700);
-/// Time for such a call in all.
-const WAIT_LIMIT: Duration = Duration::from_millis(1_100);
-/// Time after which the whole is read again though the changes seem to come.
-const REREAD: Duration = Duration::from_secs(4);
-/// Bytes of a row of the list as it is read.
+/// Maximum time a long poll waits for changes. It is short because a dead connection is noticed
+/// only when the reply is overdue, and a change must take effect within two seconds.
+const WATCH_WAIT: Duration = Duration::from_millis(700);
+/// Timeout of a long poll.
+const WATCH_TIMEOUT: Duration = Duration::from_millis(1_100);
+/// Interval after which the full state is reread even if changes arrive.
+const REREAD_INTERVAL: Duration = Duration::from_secs(4);
+/// Size of one row of the server list in bytes, as read from the store.
 const ROW_BYTES: f64 = 250.0;
-/// Bytes a second that a reader spends on reading the whole list again.
+/// Bandwidth that a reader may use for full reads of the list, in bytes per second.
 const READER_BYTES_S: f64 = 20_000.0;
-/// The same for an instance that readers tell what changes: half of what an instance may spend on control.
+/// The same limit for a follower, which gets changes from readers: half of the bandwidth that an
+/// instance may use for control traffic.
 const FOLLOWER_BYTES_S: f64 = 2_000.0;
-/// Time after which the whole configuration is read again by an instance that readers tell of newer ones.
-const FED_REREAD: Duration = Duration::from_secs(20);
-/// Time between two looks at what readers told.
-const FED_LOOK: Duration = Duration::from_millis(100);
-/// Least time between two calls for changes of backend servers: each of them writes about once a second, and
-/// every write would answer the call. A server that leaves is still noticed within this time.
-const SERVERS_PAUSE: Duration = Duration::from_millis(250);
+/// Interval after which a follower, which is informed of newer versions by readers, rereads the
+/// configuration.
+const FOLLOWER_REREAD_INTERVAL: Duration = Duration::from_secs(20);
+/// Interval at which a follower checks for news from readers.
+const FOLLOWER_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Minimum interval between two polls for server changes. Each server writes about once a second,
+/// and every write completes a poll. A leaving server is still noticed within this time.
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Timeout for connecting to a delisted server.
-const REACHED_WITHIN: Duration = Duration::from_millis(300);
+const REACH_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Follows the configuration.
+/// Watches the configuration.
 pub(super) async fn configuration(control: &Control) {
     loop {
         let read = control.source.read_state();
-        let Ok(news) = control.call("configuration", CALL, read).await else {
-            tokio::time::sleep(PAUSE).await;
+        let Ok(response) = control.call("configuration", CALL_TIMEOUT, read).await else {
+            tokio::time::sleep(RETRY_DELAY).await;
             continue;
         };
-        let mut version = news.version;
-        whole(control, news);
+        let mut version = response.version;
+        apply_full(control, response);
         let read_at = Instant::now();
         while !is_due(control, read_at, version) {
-            if is_fed(control) {
-                tokio::time::sleep(FED_LOOK).await;
+            if follows_readers(control) {
+                tokio::time::sleep(FOLLOWER_POLL_INTERVAL).await;
                 continue;
             }
-            let changes = control.source.watch_state(version, WAIT);
+            let changes = control.source.watch_state(version, WATCH_WAIT);
             match control
-                .call("configuration_after", WAIT_LIMIT, changes)
+                .call("configuration_after", WATCH_TIMEOUT, changes)
                 .await
             {
-                Ok(news) => {
-                    version = version.max(news.version);
-                    changed(control, news);
+                Ok(response) => {
+                    version = version.max(response.version);
+                    apply_changes(control, response);
                 }
                 Err(_) => break,
             }
         }
         if !control.gateway.is_store_up() {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 }
 
-/// Whether the whole configuration is to be read again: now and then, or since a reader told of a newer one.
+/// Returns `true` if the full configuration must be reread: periodically, or because a reader
+/// reported a newer version.
 fn is_due(control: &Control, read_at: Instant, version: u64) -> bool {
-    if !is_fed(control) {
-        return read_at.elapsed() >= REREAD;
+    if !follows_readers(control) {
+        return read_at.elapsed() >= REREAD_INTERVAL;
     }
     let gateway = &control.gateway;
     let known = gateway.table().map(|table| table.configuration().version);
-    let told = gateway.state().cursor.configuration();
-    told > known.unwrap_or(version) || read_at.elapsed() >= FED_REREAD
+    let reported = gateway.state().cursor.configuration();
+    reported > known.unwrap_or(version) || read_at.elapsed() >= FOLLOWER_REREAD_INTERVAL
 }
 
-/// Takes all that the operator has written.
-fn whole(control: &Control, news: Versioned<OperatorState>) {
+/// Applies the full operator state.
+fn apply_full(control: &Control, response: Versioned<OperatorState>) {
     let now_ms = control.gateway.now_ms();
-    apply(control, news.now_ms, news.content.configuration);
-    log_unreadable(control, news.content.invalid_configuration);
+    apply_configuration(control, response.now_ms, response.content.configuration);
+    log_invalid(control, response.content.invalid_configuration);
     let mut state = control.gateway.state();
-    let orders = news.content.evacuations;
-    for order in state.registry.evacuations(news.version, orders, now_ms) {
+    let orders = response.content.evacuations;
+    for order in state.registry.evacuations(response.version, orders, now_ms) {
         log_evacuation(&order);
     }
 }
 
-/// Takes what the operator has changed.
-fn changed(control: &Control, news: Versioned<OperatorState>) {
-    apply(control, news.now_ms, news.content.configuration);
-    log_unreadable(control, news.content.invalid_configuration);
-    evacuate(control, news.content.evacuations);
+/// Applies changes made by the operator.
+fn apply_changes(control: &Control, response: Versioned<OperatorState>) {
+    apply_configuration(control, response.now_ms, response.content.configuration);
+    log_invalid(control, response.content.invalid_configuration);
+    evacuate(control, response.content.evacuations);
 }
 
-/// Logs a configuration that cannot be read, once. The one before stays in force.
-fn log_unreadable(control: &Control, unreadable: Option<InvalidConfiguration>) {
-    let Some(InvalidConfiguration { version, reason }) = unreadable else {
+/// Logs an invalid configuration once. The previous one stays in force.
+fn log_invalid(control: &Control, invalid: Option<InvalidConfiguration>) {
+    let Some(InvalidConfiguration { version, reason }) = invalid else {
         return;
     };
-    if control.unreadable.fetch_max(version, Ordering::Relaxed) >= version {
+    if control
+        .last_invalid_version
+        .fetch_max(version, Ordering::Relaxed)
+        >= version
+    {
         return;
     }
     let reason = reason.replace(' ', "_");
@@ -148,14 +155,14 @@
     log_event!(event, "zone={} version={}", order.zone, order.version);
 }
 
-fn apply(control: &Control, store_ms: u64, configuration: Option<Configuration>) {
+fn apply_configuration(control: &Control, store_ms: u64, configuration: Option<Configuration>) {
     let gateway = &control.gateway;
     let now_ms = gateway.now_ms();
     gateway.state().quota.clock(store_ms, now_ms);
     let Some(configuration) = configuration else {
         return;
     };
-    // A version never goes back, whatever an old reading says.
+    // The version never decreases, even if a read is stale.
     let known = gateway.table().map(|table| table.configuration().version);
     if known.is_some_and(|known| known >= configuration.version) {
         return;
@@ -180,12 +187,12 @@
     }
     gateway.set_table(Table::new(configuration));
     gateway.want_tokens();
-    ready_if_complete(control);
+    advance_stage(control);
 }
 
-/// The instance is ready once it knows the configuration, what its former process may have spent, and which requests are
-/// quarantined.
-pub(super) fn ready_if_complete(control: &Control) {
+/// Marks the instance ready once it knows the configuration, the consumption of its previous
+/// process and the quarantined requests.
+pub(super) fn advance_stage(control: &Control) {
     let gateway = &control.gateway;
     let complete = {
         let state = gateway.state();
@@ -196,56 +203,58 @@
     }
 }
 
-/// Follows the backend servers.
+/// Watches the backend server list.
 pub(super) async fn servers(control: &Control) {
     loop {
         let read = control.source.list_servers();
-        let Ok(news) = control.call("servers", CALL, read).await else {
-            tokio::time::sleep(PAUSE).await;
+        let Ok(response) = control.call("servers", CALL_TIMEOUT, read).await else {
+            tokio::time::sleep(RETRY_DELAY).await;
             continue;
         };
         let mut outbox = Outbox::default();
-        outbox.restart(news.version);
-        control.gateway.state().cursor.read(news.version);
-        list(control, news);
-        let reread_at = Instant::now() + reread(control);
+        outbox.restart(response.version);
+        control.gateway.state().cursor.read(response.version);
+        apply_list(control, response);
+        let reread_at = Instant::now() + reread_interval(control);
         while Instant::now() < reread_at {
-            tokio::time::sleep(pause(control)).await;
-            if is_fed(control) {
+            tokio::time::sleep(poll_interval(control)).await;
+            if follows_readers(control) {
                 continue;
             }
-            if follow_feed(control, &mut outbox).await.is_err() {
+            if poll_changes(control, &mut outbox).await.is_err() {
                 break;
             }
         }
         if !control.gateway.is_store_up() {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 }
 
-/// Reads the next changes, and passes on those that others wait for.
-async fn follow_feed(control: &Control, outbox: &mut Outbox) -> Result<(), Error> {
+/// Polls for changes and queues a digest for the followers.
+async fn poll_changes(control: &Control, outbox: &mut Outbox) -> Result<(), Error> {
     let gateway = &control.gateway;
     let version = gateway.state().cursor.version();
-    let changes = control.source.watch_servers(version, WAIT);
-    let news = control.call("servers_after", WAIT_LIMIT, changes).await?;
+    let changes = control.source.watch_servers(version, WATCH_WAIT);
+    let response = control
+        .call("servers_after", WATCH_TIMEOUT, changes)
+        .await?;
     let mut rows = Vec::new();
-    for change in news.content {
-        // Row by row: one server may come and go within one reading.
+    for change in response.content {
+        // Row by row, because a server may appear and disappear within one response.
         let now_ms = gateway.now_ms();
         if gateway.state().registry.is_news(&change, now_ms) {
             rows.push(change.clone());
         }
-        follow(control, change);
+        apply_change(control, change);
     }
     let now_ms = gateway.now_ms();
-    outbox.add(rows, version, version.max(news.version), now_ms);
+    outbox.add(rows, version, version.max(response.version), now_ms);
     {
         let mut state = gateway.state();
-        state.cursor.read(news.version);
+        state.cursor.read(response.version);
         if !state.directory.is_reader(&gateway.settings.name) {
-            // It reads for itself alone, until readers are heard again.
+            // Until readers are heard from again, it reads only for itself.
             return Ok(());
         }
     }
@@ -253,17 +262,18 @@
     let name = gateway.settings.name.clone();
     let evacuations = gateway.state().registry.zones().orders();
     let configuration = configuration.unwrap_or_default();
-    let digest = outbox.digest(name, news.now_ms, configuration, evacuations);
-    // Where the last ones have not been sent yet this one is not needed.
+    let digest = outbox.digest(name, response.now_ms, configuration, evacuations);
+    // If the queue is full, this digest is not needed.
     let _ = control.digests.0.try_send(digest);
     Ok(())
 }
 
-/// Takes what a reader tells.
+/// Applies a digest from a reader.
 pub(super) fn receive_digest(control: &Control, digest: Digest) {
     let gateway = &control.gateway;
     let now_ms = gateway.now_ms();
-    // Each order stands for itself, also in a digest that is late or follows a lost one.
+    // Evacuations are versioned individually, so they apply even from a late digest or after a lost
+    // one.
     evacuate(control, digest.evacuations.clone());
     {
         let mut state = gateway.state();
@@ -273,20 +283,21 @@
         }
     }
     for row in digest.rows {
-        follow(control, row);
+        apply_change(control, row);
     }
 }
 
-/// Whether others read the list for this instance.
-fn is_fed(control: &Control) -> bool {
+/// Returns `true` if readers provide the list to this instance.
+fn follows_readers(control: &Control) -> bool {
     let gateway = &control.gateway;
     let now_ms = gateway.now_ms();
     let state = gateway.state();
     !state.directory.is_reader(&gateway.settings.name) && state.cursor.is_fed(now_ms)
 }
 
-/// Time after which the whole list is read again: so rarely that it stays within the bytes that an instance may read.
-fn reread(control: &Control) -> Duration {
+/// Returns the interval between full reads of the server list, chosen to stay within the bandwidth
+/// limit of the instance.
+fn reread_interval(control: &Control) -> Duration {
     let gateway = &control.gateway;
     let state = gateway.state();
     let bytes_s = match state.directory.readers(&gateway.settings.zone).is_empty() {
@@ -295,43 +306,45 @@
         false => FOLLOWER_BYTES_S,
     };
     let bytes = state.registry.count() as f64 * ROW_BYTES;
-    REREAD.max(Duration::from_secs_f64(bytes / bytes_s))
+    REREAD_INTERVAL.max(Duration::from_secs_f64(bytes / bytes_s))
 }
 
-/// Time between two looks for changes. Where all instances read, a larger fleet asks less often, so that all of them together
-/// stay within a quarter of the store's readings.
-fn pause(control: &Control) -> Duration {
+/// Returns the interval between two polls for server changes. Where all instances read, it grows
+/// with the fleet, so that together they use at most a quarter of the store's read capacity.
+fn poll_interval(control: &Control) -> Duration {
     let state = control.gateway.state();
     let settings = &control.gateway.settings;
     if !state.directory.readers(&settings.zone).is_empty() {
-        return SERVERS_PAUSE;
+        return MIN_POLL_INTERVAL;
     }
     let instances = state.directory.count() as f64;
     let share = instances / (settings.reads_per_s * 0.25);
-    SERVERS_PAUSE.max(Duration::from_secs_f64(share))
+    MIN_POLL_INTERVAL.max(Duration::from_secs_f64(share))
 }
 
-fn list(control: &Control, news: Versioned<Vec<Movement>>) {
-    let count = news.content.len();
+fn apply_list(control: &Control, response: Versioned<Vec<Movement>>) {
+    let count = response.content.len();
     let now_ms = control.gateway.now_ms();
     let mut guard = control.gateway.state();
     let state = &mut *guard;
-    let changed = state.registry.snapshot(news.version, news.content, now_ms);
+    let changed = state
+        .registry
+        .snapshot(response.version, response.content, now_ms);
     state.health.retain(|id| state.registry.is_known(id));
     state.warmup.retain(|id| state.registry.is_cold(id, now_ms));
     log_event!(
         Event::ServerListed,
         "servers={count} version={} changed={}",
-        news.version,
+        response.version,
         changed.len()
     );
     log_unreadable_rows(&changed);
     let ended = forget_ended(state);
     drop(guard);
-    conclude_ended(control, ended);
+    handle_ended(control, ended);
 }
 
-fn follow(control: &Control, movement: Movement) {
+fn apply_change(control: &Control, movement: Movement) {
     let id = movement.id.clone();
     let version = movement.version;
     let now_ms = control.gateway.now_ms();
@@ -349,12 +362,13 @@
     }
     let ended = forget_ended(&mut state);
     drop(state);
-    conclude_ended(control, ended);
+    handle_ended(control, ended);
 }
 
-/// Logs rows that name no server, once for each of their versions. One such row must not hide the others: it is passed over.
-fn log_unreadable_rows(news: &[Movement]) {
-    for movement in news {
+/// Logs rows that do not describe a server, once per version. They are skipped so that they do not
+/// hide the other rows.
+fn log_unreadable_rows(changes: &[Movement]) {
+    for movement in changes {
         let Said::Unreadable { reason } = &movement.said else {
             continue;
         };
@@ -368,8 +382,9 @@
     }
 }
 
-/// Forgets what was observed of servers that started again: they keep no prompt part, and their failures and times were
-/// those of another process. Returns them, with the evidence where they have crashed.
+/// Discards what was observed of servers that have restarted or ended: their prompt caches are
+/// gone, and their failures and timings belong to another process. Returns these servers, with
+/// evidence if they crashed.
 fn forget_ended(state: &mut State) -> Vec<(Arc<Entry>, Option<Evidence>)> {
     let ended = state.registry.take_ended();
     let mut findings = Vec::with_capacity(ended.len());
@@ -385,20 +400,21 @@
     findings
 }
 
-/// Counts the crash of a delisted server unless it still accepts connections: a server that leaves without draining continues
-/// serving for a while.
+/// Records the crash of a delisted server unless it still accepts connections: a server that leaves
+/// without draining continues serving for a while.
 fn confirm_removed(control: &Control, server: Arc<Entry>) {
     let gateway = control.gateway.clone();
     tokio::spawn(async move {
-        match upstream::reach(server.address, REACHED_WITHIN).await {
+        match upstream::reach(server.address, REACH_TIMEOUT).await {
             Reach::Accepted => gateway.state().crashes.accepted(server.incarnation()),
             Reach::Refused | Reach::Silent => gateway.crashed(&server, Evidence::Removed),
         }
     });
 }
 
-/// Counts the crashes, and then tells the requests that were under way at these servers: they ask whether it was one.
-fn conclude_ended(control: &Control, ended: Vec<(Arc<Entry>, Option<Evidence>)>) {
+/// Records the crashes, then notifies the requests in flight on these servers, which check whether
+/// their server crashed.
+fn handle_ended(control: &Control, ended: Vec<(Arc<Entry>, Option<Evidence>)>) {
     if ended.is_empty() {
         return;
     }
