--- a/crates/fescuewell_gateway/tests/common/mod.rs
+++ b/crates/fescuewell_gateway/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Instances' duties against a store in memory that can fall silent.
-// Each test file uses a part of it.
+//! Runs instances against an in-memory store that can become unavailable.
+// Each test file uses only some of these helpers.
 #![allow(dead_code)]
 
 use std::collections::HashMap;
@@ -26,32 +26,32 @@
 
 /// The only client account.
 pub const ACCOUNT: &str = "group";
-/// The instance's name.
+/// Name of the instance.
 pub const INSTANCE: &str = "entry-1";
-/// Time of one call to the store while it answers.
+/// Duration of one store call while the store replies.
 const LATENCY: Duration = Duration::from_millis(4);
 
-/// How the store behaves.
+/// How the store handles calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Behaviour {
-    /// Answers each call.
+    /// Replies to each call.
     Answer,
-    /// Never answers a call that reaches it now, not even once it is back.
+    /// Never replies to a call that arrives now, even after the store is back.
     Silent,
-    /// Refuses each call at once.
+    /// Rejects each call immediately.
     Refuse,
 }
 
 struct Content {
     behaviour: Behaviour,
-    /// Time that calls on the accounts' ledgers take beyond the usual.
+    /// Additional delay of calls on the accounts' ledgers.
     ledger_delay: Duration,
     version: u64,
     rows: HashMap<RowId, (Vec<u8>, u64)>,
-    readings: HashMap<String, usize>,
+    read_counts: HashMap<String, usize>,
 }
 
-/// A store of rows in memory, and the configuration in it.
+/// An in-memory row store that contains a configuration.
 pub struct MemoryStore {
     content: Mutex<Content>,
     started: Instant,
@@ -72,7 +72,7 @@
                 ledger_delay: Duration::ZERO,
                 version: 1,
                 rows: HashMap::new(),
-                readings: HashMap::new(),
+                read_counts: HashMap::new(),
             }),
             started: Instant::now(),
             configuration: Configuration {
@@ -87,45 +87,45 @@
         self.content().behaviour = behaviour;
     }
 
-    /// Lets calls on the accounts' ledgers wait, as behind the transactions of a large fleet.
+    /// Delays calls on the accounts' ledgers, as contention in a large fleet does.
     pub fn delay_ledgers(&self, delay: Duration) {
         self.content().ledger_delay = delay;
     }
 
-    /// How often a table was to be read whole, with or without an answer.
+    /// Returns how often a partition of a table was read, including reads without a reply.
     pub fn read_count(&self, table: &str) -> usize {
         let content = self.content();
-        content.readings.get(table).copied().unwrap_or_default()
+        content.read_counts.get(table).copied().unwrap_or_default()
     }
 
-    /// Rows of a table.
+    /// Returns the number of rows of a table.
     pub fn row_count(&self, table: &str) -> usize {
         let content = self.content();
-        let places = content.rows.keys();
-        places.filter(|place| *place.table == *table).count()
+        let ids = content.rows.keys();
+        ids.filter(|id| *id.table == *table).count()
     }
 
-    async fn wait_for(&self, table: &str) {
+    async fn wait_delay(&self, table: &str) {
         if table == "ledger" {
             let delay = self.content().ledger_delay;
             tokio::time::sleep(delay).await;
         }
     }
 
-    /// The store's clock in milliseconds.
+    /// Returns the store's clock, in milliseconds.
     pub fn now_ms(&self) -> u64 {
         1_000_000 + self.started.elapsed().as_millis() as u64
     }
 
-    /// The instance's journal as it stands.
+    /// Returns the stored journal of the instance.
     pub fn journal(&self) -> Journal {
         let content = self.content();
-        let place = RowId {
+        let id = RowId {
             table: "journal".into(),
             partition: INSTANCE.into(),
             key: INSTANCE.into(),
         };
-        let (value, _) = &content.rows[&place];
+        let (value, _) = &content.rows[&id];
         Journal::decode(value).unwrap()
     }
 
@@ -133,8 +133,8 @@
         self.content.lock().unwrap()
     }
 
-    /// One call: how the store behaves at its arrival decides.
-    async fn arrive(&self) -> Result<(), Error> {
+    /// Simulates one call. The mode at the time of arrival applies.
+    async fn simulate_call(&self) -> Result<(), Error> {
         let behaviour = self.content().behaviour;
         match behaviour {
             Behaviour::Answer => {}
@@ -150,8 +150,8 @@
         Ok(())
     }
 
-    async fn news<Content>(&self, content: Content) -> Result<Versioned<Content>, Error> {
-        self.arrive().await?;
+    async fn versioned<Content>(&self, content: Content) -> Result<Versioned<Content>, Error> {
+        self.simulate_call().await?;
         Ok(Versioned {
             content,
             version: 1,
@@ -159,12 +159,12 @@
         })
     }
 
-    fn reading(&self, places: &[RowId]) -> ReadResponse {
+    fn response(&self, ids: &[RowId]) -> ReadResponse {
         let content = self.content();
-        let rows = places.iter().filter_map(|place| {
-            let (value, version) = content.rows.get(place)?;
+        let rows = ids.iter().filter_map(|id| {
+            let (value, version) = content.rows.get(id)?;
             Some(Row {
-                id: place.clone(),
+                id: id.clone(),
                 value: Some(value.clone()),
                 version: *version,
             })
@@ -176,35 +176,35 @@
         }
     }
 
-    fn places(&self, table: &str, part: &str) -> Vec<RowId> {
+    fn row_ids(&self, table: &str, partition: &str) -> Vec<RowId> {
         let content = self.content();
-        let places = content.rows.keys();
-        let wanted = places.filter(|place| *place.table == *table && *place.partition == *part);
+        let ids = content.rows.keys();
+        let wanted = ids.filter(|id| *id.table == *table && *id.partition == *partition);
         wanted.cloned().collect()
     }
 
-    fn apply(&self, change: &Transaction) -> Outcome {
+    fn apply(&self, transaction: &Transaction) -> Outcome {
         let mut content = self.content();
-        for (place, wanted) in &change.preconditions {
-            let version = content.rows.get(place).map_or(0, |row| row.1);
+        for (id, wanted) in &transaction.preconditions {
+            let version = content.rows.get(id).map_or(0, |row| row.1);
             if version == *wanted {
                 continue;
             }
             drop(content);
-            let places: Vec<RowId> = change
+            let ids: Vec<RowId> = transaction
                 .preconditions
                 .iter()
                 .map(|(at, _)| at.clone())
                 .collect();
-            return Outcome::Conflict(self.reading(&places));
+            return Outcome::Conflict(self.response(&ids));
         }
         content.version += 1;
         let version = content.version;
-        for (place, value) in &change.puts {
-            content.rows.insert(place.clone(), (value.clone(), version));
+        for (id, value) in &transaction.puts {
+            content.rows.insert(id.clone(), (value.clone(), version));
         }
-        for place in &change.deletes {
-            content.rows.remove(place);
+        for id in &transaction.deletes {
+            content.rows.remove(id);
         }
         Outcome::Committed {
             version,
@@ -218,37 +218,36 @@
         0
     }
 
-    fn read<'a>(&'a self, table: &'a str, part: &'a str) -> BoxFuture<'a, ReadResponse> {
-        *self.content().readings.entry(table.into()).or_default() += 1;
+    fn read<'a>(&'a self, table: &'a str, partition: &'a str) -> BoxFuture<'a, ReadResponse> {
+        *self.content().read_counts.entry(table.into()).or_default() += 1;
         Box::pin(async move {
-            self.arrive().await?;
-            self.wait_for(table).await;
-            Ok(self.reading(&self.places(table, part)))
+            self.simulate_call().await?;
+            self.wait_delay(table).await;
+            Ok(self.response(&self.row_ids(table, partition)))
         })
     }
 
-    fn read_row<'a>(&'a self, place: &'a RowId) -> BoxFuture<'a, ReadResponse> {
+    fn read_row<'a>(&'a self, id: &'a RowId) -> BoxFuture<'a, ReadResponse> {
         Box::pin(async move {
-            self.arrive().await?;
-            self.wait_for(&place.table).await;
-            Ok(self.reading(std::slice::from_ref(place)))
+            self.simulate_call().await?;
+            self.wait_delay(&id.table).await;
+            Ok(self.response(std::slice::from_ref(id)))
         })
     }
 
-    fn commit<'a>(&'a self, change: &'a Transaction) -> BoxFuture<'a, Outcome> {
+    fn commit<'a>(&'a self, transaction: &'a Transaction) -> BoxFuture<'a, Outcome> {
         Box::pin(async move {
-            self.arrive().await?;
-            let first = change.puts.first();
-            self.wait_for(first.map_or("", |(place, _)| &place.table))
-                .await;
-            Ok(self.apply(change))
+            self.simulate_call().await?;
+            let first = transaction.puts.first();
+            self.wait_delay(first.map_or("", |(id, _)| &id.table)).await;
+            Ok(self.apply(transaction))
         })
     }
 }
 
 impl Source for MemoryStore {
     fn read_state(&self) -> BoxFuture<'_, Versioned<OperatorState>> {
-        Box::pin(self.news(OperatorState {
+        Box::pin(self.versioned(OperatorState {
             configuration: Some(self.configuration.clone()),
             ..OperatorState::default()
         }))
@@ -257,24 +256,24 @@
     fn watch_state(&self, _: u64, wait: Duration) -> BoxFuture<'_, Versioned<OperatorState>> {
         Box::pin(async move {
             tokio::time::sleep(wait).await;
-            self.news(OperatorState::default()).await
+            self.versioned(OperatorState::default()).await
         })
     }
 
     fn list_servers(&self) -> BoxFuture<'_, Versioned<Vec<Movement>>> {
-        Box::pin(self.news(Vec::new()))
+        Box::pin(self.versioned(Vec::new()))
     }
 
     fn watch_servers(&self, _: u64, wait: Duration) -> BoxFuture<'_, Versioned<Vec<Movement>>> {
         Box::pin(async move {
             tokio::time::sleep(wait).await;
-            self.news(Vec::new()).await
+            self.versioned(Vec::new()).await
         })
     }
 }
 
-/// A manner of speaking that no caller uses here.
-struct Silence(Names);
+/// A dialect that no test uses.
+struct UnusedDialect(Names);
 
 fn names() -> Names {
     let name = HeaderName::from_static("x-unused");
@@ -292,7 +291,7 @@
     }
 }
 
-impl Dialect for Silence {
+impl Dialect for UnusedDialect {
     fn names(&self) -> &Names {
         &self.0
     }
@@ -318,25 +317,25 @@
     }
 }
 
-/// Settings of an instance that listens nowhere.
+/// Creates settings of an instance without listeners.
 pub fn settings(name: &str) -> Settings {
     Settings::new(name, "127.0.0.1:0".parse().unwrap())
 }
 
-/// An instance and its duties; `seed` decides what it draws at random.
+/// Creates an instance and its control tasks; `seed` seeds its random numbers.
 pub fn instance(
     settings: Settings,
     store: &Arc<MemoryStore>,
     seed: u64,
 ) -> (Arc<Gateway>, Control) {
-    let (gateway, inbox) = Gateway::new(settings, Arc::new(Silence(names()))).unwrap();
+    let (gateway, inbox) = Gateway::new(settings, Arc::new(UnusedDialect(names()))).unwrap();
     gateway.state().random = SmallRng::seed_from_u64(seed);
     let control = Control::new(gateway.clone(), store.clone(), store.clone(), inbox);
     (gateway, control)
 }
 
-/// Plays a scenario beside the duties of one instance, in virtual time that jumps from event to event. `seed` decides what
-/// the instance draws at random.
+/// Runs a scenario next to the control tasks of one instance, in virtual time that advances from
+/// event to event. `seed` seeds the instance's random numbers.
 pub fn run_scenario<Scenario, Play>(prepaid: u64, seed: u64, scenario: Scenario) -> Play::Output
 where
     Scenario: FnOnce(Arc<Gateway>, Arc<MemoryStore>) -> Play,
@@ -351,7 +350,7 @@
         let store = MemoryStore::new(prepaid);
         let (gateway, control) = instance(settings(INSTANCE), &store, seed);
         tokio::select! {
-            () = control.run() => unreachable!("the duties end with the process"),
+            () = control.run() => unreachable!("the control tasks run until the process ends"),
             output = scenario(gateway, store) => output,
         }
     })
--- a/crates/fescuewell_gateway/tests/duties.rs
+++ b/crates/fescuewell_gateway/tests/duties.rs
@@ -1,4 +1,4 @@
-//! What the duties towards the store owe each other.
+//! Independence of the control tasks that use the store.
 
 mod common;
 
@@ -6,12 +6,13 @@
 
 use common::ACCOUNT;
 
-/// Time in which a journal that requests wait for has to be written: a transaction and the pause between two.
+/// Time limit for a journal that requests wait for: one transaction and the pause between two.
 const WRITTEN_WITHIN: Duration = Duration::from_millis(60);
 
-/// Symptom: an instance that held 13 million tokens of an account refused 356 of its requests in five seconds of twice the usual traffic
-/// (`BudgetUnknown`, after half of the target latency). Sequence: requests use up what the journal lets through; a plan of 40 ledgers is under way, whose
-/// transactions are in conflict with those of other instances; the requests ask for a journal. Cause: the journal was written after the plan.
+/// Guards against a journal that waits for a reconciliation. Requests use up what the journal
+/// permits while a reconciliation of 40 ledgers is retrying conflicts with other instances. When
+/// the journal was written after it, an instance that held 13 million tokens refused 356 requests
+/// in five seconds at twice the usual traffic (`BudgetUnknown`, after half of the target latency).
 #[test]
 fn a_journal_does_not_wait_for_a_plan() {
     for step in 0..10 {
@@ -22,7 +23,7 @@
                 gateway.state().quota.ask(&ACCOUNT.into(), 5_000, now_ms);
             }
             store.delay_ledgers(Duration::from_millis(1_000));
-            // Somewhere within a plan.
+            // Some point during a reconciliation.
             tokio::time::sleep(Duration::from_millis(2_000 + step * 90)).await;
             let asked_ms = store.now_ms();
 
--- a/crates/fescuewell_gateway/tests/lending.rs
+++ b/crates/fescuewell_gateway/tests/lending.rs
@@ -1,4 +1,4 @@
-//! Loans of tokens between instances, as requests ask for them.
+//! Token loans between instances.
 
 mod common;
 
@@ -12,8 +12,8 @@
 
 /// Tokens of the request.
 const TOKENS: u64 = 1_000;
-/// Pause between two looks at what is waited for.
-const LOOK: Duration = Duration::from_millis(5);
+/// Polling interval.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 fn free_address() -> SocketAddr {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
@@ -31,8 +31,9 @@
     gateway.state().quota.spare(ACCOUNT, now_ms)
 }
 
-/// Waits until only the lender can spend, the borrower knows it, and both can prove themselves.
-async fn until_acquainted(lender: &Gateway, borrower: &Gateway) {
+/// Waits until only the lender can spend, the borrower knows the lender, and both have the fleet
+/// key.
+async fn wait_ready(lender: &Gateway, borrower: &Gateway) {
     let knows_lender = || {
         let state = borrower.state();
         !state.quota.candidates(ACCOUNT, 0).is_empty()
@@ -43,12 +44,12 @@
         || lender.fleet_key().is_none()
         || borrower.fleet_key().is_none()
     {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// A request was refused in a cut of the whole fleet although the account's tokens lay at the next instance, with which this one
-/// went on talking: nothing but the store could move them.
+/// Guards against a refusal during a store outage although another reachable instance holds the
+/// account's tokens: only the store could move tokens between instances.
 #[test]
 fn a_request_is_paid_with_tokens_of_another_instance() {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -57,31 +58,32 @@
         .unwrap();
     runtime.block_on(async {
         let store = MemoryStore::new(400_000);
-        // One instance is enough for the callers. All choose this one, and it gets the tokens.
-        let (rich, rich_control) = instance("entry-1", &store);
-        let (poor, poor_control) = instance("entry-2", &store);
+        // One instance is enough for the traffic, so all callers are sent to this one and it draws
+        // the tokens.
+        let (lender, lender_control) = instance("entry-1", &store);
+        let (borrower, borrower_control) = instance("entry-2", &store);
         let scenario = async {
-            until_acquainted(&rich, &poor).await;
+            wait_ready(&lender, &borrower).await;
             store.set_behaviour(Behaviour::Silent);
-            // A datagram may be lost: then it is asked again.
-            while !poor.borrow(&ACCOUNT.into(), TOKENS).await {}
+            // A datagram may be lost, so the loan is retried.
+            while !borrower.borrow(&ACCOUNT.into(), TOKENS).await {}
         };
 
         tokio::select! {
-            () = rich_control.run() => unreachable!("the duties end with the process"),
-            () = poor_control.run() => unreachable!("the duties end with the process"),
+            () = lender_control.run() => unreachable!("the control tasks run until the process ends"),
+            () = borrower_control.run() => unreachable!("the control tasks run until the process ends"),
             () = scenario => {}
         }
 
-        let now_ms = poor.now_ms();
-        let missing = poor.state().quota.missing(ACCOUNT, TOKENS, now_ms);
+        let now_ms = borrower.now_ms();
+        let missing = borrower.state().quota.missing(ACCOUNT, TOKENS, now_ms);
         assert_eq!(missing, 0);
-        assert!(rich.state().quota.view(ACCOUNT).unwrap().consumed() >= TOKENS);
+        assert!(lender.state().quota.view(ACCOUNT).unwrap().consumed() >= TOKENS);
     });
 }
 
-/// All requests of an instance that has no address for the words of others waited for tokens without an end once the store was
-/// silent: nobody took their shortages.
+/// Guards against requests that wait for a loan forever: an instance without a peer address has no
+/// task that handles shortages, and its requests never got a reply while the store was down.
 #[test]
 fn an_instance_without_peers_borrows_nothing() {
     let borrowed = common::run_scenario(10_000, 1, async |gateway, store| {
--- a/crates/fescuewell_gateway/tests/outage.rs
+++ b/crates/fescuewell_gateway/tests/outage.rs
@@ -1,4 +1,4 @@
-//! What an instance does when the store falls silent, and when it is back.
+//! Behaviour of an instance during and after a store outage.
 
 mod common;
 
@@ -9,12 +9,12 @@
 use fescuewell_forward::quota::Verdict;
 use fescuewell_gateway::gateway::Gateway;
 
-/// Time from the store's return in which the journal has to be renewed: a loss of power of the whole fleet has been seen
-/// 0.05 to 0.4 s after it.
+/// Time limit for renewing the journal once the store is back. A power loss of the whole fleet can
+/// follow 0.05 to 0.4 s after that.
 const RENEWED_WITHIN: Duration = Duration::from_millis(200);
 
-/// Requests of an account for a while, ten a second.
-async fn ask(gateway: &Arc<Gateway>, span: Duration) -> u64 {
+/// Sends requests of an account, ten per second, and returns the tokens held.
+async fn send_requests(gateway: &Arc<Gateway>, span: Duration) -> u64 {
     let account = ACCOUNT.into();
     let mut held = 0;
     for _ in 0..span.as_millis() / 100 {
@@ -29,13 +29,13 @@
     held
 }
 
-/// An outage of `outage`, after which the store is back for [`RENEWED_WITHIN`]. Returns whether the journal speaks of the
-/// time after the return then.
+/// Runs an outage and returns whether the journal is renewed within [`RENEWED_WITHIN`] after the
+/// store is back.
 fn is_renewed(behaviour: Behaviour, outage: Duration, seed: u64) -> bool {
     common::run_scenario(10_000_000, seed, async move |gateway, store| {
-        ask(&gateway, Duration::from_secs(4)).await;
+        send_requests(&gateway, Duration::from_secs(4)).await;
         store.set_behaviour(behaviour);
-        ask(&gateway, outage).await;
+        send_requests(&gateway, outage).await;
         store.set_behaviour(Behaviour::Answer);
         let back_ms = store.now_ms();
         tokio::time::sleep(RENEWED_WITHIN).await;
@@ -43,10 +43,11 @@
     })
 }
 
-/// All instances had lost power 0.4 s after the store had come back from an outage, and each was charged for 14 s without a
-/// journal (`journal.adopted journal_age_ms=14203`): 4.58 of 14.07 million tokens, after which nearly every request to the
-/// engines was refused. One instance of six had noticed the return (`table.up`). The others waited for calls that they had
-/// sent into the outage, up to 1.2 s each, and the journal stood behind four of them.
+/// Guards against a late journal after an outage: tasks waited for calls sent during the outage, up
+/// to 1.2 s each, and the journal was queued behind four of them. Only one instance of six noticed
+/// the recovery (`table.up`). A power loss 0.4 s after the recovery then charged each instance for
+/// 14 s without a journal (`journal.adopted journal_age_ms=14203`): 4.58 of 14.07 million tokens,
+/// and nearly every later request was refused.
 #[test]
 fn the_journal_is_renewed_as_soon_as_the_store_is_back() {
     for behaviour in [Behaviour::Silent, Behaviour::Refuse] {
