--- a/crates/fescuewell_gateway/src/source.rs
+++ b/crates/fescuewell_gateway/src/source.rs
@@ -1,4 +1,4 @@
-//! Where the configuration and the list of backend servers come from.
+//! Source of the configuration and the backend server list.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,50 +7,55 @@
 use fescuewell_forward::evacuation::Order;
 use fescuewell_forward::server::Movement;
 
-use crate::store::Pending;
+use crate::store::BoxFuture;
 
-/// A reading of the source.
+/// Content read from the source, with the version it was read at.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct News<Content> {
-    /// What was read.
+pub struct Versioned<Content> {
+    /// The content.
     pub content: Content,
-    /// From where to go on.
+    /// Version from which to watch for further changes.
     pub version: u64,
-    /// The store's clock in milliseconds.
+    /// The store's clock, in milliseconds.
     pub now_ms: u64,
 }
 
-/// A configuration that cannot be read.
+/// A configuration that cannot be decoded.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Unreadable {
+pub struct InvalidConfiguration {
     /// Version of its row.
     pub version: u64,
-    /// What is wrong with it.
+    /// Why it cannot be decoded.
     pub reason: Arc<str>,
 }
 
-/// What the operator has written.
+/// State written by the operator: all of it after a read, and only what has changed after a watch.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Word {
-    /// The newest configuration, if the reading holds one.
+pub struct OperatorState {
+    /// The latest configuration, if the response contains one.
     pub configuration: Option<Configuration>,
-    /// A configuration that the reading holds and that this program cannot read.
-    pub unreadable: Option<Unreadable>,
-    /// Evacuations of availability zones that the reading holds.
+    /// A configuration in the response that this program cannot decode.
+    pub invalid_configuration: Option<InvalidConfiguration>,
+    /// Evacuations of availability zones in the response.
     pub evacuations: Vec<Order>,
 }
 
-/// The configuration and the list of backend servers.
+/// The configuration and the backend server list.
 pub trait Source: Send + Sync {
-    /// All that the operator has written and not taken back.
-    fn word(&self) -> Pending<'_, News<Word>>;
-
-    /// What the operator has written or taken back after `version`, waiting up to `wait` for something.
-    fn word_after(&self, version: u64, wait: Duration) -> Pending<'_, News<Word>>;
-
-    /// All backend servers.
-    fn servers(&self) -> Pending<'_, News<Vec<Movement>>>;
-
-    /// Changes of backend servers after `version`, waiting up to `wait` for one.
-    fn servers_after(&self, version: u64, wait: Duration) -> Pending<'_, News<Vec<Movement>>>;
+    /// Reads everything that the operator has written and not withdrawn.
+    fn read_state(&self) -> BoxFuture<'_, Versioned<OperatorState>>;
+
+    /// Returns what the operator has written or withdrawn after `version`, waiting up to `wait` for
+    /// a change.
+    fn watch_state(&self, version: u64, wait: Duration) -> BoxFuture<'_, Versioned<OperatorState>>;
+
+    /// Lists all backend servers.
+    fn list_servers(&self) -> BoxFuture<'_, Versioned<Vec<Movement>>>;
+
+    /// Returns the changes of backend servers after `version`, waiting up to `wait` for a change.
+    fn watch_servers(
+        &self,
+        version: u64,
+        wait: Duration,
+    ) -> BoxFuture<'_, Versioned<Vec<Movement>>>;
 }
