--- a/crates/fescuewell_gateway/src/control.rs
+++ b/crates/fescuewell_gateway/src/control.rs
@@ -104,7 +104,7 @@
     /// Notes what a call to the store came to, and the time that it took.
     fn note_outcome<Answer>(&self, answer: &Result<Answer, Error>, call: &str, took: Duration) {
         let up = matches!(answer, Ok(_) | Err(Error::Compacted));
-        let silence = self.gateway.store_silence();
+        let silence = self.gateway.time_since_store_response();
         let is_news = self.gateway.set_store_up(up);
         let took_ms = took.as_millis();
         match answer {
@@ -121,14 +121,14 @@
                     silence.as_millis()
                 );
                 // The journal is as old as the outage, and a restart now would be charged for all of that.
-                self.gateway.want_tokens();
+                self.gateway.request_journal_and_plan();
             }
         }
     }
 
     /// Ends when the store is back and a call that was begun before has had its time.
     async fn overtaken(&self, begun: Instant) {
-        let mut returns = self.gateway.returns();
+        let mut returns = self.gateway.store_recoveries();
         if returns.changed().await.is_err() {
             // The gateway is gone, and nobody waits for calls any more.
             std::future::pending::<()>().await;
@@ -138,7 +138,7 @@
 
     /// Varies a time, so that instances that started together do not call at the same moment for ever.
     fn spread(&self, time: Duration) -> Duration {
-        let part = self.gateway.draw() as f64 / u64::MAX as f64;
+        let part = self.gateway.random_u64() as f64 / u64::MAX as f64;
         time.mul_f64(SPREAD_FROM + (SPREAD_TO - SPREAD_FROM) * part)
     }
 
@@ -173,7 +173,7 @@
             answer = tokio::time::timeout(limit, call) => answer,
             () = self.overtaken(begun), if into_outage => {
                 // It says nothing of the store as it is now.
-                self.gateway.metrics.store_call(name, "overtaken");
+                self.gateway.metrics.count_store_call(name, "overtaken");
                 return Err(missing("another call was answered"));
             }
         };
@@ -184,7 +184,7 @@
             Err(Error::Unknown { .. }) => "unknown",
             Err(Error::Compacted) => "compacted",
         };
-        self.gateway.metrics.store_call(name, outcome);
+        self.gateway.metrics.count_store_call(name, outcome);
         self.note_outcome(&answer, name, begun.elapsed());
         answer
     }
--- a/crates/fescuewell_gateway/src/control/crashes.rs
+++ b/crates/fescuewell_gateway/src/control/crashes.rs
@@ -15,7 +15,7 @@
 use super::rows::{FLEET, place, read, read_row, unreadable};
 use super::watch::ready_if_complete;
 use super::{CALL, Control, PAUSE};
-use crate::gateway::Probe;
+use crate::gateway::ProbeRequest;
 use crate::store::{Change, Outcome, Place, Row};
 
 /// Table of the quarantined requests.
@@ -59,7 +59,7 @@
 /// Merges a peer's records.
 pub(super) fn receive(control: &Control, updates: Vec<Update>, from: SocketAddr) {
     let updates = updates.into_iter().take(MOST_RECORDS);
-    control.gateway.learn_crashes(updates, &from.to_string());
+    control.gateway.merge_crashes(updates, &from.to_string());
 }
 
 /// Sends records to a peer that has just started.
@@ -130,7 +130,7 @@
     let members = state.directory.live();
     let peers = members.filter_map(|(_, member)| member.peer);
     let others = peers.filter(|peer| Some(*peer) != own);
-    others.choose_multiple(&mut state.random, most)
+    others.choose_multiple(&mut state.rng, most)
 }
 
 /// Synchronizes quarantined requests with the store.
@@ -141,7 +141,7 @@
 /// Reads the table at start, after store outages, periodically, and frequently while isolated.
 async fn read_again(control: &Control) {
     let gateway = &control.gateway;
-    let mut returns = gateway.returns();
+    let mut returns = gateway.store_recoveries();
     while !reconcile(control).await {
         tokio::time::sleep(PAUSE).await;
     }
@@ -167,7 +167,7 @@
 fn is_isolated(control: &Control) -> bool {
     let gateway = &control.gateway;
     let others = gateway.state().directory.count() - 1;
-    others > 0 && gateway.peer_silence() > ISOLATED_AFTER
+    others > 0 && gateway.time_since_peer_message() > ISOLATED_AFTER
 }
 
 /// Returns the minimum interval between two reads.
@@ -193,7 +193,7 @@
             None => {}
         }
     }
-    control.gateway.learn_crashes(known.clone(), "store");
+    control.gateway.merge_crashes(known.clone(), "store");
     let quarantined = control.gateway.state().quarantine.quarantined();
     for update in quarantined {
         if !known.iter().any(|known| known.request == update.request) {
@@ -240,7 +240,8 @@
 
 /// Permits one probe per quarantine period in the whole fleet by committing it to the store first.
 async fn probe(control: &Control) {
-    while let Ok(Probe { request, reply }) = control.inbox.probes.recv_async().await {
+    while let Ok(ProbeRequest { request, reply }) = control.inbox.probe_requests.recv_async().await
+    {
         // The caller may have disconnected.
         let _ = reply.send(is_probed(control, request).await);
     }
@@ -262,14 +263,14 @@
     let now_ms = gateway.now_ms();
     let store_ms = gateway.state().store_ms(now_ms);
     if !record.may_probe(store_ms) {
-        gateway.learn_crashes([Update { request, record }], "store");
+        gateway.merge_crashes([Update { request, record }], "store");
         return false;
     }
     record.probe(store_ms);
     let update = Update { request, record };
     let is_written = commit(control, row, version, &update).await;
     if is_written {
-        gateway.learn_crashes([update], "store");
+        gateway.merge_crashes([update], "store");
     }
     is_written
 }
--- a/crates/fescuewell_gateway/src/control/lending.rs
+++ b/crates/fescuewell_gateway/src/control/lending.rs
@@ -19,7 +19,7 @@
 
 use super::Control;
 use super::rows::{place, read, unreadable};
-use crate::gateway::Shortage;
+use crate::gateway::BorrowRequest;
 use crate::store::{Change, Outcome, Row};
 
 /// Table of the fleet's key.
@@ -102,7 +102,7 @@
 /// A request whose tokens are being borrowed.
 #[derive(Debug)]
 struct Request {
-    shortage: Shortage,
+    shortage: BorrowRequest,
     lenders: VecDeque<Arc<str>>,
     /// Who was asked last, and until when an answer is waited for.
     asked: Arc<str>,
@@ -147,7 +147,7 @@
     }
 
     async fn take_shortages(&self) {
-        while let Ok(shortage) = self.control.inbox.shortages.recv_async().await {
+        while let Ok(shortage) = self.control.inbox.borrow_requests.recv_async().await {
             let now_ms = self.control.gateway.now_ms();
             let lenders = {
                 let state = self.control.gateway.state();
@@ -160,7 +160,7 @@
     }
 
     /// Asks the next lender, or tells the request that there is none.
-    fn ask_next(&self, shortage: Shortage, mut lenders: VecDeque<Arc<str>>) {
+    fn ask_next(&self, shortage: BorrowRequest, mut lenders: VecDeque<Arc<str>>) {
         let gateway = &self.control.gateway;
         let Some(key) = gateway.fleet_key() else {
             return reply(shortage, false);
@@ -172,7 +172,7 @@
         }
         let more = self.more(&shortage, now_ms);
         while let Some(lender) = lenders.pop_front() {
-            let id = gateway.draw();
+            let id = gateway.random_u64();
             let state = gateway.state();
             let Some(address) = state.directory.peer(&lender) else {
                 continue;
@@ -241,7 +241,7 @@
 
     /// What is asked for beyond what a request misses, so that the next requests need not ask again. In an outage lenders
     /// can give only what they have promised, and it is to go to requests that are here.
-    fn more(&self, shortage: &Shortage, now_ms: u64) -> u64 {
+    fn more(&self, shortage: &BorrowRequest, now_ms: u64) -> u64 {
         let gateway = &self.control.gateway;
         let requests = self.requests.borrow();
         let mut open = requests.values();
@@ -261,7 +261,7 @@
             if deferred.len() < MOST_DEFERRED {
                 deferred.push((ask, from));
                 self.deferring.notify_one();
-                gateway.want_journal();
+                gateway.request_journal();
                 return;
             }
         }
@@ -271,7 +271,7 @@
     /// Answers the asks that wait for a journal.
     async fn answer_deferred(&self) {
         let gateway = &self.control.gateway;
-        let mut plans = gateway.plans();
+        let mut plans = gateway.token_changes();
         loop {
             self.deferring.notified().await;
             plans.mark_unchanged();
@@ -317,7 +317,7 @@
             borrower.take(&mut state.quota, answer, now_ms);
         }
         // Others of the account may have been waiting for the same, and for a late answer.
-        self.control.gateway.notify_planned();
+        self.control.gateway.notify_token_changes();
         let request = self.requests.borrow_mut().remove(&answer.id);
         let Some(request) = request else { return };
         match self.missing(&request.shortage, now_ms) {
@@ -326,14 +326,14 @@
         }
     }
 
-    fn missing(&self, shortage: &Shortage, now_ms: u64) -> u64 {
+    fn missing(&self, shortage: &BorrowRequest, now_ms: u64) -> u64 {
         let state = self.control.gateway.state();
         let quota = &state.quota;
         quota.missing(&shortage.account, shortage.tokens, now_ms)
     }
 }
 
-fn reply(shortage: Shortage, has_tokens: bool) {
+fn reply(shortage: BorrowRequest, has_tokens: bool) {
     // A request that is gone needs no answer; the tokens stay with the account.
     let _ = shortage.reply.send(has_tokens);
 }
--- a/crates/fescuewell_gateway/src/control/members.rs
+++ b/crates/fescuewell_gateway/src/control/members.rs
@@ -10,7 +10,7 @@
 
 use super::rows::{FLEET, place, read, unreadable};
 use super::{CALL, Control};
-use crate::gateway::{ARRIVALS_S, Gateway, State};
+use crate::gateway::{ARRIVAL_WINDOW_S, Gateway, State};
 use crate::settings::Settings;
 use crate::store::Change;
 
@@ -28,7 +28,7 @@
     let member = own_row(gateway);
     let mut change = Change::default();
     // Callers that were sent away would come back to the next process at once, so the row stays and tells it.
-    if gateway.is_leaving() && member.out_until_ms == 0 {
+    if gateway.is_draining() && member.out_until_ms == 0 {
         change.removes.push(place);
     } else {
         change.puts.push((place, member.encode()));
@@ -50,11 +50,11 @@
         peer: settings.peer,
         zone: settings.zone.clone(),
         weight: weight(settings),
-        requests: state.arrivals.sum(now_ms) as u32 / ARRIVALS_S,
+        requests: state.arrivals.sum(now_ms) as u32 / ARRIVAL_WINDOW_S,
         usage: state.quota.usage(now_ms),
         era: sign.era,
         is_certain: sign.is_certain,
-        at_ms: if gateway.is_leaving() { 0 } else { store_ms },
+        at_ms: if gateway.is_draining() { 0 } else { store_ms },
         out_until_ms: match state.admission.unready_left_ms(now_ms) {
             0 => 0,
             left_ms => store_ms + left_ms,
--- a/crates/fescuewell_gateway/src/control/money.rs
+++ b/crates/fescuewell_gateway/src/control/money.rs
@@ -58,7 +58,7 @@
     let mut written_at = Instant::now();
     let mut next = written_at;
     loop {
-        let wanted = control.inbox.journals.recv_async();
+        let wanted = control.inbox.journal_requests.recv_async();
         let is_wanted = matches!(tokio::time::timeout_at(next, wanted).await, Ok(Ok(())));
         let pause = journal_pause(control);
         if is_wanted && !is_overdue(control) {
@@ -74,15 +74,15 @@
         }
         written_at = Instant::now();
         next = written_at + control.spread(every.max(journal_share(control)));
-        gateway.notify_planned();
+        gateway.notify_token_changes();
     }
 }
 
 /// Draws tokens for requests that wait for them, and gives all back when the instance leaves.
 async fn draws(control: &Control) {
     let gateway = &control.gateway;
-    while control.inbox.plans.recv_async().await.is_ok() {
-        let is_leaving = gateway.is_leaving();
+    while control.inbox.plan_requests.recv_async().await.is_ok() {
+        let is_leaving = gateway.is_draining();
         let names = match is_leaving {
             true => gateway.state().quota.names(),
             false => gateway.state().quota.short_names(),
@@ -93,7 +93,7 @@
         if is_leaving {
             journal(control).await;
         }
-        gateway.notify_planned();
+        gateway.notify_token_changes();
         tokio::time::sleep(PLAN_PAUSE).await;
     }
 }
@@ -106,7 +106,7 @@
         let next = Instant::now() + every;
         sign(control).await;
         members(control).await;
-        gateway.tend_gate();
+        gateway.update_gate();
         if enter(control).await {
             ledgers(control, number).await;
             let names = gateway.state().quota.names();
--- a/crates/fescuewell_gateway/src/control/peers.rs
+++ b/crates/fescuewell_gateway/src/control/peers.rs
@@ -124,7 +124,7 @@
     };
     let message = key.open(bytes);
     if message.is_some() {
-        gateway.set_peer_heard();
+        gateway.record_peer_message();
     }
     match message {
         Some(Message::Ask(ask)) => lending.lend(&key, ask, from),
--- a/crates/fescuewell_gateway/src/control/watch.rs
+++ b/crates/fescuewell_gateway/src/control/watch.rs
@@ -179,7 +179,7 @@
         state.registry.set_warmups(warmups);
     }
     gateway.set_table(Table::new(configuration));
-    gateway.want_tokens();
+    gateway.request_journal_and_plan();
     ready_if_complete(control);
 }
 
@@ -392,7 +392,7 @@
     tokio::spawn(async move {
         match upstream::reach(server.address, REACHED_WITHIN).await {
             Reach::Accepted => gateway.state().crashes.accepted(server.incarnation()),
-            Reach::Refused | Reach::Silent => gateway.crashed(&server, Evidence::Removed),
+            Reach::Refused | Reach::Silent => gateway.record_crash(&server, Evidence::Removed),
         }
     });
 }
@@ -405,9 +405,9 @@
     for (server, evidence) in ended {
         match evidence {
             Some(Evidence::Removed) => confirm_removed(control, server),
-            Some(evidence) => control.gateway.crashed(&server, evidence),
+            Some(evidence) => control.gateway.record_crash(&server, evidence),
             None => {}
         }
     }
-    control.gateway.notify_ended();
+    control.gateway.notify_server_exits();
 }
--- a/crates/fescuewell_gateway/src/daemon.rs
+++ b/crates/fescuewell_gateway/src/daemon.rs
@@ -125,13 +125,13 @@
     pub fn stop(&self) {
         let asked = Instant::now();
         let grace = self.gateway.settings.grace;
-        if !self.gateway.advance(Stage::Leaving) {
+        if !self.gateway.advance(Stage::Draining) {
             return;
         }
-        let open = self.gateway.open().load(Ordering::Acquire);
+        let open = self.gateway.in_flight_requests().load(Ordering::Acquire);
         log_event!(Event::DrainStarted, "open={open}");
         self.gateway.state().quota.close();
-        self.gateway.want_tokens();
+        self.gateway.request_journal_and_plan();
         std::thread::sleep(grace.mul_f64(SERVE_PART));
         let left = grace.saturating_sub(asked.elapsed() + RESERVE);
         let cut = self.front.drain(left);
@@ -146,9 +146,9 @@
     /// Waits until the tokens of requests that ended during the drain have gone back too.
     fn give_back(&self) {
         let until = Instant::now() + RESERVE / 3;
-        let plans = self.gateway.plans();
+        let plans = self.gateway.token_changes();
         let seen = *plans.borrow();
-        self.gateway.want_tokens();
+        self.gateway.request_journal_and_plan();
         while *plans.borrow() <= seen && Instant::now() < until {
             std::thread::sleep(LOOK);
         }
--- a/crates/fescuewell_gateway/src/dialect.rs
+++ b/crates/fescuewell_gateway/src/dialect.rs
@@ -9,15 +9,15 @@
 
 /// Names of headers.
 #[derive(Debug, Clone)]
-pub struct Names {
+pub struct HeaderNames {
     /// Identity of one attempt of a caller.
     pub request_id: HeaderName,
     /// Milliseconds for which the sender will wait.
     pub deadline: HeaderName,
     /// Account key.
-    pub key: HeaderName,
+    pub account_key: HeaderName,
     /// Name of the client account, for the backend server.
-    pub tenant: HeaderName,
+    pub account: HeaderName,
     /// Incarnation of the backend server that is meant.
     pub expected_server: HeaderName,
     /// Rank in the backend server's queue, from 0 to 9.
@@ -25,25 +25,25 @@
     /// Mark of a backend server's own answer.
     pub seal: HeaderName,
     /// Says that the backend server did not run the request.
-    pub not_run: HeaderName,
+    pub not_executed: HeaderName,
     /// Last event that the caller has.
-    pub last_event: HeaderName,
+    pub last_event_id: HeaderName,
     /// Headers that only the system may set.
     pub reserved: Vec<HeaderName>,
 }
 
 /// Tokens of a request as the caller declares them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Tokens {
+pub struct TokenCounts {
     /// Tokens of the prompt.
     pub prompt: u64,
     /// Most tokens of the answer.
-    pub most_output: u64,
+    pub max_output: u64,
 }
 
 /// A part of a prompt.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Part {
+pub struct PromptPart {
     /// Its identity.
     pub id: Arc<str>,
     /// Its tokens.
@@ -52,28 +52,28 @@
 
 /// What a request's headers say.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Facts {
+pub struct RequestMetadata {
     /// Identity of the attempt.
-    pub id: Option<Arc<str>>,
+    pub request_id: Option<Arc<str>>,
     /// How long the caller will wait.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Account key.
-    pub key: Option<Arc<str>>,
+    pub account_key: Option<Arc<str>>,
     /// Declared tokens.
-    pub tokens: Option<Tokens>,
+    pub tokens: Option<TokenCounts>,
     /// Parts of the prompt, in order; the last one is the request's own.
-    pub parts: Vec<Part>,
+    pub prompt_parts: Vec<PromptPart>,
     /// Number of the last event that the caller has.
-    pub last_event: Option<u64>,
+    pub last_event_id: Option<u64>,
 }
 
 /// The platform's manner of speaking to callers and backend servers.
 pub trait Dialect: Send + Sync {
     /// Names of headers.
-    fn names(&self) -> &Names;
+    fn header_names(&self) -> &HeaderNames;
 
     /// Reads a request's headers.
-    fn facts(&self, headers: &HeaderMap) -> Facts;
+    fn metadata(&self, headers: &HeaderMap) -> RequestMetadata;
 
     /// Path at which callers ask for addresses.
     fn directory_path(&self) -> &str;
@@ -82,8 +82,8 @@
     fn ready_path(&self) -> &str;
 
     /// Body that names addresses.
-    fn addresses(&self, addresses: &[SocketAddr], keep: Duration) -> Bytes;
+    fn addresses_body(&self, addresses: &[SocketAddr], ttl: Duration) -> Bytes;
 
     /// Type of that body.
-    fn content_type(&self) -> &str;
+    fn addresses_content_type(&self) -> &str;
 }
--- a/crates/fescuewell_gateway/src/front.rs
+++ b/crates/fescuewell_gateway/src/front.rs
@@ -31,9 +31,9 @@
     fn handle(&self, request: Request, reply: Reply) {
         let gateway = self.gateway.clone();
         spawn(async move {
-            gateway.open().fetch_add(1, Ordering::AcqRel);
+            gateway.in_flight_requests().fetch_add(1, Ordering::AcqRel);
             serve(&gateway, request, reply).await;
-            gateway.open().fetch_sub(1, Ordering::AcqRel);
+            gateway.in_flight_requests().fetch_sub(1, Ordering::AcqRel);
         });
     }
 }
@@ -41,7 +41,7 @@
 async fn serve(gateway: &Arc<Gateway>, request: Request, reply: Reply) {
     let closed = reply.closed();
     let arrived = request.arrived;
-    gateway.take_in(request.body.len());
+    gateway.record_arrival(request.body.len());
     match admit(gateway, request) {
         Ok(job) => {
             // A caller that leaves drops the job, and with it the call to the backend server.
@@ -65,8 +65,8 @@
                 refused.version
             );
             let took = arrived.elapsed();
-            gateway.metrics.refusal("-", code, took);
-            refusal::answer(reply, code, None, gateway.is_leaving());
+            gateway.metrics.count_refusal("-", code, took);
+            refusal::send(reply, code, None, gateway.is_draining());
         }
     }
 }
@@ -79,8 +79,8 @@
 }
 
 fn admit(gateway: &Arc<Gateway>, request: Request) -> Result<Job, Refused> {
-    let facts = gateway.dialect.facts(&request.headers);
-    let id = facts.id.clone();
+    let metadata = gateway.dialect.metadata(&request.headers);
+    let id = metadata.request_id.clone();
     let refuse = |code, version| Refused {
         id: id.clone(),
         code,
@@ -97,22 +97,22 @@
     };
     let mut tenant = None;
     if table.has_tenants() && !route.public {
-        let key = facts.key.as_deref().unwrap_or_default();
+        let key = metadata.account_key.as_deref().unwrap_or_default();
         let Some(found) = table.tenant(key) else {
             return Err(refuse(Code::Unauthorized, version));
         };
         tenant = Some(found.clone());
     }
-    let Some(id) = facts.id.clone() else {
+    let Some(id) = metadata.request_id.clone() else {
         return Err(refuse(Code::MalformedRequest, version));
     };
-    let service = route.service(gateway.draw()).cloned();
+    let service = route.service(gateway.random_u64()).cloned();
     let Some(service) = service.and_then(|name| table.service(&name).cloned()) else {
         return Err(refuse(Code::NoServer, version));
     };
-    let patience = facts.patience.unwrap_or(DEFAULT_PATIENCE);
+    let patience = metadata.timeout.unwrap_or(DEFAULT_PATIENCE);
     let arrived: Instant = request.arrived;
-    let job = Job::new(gateway.clone(), request, facts, id)
+    let job = Job::new(gateway.clone(), request, metadata, id)
         .with_route(route, service, version)
         .with_tenant(tenant)
         .with_deadline(arrived + patience);
--- a/crates/fescuewell_gateway/src/gateway.rs
+++ b/crates/fescuewell_gateway/src/gateway.rs
@@ -33,10 +33,10 @@
 use crate::metrics::{self, Metrics};
 use crate::settings::Settings;
 
-pub use crash::Probe;
+pub use crash::ProbeRequest;
 
 /// Span over which arrivals are counted, in seconds.
-pub const ARRIVALS_S: u32 = 4;
+pub const ARRIVAL_WINDOW_S: u32 = 4;
 
 /// Stage of the process's life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -47,7 +47,7 @@
     /// Takes requests.
     Ready,
     /// Was asked to stop: still serves, and sends callers elsewhere.
-    Leaving,
+    Draining,
 }
 
 /// What requests and duties change together.
@@ -78,7 +78,7 @@
     /// What callers send against what this instance can pass on.
     pub admission: admission::Limiter,
     /// Random choices.
-    pub random: SmallRng,
+    pub rng: SmallRng,
 }
 
 impl State {
@@ -105,7 +105,7 @@
 
 /// A request that misses tokens which another instance may lend.
 #[derive(Debug)]
-pub struct Shortage {
+pub struct BorrowRequest {
     /// The client account.
     pub account: Arc<str>,
     /// Tokens of the request.
@@ -118,13 +118,13 @@
 #[derive(Debug, Clone)]
 pub struct Inbox {
     /// Tokens are to be drawn at once.
-    pub plans: flume::Receiver<()>,
+    pub plan_requests: flume::Receiver<()>,
     /// A journal is wanted at once.
-    pub journals: flume::Receiver<()>,
+    pub journal_requests: flume::Receiver<()>,
     /// Tokens are to be borrowed.
-    pub shortages: flume::Receiver<Shortage>,
+    pub borrow_requests: flume::Receiver<BorrowRequest>,
     /// Quarantined requests that may be sent once more.
-    pub probes: flume::Receiver<Probe>,
+    pub probe_requests: flume::Receiver<ProbeRequest>,
 }
 
 /// Longest time for which a request waits for tokens of other instances: a silent lender costs 30 ms, one that answers a few.
@@ -132,10 +132,10 @@
 /// Where nobody takes shortages, since the instance has no address for the words of others, a request would wait for ever.
 const BORROWING: Duration = Duration::from_millis(150);
 /// Requests that may wait to have their tokens borrowed. More of them at once could not be served before their time is up.
-const MOST_SHORTAGES: usize = 256;
+const MAX_BORROW_REQUESTS: usize = 256;
 
 /// Quarantined requests that may wait for leave to be sent once.
-const MOST_PROBES: usize = 16;
+const MAX_PROBE_REQUESTS: usize = 16;
 
 /// The shared part of one instance.
 pub struct Gateway {
@@ -151,19 +151,19 @@
     state: Mutex<State>,
     stage: AtomicU8,
     store_up: AtomicBool,
-    store_heard_ms: AtomicU64,
-    open: AtomicUsize,
-    wanted_plans: flume::Sender<()>,
-    wanted_journals: flume::Sender<()>,
-    shortages: flume::Sender<Shortage>,
-    probes: flume::Sender<Probe>,
-    crash_count: watch::Sender<u64>,
-    peer_heard_ms: AtomicU64,
+    last_store_response_ms: AtomicU64,
+    in_flight_requests: AtomicUsize,
+    plan_requests: flume::Sender<()>,
+    journal_requests: flume::Sender<()>,
+    borrow_requests: flume::Sender<BorrowRequest>,
+    probe_requests: flume::Sender<ProbeRequest>,
+    crash_changes: watch::Sender<u64>,
+    last_peer_message_ms: AtomicU64,
     fleet_key: ArcSwapOption<Key>,
     fleet_key_era: AtomicU32,
-    planned: watch::Sender<u64>,
-    ended: watch::Sender<u64>,
-    returned: watch::Sender<u64>,
+    token_changes: watch::Sender<u64>,
+    server_exits: watch::Sender<u64>,
+    store_recoveries: watch::Sender<u64>,
     loaded: Notify,
     gate: OnceLock<Gate>,
     started: Instant,
@@ -179,14 +179,14 @@
         settings: Settings,
         dialect: Arc<dyn Dialect>,
     ) -> Result<(Arc<Self>, Inbox), metrics::Error> {
-        let (wanted_plans, plans) = flume::bounded(1);
-        let (wanted_journals, journals) = flume::bounded(1);
-        let (shortages, short) = flume::bounded(MOST_SHORTAGES);
-        let (probes, wanted_probes) = flume::bounded(MOST_PROBES);
-        let (crash_count, _) = watch::channel(0);
-        let (planned, _) = watch::channel(0);
-        let (ended, _) = watch::channel(0);
-        let (returned, _) = watch::channel(0);
+        let (plan_requests, plan_receiver) = flume::bounded(1);
+        let (journal_requests, journal_receiver) = flume::bounded(1);
+        let (borrow_requests, borrow_receiver) = flume::bounded(MAX_BORROW_REQUESTS);
+        let (probe_requests, probe_receiver) = flume::bounded(MAX_PROBE_REQUESTS);
+        let (crash_changes, _) = watch::channel(0);
+        let (token_changes, _) = watch::channel(0);
+        let (server_exits, _) = watch::channel(0);
+        let (store_recoveries, _) = watch::channel(0);
         let state = State {
             registry: Registry::default(),
             cursor: relay::Cursor::default(),
@@ -198,9 +198,9 @@
             quota: Quota::new(settings.name.clone(), 0),
             retry: Budget::new(settings.retry),
             directory: Directory::default(),
-            arrivals: Window::new(u64::from(ARRIVALS_S) * 1_000),
+            arrivals: Window::new(u64::from(ARRIVAL_WINDOW_S) * 1_000),
             admission: admission::Limiter::new(settings.link_mbps, settings.cores),
-            random: SmallRng::from_os_rng(),
+            rng: SmallRng::from_os_rng(),
         };
         let gateway = Self {
             settings,
@@ -211,30 +211,30 @@
             state: Mutex::new(state),
             stage: AtomicU8::new(Stage::Starting as u8),
             store_up: AtomicBool::new(false),
-            store_heard_ms: AtomicU64::new(0),
-            open: AtomicUsize::new(0),
-            wanted_plans,
-            wanted_journals,
-            shortages,
-            probes,
-            crash_count,
-            peer_heard_ms: AtomicU64::new(0),
+            last_store_response_ms: AtomicU64::new(0),
+            in_flight_requests: AtomicUsize::new(0),
+            plan_requests,
+            journal_requests,
+            borrow_requests,
+            probe_requests,
+            crash_changes,
+            last_peer_message_ms: AtomicU64::new(0),
             fleet_key: ArcSwapOption::empty(),
             fleet_key_era: AtomicU32::new(0),
-            planned,
-            ended,
-            returned,
+            token_changes,
+            server_exits,
+            store_recoveries,
             loaded: Notify::new(),
             gate: OnceLock::new(),
             started: Instant::now(),
         };
         let gateway = Arc::new(gateway);
-        gateway.metrics.watch(&gateway);
+        gateway.metrics.register_gauges(&gateway);
         let inbox = Inbox {
-            plans,
-            journals,
-            shortages: short,
-            probes: wanted_probes,
+            plan_requests: plan_receiver,
+            journal_requests: journal_receiver,
+            borrow_requests: borrow_receiver,
+            probe_requests: probe_receiver,
         };
         Ok((gateway, inbox))
     }
@@ -255,8 +255,8 @@
     }
 
     /// A random number.
-    pub fn draw(&self) -> u64 {
-        self.state().random.random()
+    pub fn random_u64(&self) -> u64 {
+        self.state().rng.random()
     }
 
     /// Milliseconds of the process's steady clock.
@@ -274,7 +274,7 @@
         match self.stage.load(Ordering::Acquire) {
             0 => Stage::Starting,
             1 => Stage::Ready,
-            _ => Stage::Leaving,
+            _ => Stage::Draining,
         }
     }
 
@@ -284,8 +284,8 @@
     }
 
     /// Whether callers are to be sent elsewhere.
-    pub fn is_leaving(&self) -> bool {
-        self.stage() == Stage::Leaving
+    pub fn is_draining(&self) -> bool {
+        self.stage() == Stage::Draining
     }
 
     /// Whether the instance takes requests.
@@ -294,8 +294,8 @@
     }
 
     /// Time since the store answered last.
-    pub fn store_silence(&self) -> Duration {
-        let heard = self.store_heard_ms.load(Ordering::Relaxed);
+    pub fn time_since_store_response(&self) -> Duration {
+        let heard = self.last_store_response_ms.load(Ordering::Relaxed);
         Duration::from_millis(self.now_ms().saturating_sub(heard))
     }
 
@@ -308,7 +308,7 @@
     pub fn set_store_up(&self, up: bool) -> bool {
         if up {
             let now_ms = self.now_ms();
-            let heard_ms = self.store_heard_ms.swap(now_ms, Ordering::Relaxed);
+            let heard_ms = self.last_store_response_ms.swap(now_ms, Ordering::Relaxed);
             let silence_ms = now_ms.saturating_sub(heard_ms);
             if silence_ms >= LAPSING_SILENCE_MS {
                 self.state().registry.store_returned(silence_ms, now_ms);
@@ -316,59 +316,60 @@
         }
         let is_news = self.store_up.swap(up, Ordering::Relaxed) != up;
         if up && is_news {
-            self.returned.send_modify(|count| *count += 1);
+            self.store_recoveries.send_modify(|count| *count += 1);
         }
         is_news
     }
 
     /// Wakes when the store answers again.
-    pub fn returns(&self) -> watch::Receiver<u64> {
-        self.returned.subscribe()
+    pub fn store_recoveries(&self) -> watch::Receiver<u64> {
+        self.store_recoveries.subscribe()
     }
 
     /// Notes that another instance's message has come.
-    pub fn set_peer_heard(&self) {
-        self.peer_heard_ms.store(self.now_ms(), Ordering::Relaxed);
+    pub fn record_peer_message(&self) {
+        self.last_peer_message_ms
+            .store(self.now_ms(), Ordering::Relaxed);
     }
 
     /// Time since the last message of another instance.
-    pub fn peer_silence(&self) -> Duration {
-        let heard = self.peer_heard_ms.load(Ordering::Relaxed);
+    pub fn time_since_peer_message(&self) -> Duration {
+        let heard = self.last_peer_message_ms.load(Ordering::Relaxed);
         Duration::from_millis(self.now_ms().saturating_sub(heard))
     }
 
     /// Requests under way.
-    pub fn open(&self) -> &AtomicUsize {
-        &self.open
+    pub fn in_flight_requests(&self) -> &AtomicUsize {
+        &self.in_flight_requests
     }
 
     /// Asks the control thread to draw what requests miss, at once.
-    pub fn want_plan(&self) {
+    pub fn request_plan(&self) {
         // A full channel means that it has been asked already.
-        let _ = self.wanted_plans.try_send(());
+        let _ = self.plan_requests.try_send(());
     }
 
     /// Asks the control thread for a journal at once.
-    pub fn want_journal(&self) {
+    pub fn request_journal(&self) {
         // A full channel means that it has been asked already.
-        let _ = self.wanted_journals.try_send(());
+        let _ = self.journal_requests.try_send(());
     }
 
     /// Asks the control thread for both.
-    pub fn want_tokens(&self) {
-        self.want_journal();
-        self.want_plan();
+    pub fn request_journal_and_plan(&self) {
+        self.request_journal();
+        self.request_plan();
     }
 
     /// Borrows what a request misses from other instances; returns whether the account has it now.
-    pub async fn borrow(&self, account: &Arc<str>, tokens: u64) -> bool {
+    pub async fn borrow_tokens(&self, account: &Arc<str>, tokens: u64) -> bool {
         let (reply, answer) = oneshot::channel();
-        let shortage = Shortage {
+        let shortage = BorrowRequest {
             account: account.clone(),
             tokens,
             reply,
         };
-        if self.settings.peer.is_none() || self.shortages.try_send(shortage).is_err() {
+        if self.settings.peer.is_none() || self.borrow_requests.try_send(shortage).is_err() {
             // A full channel means that many wait already, and a closed one that the process ends.
             return false;
         }
@@ -393,18 +394,18 @@
     }
 
     /// Tells waiting requests that a plan was carried out.
-    pub fn notify_planned(&self) {
-        self.planned.send_modify(|count| *count += 1);
+    pub fn notify_token_changes(&self) {
+        self.token_changes.send_modify(|count| *count += 1);
     }
 
     /// Tells requests under way that backend servers have started again or are gone.
-    pub fn notify_ended(&self) {
-        self.ended.send_modify(|count| *count += 1);
+    pub fn notify_server_exits(&self) {
+        self.server_exits.send_modify(|count| *count += 1);
     }
 
     /// Wakes when backend servers have started again or are gone.
-    pub fn ends(&self) -> watch::Receiver<u64> {
-        self.ended.subscribe()
+    pub fn server_exits(&self) -> watch::Receiver<u64> {
+        self.server_exits.subscribe()
     }
 
     /// Tells that the own load has changed.
@@ -418,7 +419,7 @@
     }
 
     /// Wakes after each plan.
-    pub fn plans(&self) -> watch::Receiver<u64> {
-        self.planned.subscribe()
+    pub fn token_changes(&self) -> watch::Receiver<u64> {
+        self.token_changes.subscribe()
     }
 }
--- a/crates/fescuewell_gateway/src/gateway/crash.rs
+++ b/crates/fescuewell_gateway/src/gateway/crash.rs
@@ -13,7 +13,7 @@
 
 /// Request for permission to probe a quarantined request.
 #[derive(Debug)]
-pub struct Probe {
+pub struct ProbeRequest {
     /// The request.
     pub request: Fingerprint,
     /// Receives `true` if the probe may be sent.
@@ -32,7 +32,7 @@
     }
 
     /// Reports a lost exchange with a server, unless the server is leaving.
-    pub fn lost(
+    pub fn report_loss(
         &mut self,
         server: &Entry,
         request: Fingerprint,
@@ -57,7 +57,7 @@
 
 impl Gateway {
     /// Records the crash of a backend server for each request it was running.
-    pub fn crashed(&self, server: &Entry, evidence: Evidence) {
+    pub fn record_crash(&self, server: &Entry, evidence: Evidence) {
         let now_ms = self.now_ms();
         let mut quarantined = Vec::new();
         let requests = {
@@ -70,7 +70,7 @@
             }
             requests
         };
-        self.metrics.server_crashed(&server.service);
+        self.metrics.count_server_crash(&server.service);
         log_event!(
             Event::ServerCrashed,
             "server={} service={} evidence={evidence:?} count={} fingerprints={}",
@@ -80,21 +80,21 @@
             named(&requests)
         );
         log_quarantined(&quarantined, &server.id);
-        self.announce_crashes();
+        self.notify_crash_changes();
     }
 
     /// Records a known crash for another request that the server was running.
-    pub fn ran_at_crash(&self, server: &Entry, request: Fingerprint) {
+    pub fn record_known_crash(&self, server: &Entry, request: Fingerprint) {
         let now_ms = self.now_ms();
         let count = self.state().crash(server, request, now_ms);
         if count == Some(THRESHOLD) {
             log_quarantined(&[request], &server.id);
         }
-        self.announce_crashes();
+        self.notify_crash_changes();
     }
 
     /// Records a complete response.
-    pub fn answered(&self, server: &Entry, request: Fingerprint) {
+    pub fn record_response(&self, server: &Entry, request: Fingerprint) {
         let now_ms = self.now_ms();
         let is_cleared = {
             let mut state = self.state();
@@ -109,11 +109,11 @@
             "fingerprint={request} server={}",
             server.id
         );
-        self.announce_crashes();
+        self.notify_crash_changes();
     }
 
     /// Merges records of other instances or of the store.
-    pub fn learn_crashes<Updates>(&self, updates: Updates, source: &str)
+    pub fn merge_crashes<Updates>(&self, updates: Updates, source: &str)
     where
         Updates: IntoIterator<Item = Update>,
     {
@@ -126,14 +126,18 @@
         };
         log_quarantined(&quarantined, source);
         if has_fresh {
-            self.announce_crashes();
+            self.notify_crash_changes();
         }
     }
 
     /// Requests permission to probe a quarantined request.
-    pub async fn may_probe(&self, request: Fingerprint) -> bool {
+    pub async fn request_probe(&self, request: Fingerprint) -> bool {
         let (reply, answer) = oneshot::channel();
-        if self.probes.try_send(Probe { request, reply }).is_err() {
+        if self
+            .probe_requests
+            .try_send(ProbeRequest { request, reply })
+            .is_err()
+        {
             // Full: other probes are pending. Closed: the process is shutting down.
             return false;
         }
@@ -141,13 +145,13 @@
     }
 
     /// Notifies waiting requests and the exchange of a change.
-    pub fn announce_crashes(&self) {
-        self.crash_count.send_modify(|count| *count += 1);
+    pub fn notify_crash_changes(&self) {
+        self.crash_changes.send_modify(|count| *count += 1);
     }
 
     /// Subscribes to changes of crash records.
     pub fn crash_changes(&self) -> watch::Receiver<u64> {
-        self.crash_count.subscribe()
+        self.crash_changes.subscribe()
     }
 }
 
--- a/crates/fescuewell_gateway/src/gateway/gate.rs
+++ b/crates/fescuewell_gateway/src/gateway/gate.rs
@@ -13,7 +13,7 @@
 impl Gateway {
     /// Notes a caller's request. An instance that is sent too much keeps new connections out, and asks its callers to leave
     /// if the others have room. Runs inside a listener's runtime.
-    pub fn take_in(self: &Arc<Self>, body: usize) {
+    pub fn record_arrival(self: &Arc<Self>, body: usize) {
         let action = self.state().admission.admit(self.now_ms(), body);
         match action {
             Action::Admit => return,
@@ -24,7 +24,7 @@
                 self.settings.name
             ),
         }
-        if self.tend_gate() {
+        if self.update_gate() {
             log_event!(
                 Event::ConnectionsKeptOut,
                 "instance={} cause={action:?}",
@@ -40,8 +40,8 @@
         spawn(async move {
             loop {
                 tokio::time::sleep(Duration::from_millis(THROTTLE_MS)).await;
-                if gateway.is_open() {
-                    gateway.tend_gate();
+                if gateway.is_accepting() {
+                    gateway.update_gate();
                     return;
                 }
             }
@@ -55,18 +55,18 @@
     }
 
     /// Whether new connections of callers are let in.
-    pub fn is_open(&self) -> bool {
+    pub fn is_accepting(&self) -> bool {
         !self.state().admission.is_closed(self.now_ms())
     }
 
     /// Keeps new connections of callers out while they are too many; returns whether that is news.
-    pub fn tend_gate(&self) -> bool {
-        let open = self.is_open();
+    pub fn update_gate(&self) -> bool {
+        let open = self.is_accepting();
         self.gate.get().is_some_and(|gate| gate.set(open))
     }
 
     /// Whether callers may come: it takes requests, and passes on what it is sent.
-    pub fn takes_callers(&self) -> bool {
+    pub fn reports_ready(&self) -> bool {
         let now_ms = self.now_ms();
         self.is_ready() && self.state().admission.unready_left_ms(now_ms) == 0
     }
--- a/crates/fescuewell_gateway/src/header.rs
+++ b/crates/fescuewell_gateway/src/header.rs
@@ -6,7 +6,7 @@
     UPGRADE,
 };
 
-use crate::dialect::Names;
+use crate::dialect::HeaderNames;
 
 /// Whether a header concerns one connection only.
 fn is_hop(name: &HeaderName) -> bool {
@@ -33,14 +33,14 @@
 ///
 /// A caller that could set them would choose another account's name, or take memory that was reserved for
 /// somebody else.
-pub fn request(headers: &HeaderMap, names: &Names) -> HeaderMap {
+pub fn request_headers(headers: &HeaderMap, names: &HeaderNames) -> HeaderMap {
     let dropped = named(headers);
     let mut kept = HeaderMap::with_capacity(headers.len() + 4);
     for (name, value) in headers {
         if is_hop(name) || *name == CONTENT_LENGTH || dropped.contains(name) {
             continue;
         }
-        if *name == names.key || names.reserved.contains(name) {
+        if *name == names.account_key || names.reserved.contains(name) {
             continue;
         }
         kept.append(name.clone(), value.clone());
@@ -49,7 +49,7 @@
 }
 
 /// Headers of an answer for the caller.
-pub fn answer(headers: &HeaderMap, closing: bool) -> HeaderMap {
+pub fn response_headers(headers: &HeaderMap, closing: bool) -> HeaderMap {
     let dropped = named(headers);
     let mut kept = HeaderMap::with_capacity(headers.len() + 1);
     for (name, value) in headers {
--- a/crates/fescuewell_gateway/src/hold.rs
+++ b/crates/fescuewell_gateway/src/hold.rs
@@ -8,7 +8,7 @@
 use fescuewell_forward::quota::Verdict;
 use fescuewell_forward::retry_after::outage_left_ms;
 
-use crate::dialect::Tokens;
+use crate::dialect::TokenCounts;
 use crate::gateway::Gateway;
 
 /// How long a request waits for tokens that this instance has not: two transactions with the store and
@@ -17,8 +17,8 @@
 
 /// How long callers are told to stay away where only the store can give more.
 fn outage_left(gateway: &Gateway) -> Duration {
-    let silence_ms = gateway.store_silence().as_millis() as u64;
-    Duration::from_millis(outage_left_ms(silence_ms, gateway.draw()))
+    let silence_ms = gateway.time_since_store_response().as_millis() as u64;
+    Duration::from_millis(outage_left_ms(silence_ms, gateway.random_u64()))
 }
 
 /// Tokens held back for one request. Dropped, it charges what was delivered.
@@ -26,7 +26,7 @@
     gateway: Arc<Gateway>,
     account: Arc<str>,
     request: Arc<str>,
-    tokens: Tokens,
+    tokens: TokenCounts,
     ran: bool,
     delivered: u64,
     is_told: bool,
@@ -42,11 +42,11 @@
     pub async fn take(
         gateway: &Arc<Gateway>,
         account: &Arc<str>,
-        tokens: Tokens,
+        tokens: TokenCounts,
         id: &Arc<str>,
         patience: Duration,
     ) -> Result<Self, Refusal> {
-        let most = tokens.prompt + tokens.most_output;
+        let most = tokens.prompt + tokens.max_output;
         let until = Instant::now() + patience.max(WAIT);
         let refuse = |code: Code, later: Option<Duration>| {
             let refusal = Refusal::new(code);
@@ -55,7 +55,7 @@
                 None => refusal,
             }
         };
-        let mut plans = gateway.plans();
+        let mut plans = gateway.token_changes();
         let mut waited = false;
         let now_ms = gateway.now_ms();
         gateway.state().quota.ask(account, most, now_ms);
@@ -77,7 +77,7 @@
                 return Err(refuse(Code::BudgetUnknown, later));
             }
             if !gateway.is_store_up() {
-                if gateway.borrow(account, most).await {
+                if gateway.borrow_tokens(account, most).await {
                     continue;
                 }
                 // Nobody can give more now; only the pace moves on by itself.
@@ -91,11 +91,11 @@
                 continue;
             }
             match verdict {
-                Verdict::Short => gateway.want_plan(),
-                _ => gateway.want_journal(),
+                Verdict::Short => gateway.request_plan(),
+                _ => gateway.request_journal(),
             }
             // Whichever comes first serves it: tokens that another instance has, or those that nobody holds.
-            if verdict == Verdict::Short && gateway.borrow(account, most).await {
+            if verdict == Verdict::Short && gateway.borrow_tokens(account, most).await {
                 continue;
             }
             if !waited {
@@ -110,7 +110,12 @@
         }
     }
 
-    fn new(gateway: &Arc<Gateway>, account: &Arc<str>, request: &Arc<str>, tokens: Tokens) -> Self {
+    fn new(
+        gateway: &Arc<Gateway>,
+        account: &Arc<str>,
+        request: &Arc<str>,
+        tokens: TokenCounts,
+    ) -> Self {
         Self {
             gateway: gateway.clone(),
             account: account.clone(),
@@ -139,7 +144,7 @@
 
     /// What the request costs so far.
     pub fn cost(&self) -> u64 {
-        let output = self.delivered.min(self.tokens.most_output);
+        let output = self.delivered.min(self.tokens.max_output);
         match self.ran {
             true => self.tokens.prompt + output,
             false => 0,
@@ -149,7 +154,7 @@
 
 impl Drop for Hold {
     fn drop(&mut self) {
-        let held = self.tokens.prompt + self.tokens.most_output;
+        let held = self.tokens.prompt + self.tokens.max_output;
         let cost = self.cost();
         // Log lines and ledger are to come to the same sum: a request whose caller left has no line with its cost.
         if !self.is_told && cost > 0 {
--- a/crates/fescuewell_gateway/src/job.rs
+++ b/crates/fescuewell_gateway/src/job.rs
@@ -18,7 +18,7 @@
 use fescuewell_http::listener::{Reply, Request};
 use http::{HeaderMap, Method, Uri};
 
-use crate::dialect::Facts;
+use crate::dialect::RequestMetadata;
 use crate::gateway::Gateway;
 use crate::hold::Hold;
 use crate::{header, refusal};
@@ -39,7 +39,7 @@
 pub struct Job {
     pub(crate) gateway: Arc<Gateway>,
     pub(crate) id: Arc<str>,
-    pub(crate) facts: Facts,
+    pub(crate) metadata: RequestMetadata,
     pub(crate) route: Arc<Route>,
     pub(crate) service: Service,
     pub(crate) hold: Option<Hold>,
@@ -66,12 +66,17 @@
 
 impl Job {
     /// A request as it came in.
-    pub fn new(gateway: Arc<Gateway>, request: Request, facts: Facts, id: Arc<str>) -> Self {
-        let headers = header::request(&request.headers, gateway.dialect.names());
+    pub fn new(
+        gateway: Arc<Gateway>,
+        request: Request,
+        metadata: RequestMetadata,
+        id: Arc<str>,
+    ) -> Self {
+        let headers = header::request_headers(&request.headers, gateway.dialect.header_names());
         Self {
             gateway,
             id,
-            facts,
+            metadata,
             route: Arc::new(unrouted()),
             service: Service {
                 name: "".into(),
@@ -194,7 +199,7 @@
 
     /// Holds the tokens that the request may cost at most.
     async fn reserve(&mut self) -> Result<(), Refusal> {
-        let Some(tokens) = self.facts.tokens else {
+        let Some(tokens) = self.metadata.tokens else {
             return Ok(());
         };
         let Some(tenant) = self.tenant.clone() else {
@@ -219,7 +224,7 @@
             });
         }
         let now_ms = self.gateway.now_ms();
-        let draw = self.gateway.draw();
+        let draw = self.gateway.random_u64();
         let mut state = self.gateway.state();
         let shares = match self.service.warmup {
             Some(_) => state.introduced(&self.service.name, &self.gateway.settings.name, now_ms),
@@ -228,8 +233,8 @@
         let candidates = Candidates::new(&state, self, &shares, now_ms);
         let listed = candidates.listed;
         let shared = self
-            .facts
-            .parts
+            .metadata
+            .prompt_parts
             .split_last()
             .map_or(&[][..], |(_, shared)| shared);
         let query = Query {
@@ -243,7 +248,7 @@
             false => choice::pick(&candidates.open, &query, &state.load, &state.health, now_ms),
         };
         let chosen = chosen.cloned();
-        let prompt = self.facts.tokens.map_or(0, |tokens| tokens.prompt);
+        let prompt = self.metadata.tokens.map_or(0, |tokens| tokens.prompt);
         let unread = chosen
             .as_ref()
             .map_or(0, |server| state.load.to_read(prompt, &query, &server.id));
@@ -334,7 +339,9 @@
 
     fn refuse_as(&self, reply: Reply, code: Code, wait: Option<Duration>) {
         let took = self.arrived.elapsed();
-        self.gateway.metrics.refusal(&self.route.name, code, took);
+        self.gateway
+            .metrics
+            .count_refusal(&self.route.name, code, took);
         log_event!(
             Event::RouteRefused,
             "request={} route={} account={} code={} cause={} sends={} fingerprint={} configuration={} age_ms={}",
@@ -348,17 +355,17 @@
             self.version,
             self.arrived.elapsed().as_millis()
         );
-        refusal::answer(reply, code, wait, self.gateway.is_leaving());
+        refusal::send(reply, code, wait, self.gateway.is_draining());
     }
 
     fn answer(mut self, reply: Reply, answer: Answer, permit: &Permit) {
-        if let (Some(hold), Some(tokens)) = (&mut self.hold, self.facts.tokens)
+        if let (Some(hold), Some(tokens)) = (&mut self.hold, self.metadata.tokens)
             && answer.status.is_success()
         {
-            hold.deliver(tokens.most_output);
+            hold.deliver(tokens.max_output);
         }
-        let closing = self.gateway.is_leaving();
-        let headers = header::answer(&answer.headers, closing);
+        let closing = self.gateway.is_draining();
+        let headers = header::response_headers(&answer.headers, closing);
         reply.whole(answer.status, headers, answer.body);
         self.done(permit, answer.status.as_str());
     }
@@ -369,8 +376,8 @@
         }
         let took = self.arrived.elapsed();
         let metrics = &self.gateway.metrics;
-        metrics.request(&self.route.name, outcome, took);
-        metrics.attempt(&self.service.name, "answered");
+        metrics.count_request(&self.route.name, outcome, took);
+        metrics.count_attempt(&self.service.name, "answered");
         log_event!(
             Event::RequestDone,
             "request={} route={} server={} outcome={outcome} sends={} tokens={} held_ms={} first_ms={} age_ms={}",
--- a/crates/fescuewell_gateway/src/job/attempt.rs
+++ b/crates/fescuewell_gateway/src/job/attempt.rs
@@ -128,9 +128,9 @@
         sent_at: Instant,
     ) -> Attempt {
         self.sends += 1;
-        let names = self.gateway.dialect.names().clone();
+        let names = self.gateway.dialect.header_names().clone();
         let status = exchange.status;
-        let refused = exchange.headers.contains_key(&names.not_run);
+        let refused = exchange.headers.contains_key(&names.not_executed);
         if refused || status == StatusCode::MISDIRECTED_REQUEST {
             permit.settle();
             if status == StatusCode::MISDIRECTED_REQUEST {
@@ -164,7 +164,9 @@
                     permit.first_event();
                     let took = self.arrived.elapsed();
                     self.first_ms = took.as_millis();
-                    self.gateway.metrics.first_event(&self.route.name, took);
+                    self.gateway
+                        .metrics
+                        .record_first_event(&self.route.name, took);
                     Attempt::Events(Box::new(exchange), first)
                 }
                 Some(Err(error)) => {
@@ -180,7 +182,8 @@
                 permit.settle();
                 if status.is_success() {
                     // A server that fails some of its requests may fail this one before it would crash.
-                    self.gateway.answered(&permit.server, self.fingerprint);
+                    self.gateway
+                        .record_response(&permit.server, self.fingerprint);
                 }
                 let answer = Answer {
                     status,
@@ -205,7 +208,7 @@
 
     /// The request as the backend server gets it.
     fn request(&self, server: &Entry, after: Option<u64>) -> Option<http::Request<Bytes>> {
-        let names = self.gateway.dialect.names();
+        let names = self.gateway.dialect.header_names();
         let mut headers = self.headers.clone();
         let left = self.deadline.saturating_duration_since(Instant::now());
         let left = HeaderValue::from(left.as_millis() as u64);
@@ -214,13 +217,13 @@
         headers.insert(names.expected_server.clone(), expected);
         if let Some(tenant) = &self.tenant {
             let name = HeaderValue::from_str(&tenant.name).ok()?;
-            headers.insert(names.tenant.clone(), name);
+            headers.insert(names.account.clone(), name);
         }
         if self.service.engine.is_some() {
             headers.insert(names.urgency.clone(), HeaderValue::from(self.urgency()));
         }
         if let Some(after) = after {
-            headers.insert(names.last_event.clone(), HeaderValue::from(after));
+            headers.insert(names.last_event_id.clone(), HeaderValue::from(after));
         }
         let mut request = http::Request::new(self.body.clone());
         *request.method_mut() = self.method.clone();
@@ -294,7 +297,7 @@
     }
 
     pub(crate) fn note(&self, permit: &Permit, what: &'static str, reason: &str) {
-        self.gateway.metrics.attempt(&self.service.name, what);
+        self.gateway.metrics.count_attempt(&self.service.name, what);
         let reason = reason.replace(' ', "_");
         log_event!(
             Event::AttemptFailed,
--- a/crates/fescuewell_gateway/src/job/crash.rs
+++ b/crates/fescuewell_gateway/src/job/crash.rs
@@ -45,7 +45,7 @@
     fn drop(&mut self) {
         let is_awaited = self.gateway.state().quarantine.end(self.request);
         if is_awaited {
-            self.gateway.announce_crashes();
+            self.gateway.notify_crash_changes();
         }
     }
 }
@@ -57,7 +57,7 @@
         || gateway.client.probe(server.address, PROBE).await != Reach::Refused;
     match is_sound {
         true => gateway.state().crashes.accepted(server.incarnation()),
-        false => gateway.crashed(server, Evidence::Refused),
+        false => gateway.record_crash(server, Evidence::Refused),
     }
 }
 
@@ -93,7 +93,7 @@
         let Verdict::Quarantined { may_probe } = self.verdict() else {
             return Ok(());
         };
-        if !may_probe || !self.gateway.may_probe(self.fingerprint).await {
+        if !may_probe || !self.gateway.request_probe(self.fingerprint).await {
             return Err(Code::Quarantined);
         }
         log_event!(
@@ -148,9 +148,11 @@
         let server = &permit.server;
         let now_ms = gateway.now_ms();
         permit.settle();
-        let finding = gateway.state().lost(server, self.fingerprint, loss, now_ms);
+        let finding = gateway
+            .state()
+            .report_loss(server, self.fingerprint, loss, now_ms);
         match finding {
-            Some(Finding::Crashed) => gateway.ran_at_crash(server, self.fingerprint),
+            Some(Finding::Crashed) => gateway.record_known_crash(server, self.fingerprint),
             Some(Finding::Probe) => {
                 self.probe(permit);
                 self.probe_finished(permit).await;
@@ -167,11 +169,11 @@
         spawn(async move {
             let reach = gateway.client.probe(server.address, PROBE).await;
             if reach == Reach::Refused {
-                return gateway.crashed(&server, Evidence::Refused);
+                return gateway.record_crash(&server, Evidence::Refused);
             }
             // The server list or the second probe may still settle it.
             gateway.state().crashes.silent(server.incarnation());
-            gateway.announce_crashes();
+            gateway.notify_crash_changes();
             if reach == Reach::Accepted {
                 probe_again(&gateway, &server).await;
             }
--- a/crates/fescuewell_gateway/src/job/permit.rs
+++ b/crates/fescuewell_gateway/src/job/permit.rs
@@ -59,7 +59,7 @@
         let gateway = self.gateway.clone();
         let server = self.server.clone();
         async move {
-            let mut ends = gateway.ends();
+            let mut ends = gateway.server_exits();
             while !gateway.state().registry.is_reborn(&server) {
                 if ends.changed().await.is_err() {
                     std::future::pending::<()>().await;
@@ -110,7 +110,7 @@
         state.load.end(&self.server.id);
         if !self.is_settled.load(Ordering::Relaxed) {
             let request = in_flight.request();
-            state.lost(&self.server, request, Loss::Silent, now_ms);
+            state.report_loss(&self.server, request, Loss::Silent, now_ms);
         }
         drop(state);
         drop(in_flight);
--- a/crates/fescuewell_gateway/src/lib.rs
+++ b/crates/fescuewell_gateway/src/lib.rs
@@ -36,7 +36,7 @@
 /// What a program that runs an instance needs.
 pub mod prelude {
     pub use crate::daemon::Daemon;
-    pub use crate::dialect::{Dialect, Facts, Part, Tokens};
+    pub use crate::dialect::{Dialect, PromptPart, RequestMetadata, TokenCounts};
     pub use crate::settings::Settings;
     pub use crate::source::Source;
     pub use crate::store::Store;
--- a/crates/fescuewell_gateway/src/metrics.rs
+++ b/crates/fescuewell_gateway/src/metrics.rs
@@ -49,14 +49,14 @@
     }
 
     /// Shows what the gateway holds: tokens by account, and the ages of what it believes.
-    pub fn watch(&self, gateway: &Arc<Gateway>) {
+    pub fn register_gauges(&self, gateway: &Arc<Gateway>) {
         let meter = self.page.meter();
         watch_tokens(&meter, Arc::downgrade(gateway));
         watch_beliefs(&meter, Arc::downgrade(gateway));
     }
 
     /// Counts the end of a request.
-    pub fn request(&self, route: &str, outcome: &str, took: Duration) {
+    pub fn count_request(&self, route: &str, outcome: &str, took: Duration) {
         let attributes = [
             KeyValue::new("route", route.to_owned()),
             KeyValue::new("outcome", outcome.to_owned()),
@@ -66,12 +66,12 @@
     }
 
     /// Counts a refusal by its code.
-    pub fn refusal(&self, route: &str, code: Code, took: Duration) {
-        self.request(route, code.name(), took);
+    pub fn count_refusal(&self, route: &str, code: Code, took: Duration) {
+        self.count_request(route, code.name(), took);
     }
 
     /// Counts an attempt at a backend server of a service.
-    pub fn attempt(&self, service: &str, outcome: &'static str) {
+    pub fn count_attempt(&self, service: &str, outcome: &'static str) {
         let attributes = [
             KeyValue::new("service", service.to_owned()),
             KeyValue::new("outcome", outcome),
@@ -80,13 +80,13 @@
     }
 
     /// Counts a crash of a backend server of a service.
-    pub fn server_crashed(&self, service: &str) {
+    pub fn count_server_crash(&self, service: &str) {
         let attributes = [KeyValue::new("service", service.to_owned())];
         self.crashes.add(1, &attributes);
     }
 
     /// Counts a call to the store.
-    pub fn store_call(&self, call: &str, outcome: &'static str) {
+    pub fn count_store_call(&self, call: &str, outcome: &'static str) {
         let attributes = [
             KeyValue::new("call", call.to_owned()),
             KeyValue::new("outcome", outcome),
@@ -95,7 +95,7 @@
     }
 
     /// Notes the time to the first event of a stream.
-    pub fn first_event(&self, route: &str, took: Duration) {
+    pub fn record_first_event(&self, route: &str, took: Duration) {
         let attributes = [KeyValue::new("route", route.to_owned())];
         self.first_event.record(took.as_secs_f64(), &attributes);
     }
@@ -159,7 +159,7 @@
                 ("configuration_version", version as f64),
                 (
                     "store_silent_seconds",
-                    gateway.store_silence().as_secs_f64(),
+                    gateway.time_since_store_response().as_secs_f64(),
                 ),
                 ("journal_age_seconds", exposure.age_ms as f64 / 1_000.0),
                 ("tokens_recorded", exposure.recorded as f64),
@@ -169,8 +169,8 @@
                 ("suspects", suspects as f64),
                 ("quarantined", quarantined as f64),
                 ("instances", instances as f64),
-                ("ready", f64::from(u8::from(gateway.takes_callers()))),
-                ("accepting", f64::from(u8::from(gateway.is_open()))),
+                ("ready", f64::from(u8::from(gateway.reports_ready()))),
+                ("accepting", f64::from(u8::from(gateway.is_accepting()))),
             ];
             for (kind, value) in values {
                 gauge.observe(value, &[KeyValue::new("of", kind)]);
--- a/crates/fescuewell_gateway/src/refusal.rs
+++ b/crates/fescuewell_gateway/src/refusal.rs
@@ -29,7 +29,7 @@
 }
 
 /// Sends a refusal. `wait` is when to come back where that is known better than the code tells; `closing` asks the caller to open its next connection elsewhere.
-pub fn answer(reply: Reply, code: Code, wait: Option<Duration>, closing: bool) {
+pub fn send(reply: Reply, code: Code, wait: Option<Duration>, closing: bool) {
     let mut headers = HeaderMap::new();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
     if let Some(value) = wait.or(retry_after(code)).and_then(seconds) {
--- a/crates/fescuewell_gateway/src/side.rs
+++ b/crates/fescuewell_gateway/src/side.rs
@@ -30,11 +30,11 @@
     }
 
     fn ready(&self, reply: Reply) {
-        if self.gateway.takes_callers() {
+        if self.gateway.reports_ready() {
             reply.whole(StatusCode::OK, HeaderMap::new(), Bytes::new());
             return;
         }
-        refusal::answer(reply, Code::NotReady, None, false);
+        refusal::send(reply, Code::NotReady, None, false);
     }
 
     fn addresses(&self, reply: Reply) {
@@ -44,16 +44,16 @@
         let alone = is_read || self.gateway.uptime() > ALONE_AFTER;
         let own = self.gateway.is_ready() && alone;
         let own = own.then_some(self.gateway.settings.front);
-        let draw = self.gateway.draw();
+        let draw = self.gateway.random_u64();
         let addresses = self.gateway.state().directory.addresses(own, draw);
         if addresses.is_empty() {
-            refusal::answer(reply, Code::NotReady, None, false);
+            refusal::send(reply, Code::NotReady, None, false);
             return;
         }
         let keep = self.gateway.settings.keep_addresses;
-        let body = self.gateway.dialect.addresses(&addresses, keep);
+        let body = self.gateway.dialect.addresses_body(&addresses, keep);
         let mut headers = HeaderMap::new();
-        if let Ok(kind) = HeaderValue::from_str(self.gateway.dialect.content_type()) {
+        if let Ok(kind) = HeaderValue::from_str(self.gateway.dialect.addresses_content_type()) {
             headers.insert(CONTENT_TYPE, kind);
         }
         reply.whole(StatusCode::OK, headers, body);
@@ -76,6 +76,6 @@
             reply.whole(StatusCode::OK, HeaderMap::new(), text);
             return;
         }
-        refusal::answer(reply, Code::NoSuchPath, None, false);
+        refusal::send(reply, Code::NoSuchPath, None, false);
     }
 }
--- a/crates/fescuewell_gateway/src/stream.rs
+++ b/crates/fescuewell_gateway/src/stream.rs
@@ -135,10 +135,10 @@
         first: Bytes,
         permit: Permit,
     ) {
-        let closing = self.gateway.is_leaving();
-        let headers = header::answer(&exchange.headers, closing);
+        let closing = self.gateway.is_draining();
+        let headers = header::response_headers(&exchange.headers, closing);
         let sink = reply.stream(exchange.status, headers);
-        let mut cutter = Cutter::new(self.facts.last_event);
+        let mut cutter = Cutter::new(self.metadata.last_event_id);
         let mut current = Some((exchange, first));
         let mut permit = permit;
         loop {
@@ -153,7 +153,8 @@
                 Ending::Whole => {
                     permit.judge(Outcome::Good);
                     permit.settle();
-                    self.gateway.answered(&permit.server, self.fingerprint);
+                    self.gateway
+                        .record_response(&permit.server, self.fingerprint);
                     let events = cutter.taken().saturating_sub(begun.1 + 1);
                     if let Some(gap) = begun.0.elapsed().checked_div(events as u32) {
                         permit.time(gap);
--- a/crates/fescuewell_gateway/tests/common/mod.rs
+++ b/crates/fescuewell_gateway/tests/common/mod.rs
@@ -12,7 +12,7 @@
 use fescuewell_forward::quota::row::Journal;
 use fescuewell_forward::server::Movement;
 use fescuewell_gateway::control::Control;
-use fescuewell_gateway::dialect::{Dialect, Facts, Names};
+use fescuewell_gateway::dialect::{Dialect, HeaderNames, RequestMetadata};
 use fescuewell_gateway::gateway::Gateway;
 use fescuewell_gateway::settings::Settings;
 use fescuewell_gateway::source::{News, Source, Word};
@@ -268,31 +268,31 @@
 }
 
 /// A manner of speaking that no caller uses here.
-struct Silence(Names);
+struct Silence(HeaderNames);
 
-fn names() -> Names {
+fn names() -> HeaderNames {
     let name = HeaderName::from_static("x-unused");
-    Names {
+    HeaderNames {
         request_id: name.clone(),
         deadline: name.clone(),
-        key: name.clone(),
-        tenant: name.clone(),
+        account_key: name.clone(),
+        account: name.clone(),
         expected_server: name.clone(),
         urgency: name.clone(),
         seal: name.clone(),
-        not_run: name.clone(),
-        last_event: name,
+        not_executed: name.clone(),
+        last_event_id: name,
         reserved: Vec::new(),
     }
 }
 
 impl Dialect for Silence {
-    fn names(&self) -> &Names {
+    fn header_names(&self) -> &HeaderNames {
         &self.0
     }
 
-    fn facts(&self, _: &HeaderMap) -> Facts {
-        Facts::default()
+    fn metadata(&self, _: &HeaderMap) -> RequestMetadata {
+        RequestMetadata::default()
     }
 
     fn directory_path(&self) -> &str {
@@ -303,11 +303,11 @@
         "/"
     }
 
-    fn addresses(&self, _: &[SocketAddr], _: Duration) -> Bytes {
+    fn addresses_body(&self, _: &[SocketAddr], _: Duration) -> Bytes {
         Bytes::new()
     }
 
-    fn content_type(&self) -> &str {
+    fn addresses_content_type(&self) -> &str {
         ""
     }
 }
@@ -320,7 +320,7 @@
 /// An instance and its duties; `seed` decides what it draws at random.
 pub fn instance(settings: Settings, store: &Arc<Memory>, seed: u64) -> (Arc<Gateway>, Control) {
     let (gateway, inbox) = Gateway::new(settings, Arc::new(Silence(names()))).unwrap();
-    gateway.state().random = SmallRng::seed_from_u64(seed);
+    gateway.state().rng = SmallRng::seed_from_u64(seed);
     let control = Control::new(gateway.clone(), store.clone(), store.clone(), inbox);
     (gateway, control)
 }
--- a/crates/fescuewell_gateway/tests/duties.rs
+++ b/crates/fescuewell_gateway/tests/duties.rs
@@ -26,7 +26,7 @@
             tokio::time::sleep(Duration::from_millis(2_000 + step * 90)).await;
             let asked_ms = store.now_ms();
 
-            gateway.want_journal();
+            gateway.request_journal();
             tokio::time::sleep(WRITTEN_WITHIN).await;
 
             store.journal().at_ms >= asked_ms
--- a/crates/fescuewell_gateway/tests/lending.rs
+++ b/crates/fescuewell_gateway/tests/lending.rs
@@ -64,7 +64,7 @@
             until_acquainted(&rich, &poor).await;
             store.set(Behaviour::Silent);
             // A datagram may be lost: then it is asked again.
-            while !poor.borrow(&ACCOUNT.into(), TOKENS).await {}
+            while !poor.borrow_tokens(&ACCOUNT.into(), TOKENS).await {}
         };
 
         tokio::select! {
@@ -86,7 +86,7 @@
 fn an_instance_without_peers_borrows_nothing() {
     let borrowed = common::play(10_000, 1, async |gateway, store| {
         store.set(Behaviour::Silent);
-        gateway.borrow(&ACCOUNT.into(), 20_000).await
+        gateway.borrow_tokens(&ACCOUNT.into(), 20_000).await
     });
 
     assert!(!borrowed);
--- a/crates/fescuewell_gateway/tests/quarantine.rs
+++ b/crates/fescuewell_gateway/tests/quarantine.rs
@@ -50,7 +50,7 @@
             .state()
             .crashes
             .lost(&server, request(), Loss::Broken, now_ms);
-        gateway.crashed(&server, Evidence::Refused);
+        gateway.record_crash(&server, Evidence::Refused);
     }
 }
 
@@ -103,9 +103,12 @@
         let settings = common::settings("entry-2");
         let (other, control) = common::instance(settings, &store, 2);
         let leaves = async {
-            let early = gateway.may_probe(request()).await;
+            let early = gateway.request_probe(request()).await;
             tokio::time::sleep(QUARANTINE).await;
-            let leaves = tokio::join!(gateway.may_probe(request()), other.may_probe(request()));
+            let leaves = tokio::join!(
+                gateway.request_probe(request()),
+                other.request_probe(request())
+            );
             (early, verdict(&other), leaves)
         };
         tokio::select! {
@@ -128,7 +131,7 @@
         crash(&gateway, 0..3);
         tokio::time::sleep(QUARANTINE).await;
         store.set(Behaviour::Refuse);
-        (verdict(&gateway), gateway.may_probe(request()).await)
+        (verdict(&gateway), gateway.request_probe(request()).await)
     });
 
     assert_eq!(may_probe, (Verdict::Quarantined { may_probe: true }, false));
--- a/tests/forward/fixture.rs
+++ b/tests/forward/fixture.rs
@@ -324,7 +324,7 @@
     /// Waits until no request is open.
     pub fn wait_idle(&self) {
         let gateway = self.daemon.as_ref().unwrap().gateway();
-        let is_so = || gateway.open().load(Ordering::Acquire) == 0;
+        let is_so = || gateway.in_flight_requests().load(Ordering::Acquire) == 0;
         assert!(wait_until(is_so), "a request stayed open");
     }
 
