--- a/crates/fescuewell_gateway/src/control.rs
+++ b/crates/fescuewell_gateway/src/control.rs
@@ -121,7 +121,7 @@
                     silence.as_millis()
                 );
                 // The journal is as old as the outage, and a restart now would be charged for all of that.
-                self.gateway.request_journal_and_plan();
+                self.gateway.sync_quota();
             }
         }
     }
--- a/crates/fescuewell_gateway/src/control/watch.rs
+++ b/crates/fescuewell_gateway/src/control/watch.rs
@@ -179,7 +179,7 @@
         state.registry.set_warmups(warmups);
     }
     gateway.set_table(Table::new(configuration));
-    gateway.request_journal_and_plan();
+    gateway.sync_quota();
     ready_if_complete(control);
 }
 
--- a/crates/fescuewell_gateway/src/daemon.rs
+++ b/crates/fescuewell_gateway/src/daemon.rs
@@ -131,7 +131,7 @@
         let open = self.gateway.in_flight_requests().load(Ordering::Acquire);
         log_event!(Event::DrainStarted, "open={open}");
         self.gateway.state().quota.close();
-        self.gateway.request_journal_and_plan();
+        self.gateway.sync_quota();
         std::thread::sleep(grace.mul_f64(SERVE_PART));
         let left = grace.saturating_sub(asked.elapsed() + RESERVE);
         let cut = self.front.drain(left);
@@ -148,7 +148,7 @@
         let until = Instant::now() + RESERVE / 3;
         let plans = self.gateway.token_changes();
         let seen = *plans.borrow();
-        self.gateway.request_journal_and_plan();
+        self.gateway.sync_quota();
         while *plans.borrow() <= seen && Instant::now() < until {
             std::thread::sleep(LOOK);
         }
--- a/crates/fescuewell_gateway/src/gateway.rs
+++ b/crates/fescuewell_gateway/src/gateway.rs
@@ -356,7 +356,7 @@
     }
 
     /// Asks the control thread for both.
-    pub fn request_journal_and_plan(&self) {
+    pub fn sync_quota(&self) {
         self.request_journal();
         self.request_plan();
     }
