--- a/crates/fescuewell_gateway/src/dialect.rs
+++ b/crates/fescuewell_gateway/src/dialect.rs
@@ -1,4 +1,4 @@
-//! How callers and backend servers name things: header names, paths and small bodies.
+//! Interface to the platform's protocol: header names, paths and small bodies.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,83 +7,83 @@
 use bytes::Bytes;
 use http::{HeaderMap, HeaderName};
 
-/// Names of headers.
+/// Header names of the platform.
 #[derive(Debug, Clone)]
 pub struct HeaderNames {
-    /// Identity of one attempt of a caller.
+    /// Id of one attempt of a caller.
     pub request_id: HeaderName,
-    /// Milliseconds for which the sender will wait.
+    /// Remaining time that the sender waits, in milliseconds.
     pub deadline: HeaderName,
-    /// Account key.
+    /// Key that authenticates a client account.
     pub account_key: HeaderName,
-    /// Name of the client account, for the backend server.
+    /// Name of the client account, sent to the backend server.
     pub account: HeaderName,
-    /// Incarnation of the backend server that is meant.
+    /// Id of the backend server that the request is meant for.
     pub expected_server: HeaderName,
-    /// Rank in the backend server's queue, from 0 to 9.
+    /// Priority in the backend server's queue, from 0 to 9.
     pub urgency: HeaderName,
-    /// Mark of a backend server's own answer.
+    /// Present on responses that a backend server produced itself.
     pub seal: HeaderName,
-    /// Says that the backend server did not run the request.
+    /// Present if the backend server did not execute the request.
     pub not_executed: HeaderName,
-    /// Last event that the caller has.
+    /// Id of the last event that the caller received.
     pub last_event_id: HeaderName,
-    /// Headers that only the system may set.
+    /// Headers that only the system may set. They are removed from requests of callers.
     pub reserved: Vec<HeaderName>,
 }
 
-/// Tokens of a request as the caller declares them.
+/// Token counts that a caller declares for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TokenCounts {
-    /// Tokens of the prompt.
+    /// Prompt tokens.
     pub prompt: u64,
-    /// Most tokens of the answer.
+    /// Maximum number of output tokens.
     pub max_output: u64,
 }
 
-/// A part of a prompt.
+/// Segment of a prompt, the unit in which backend servers cache prompts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Its identity.
+    /// Id of the segment, equal in all prompts that share it.
     pub id: Arc<str>,
-    /// Its tokens.
+    /// Number of tokens.
     pub tokens: u64,
 }
 
-/// What a request's headers say.
+/// Metadata from a request's headers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RequestMetadata {
-    /// Identity of the attempt.
+    /// Id of the attempt.
     pub request_id: Option<Arc<str>>,
-    /// How long the caller will wait.
+    /// Time that the caller waits.
     pub timeout: Option<Duration>,
-    /// Account key.
+    /// Key of the client account.
     pub account_key: Option<Arc<str>>,
-    /// Declared tokens.
+    /// Declared token counts.
     pub tokens: Option<TokenCounts>,
-    /// Parts of the prompt, in order; the last one is the request's own.
+    /// Segments of the prompt in order; the last one belongs to this request only.
     pub prompt_parts: Vec<PromptPart>,
-    /// Number of the last event that the caller has.
+    /// Id of the last event that the caller received.
     pub last_event_id: Option<u64>,
 }
 
-/// The platform's manner of speaking to callers and backend servers.
+/// The platform's protocol towards callers and backend servers.
 pub trait Dialect: Send + Sync {
-    /// Names of headers.
+    /// Returns the header names.
     fn header_names(&self) -> &HeaderNames;
 
-    /// Reads a request's headers.
+    /// Extracts the metadata from a request's headers.
     fn metadata(&self, headers: &HeaderMap) -> RequestMetadata;
 
-    /// Path at which callers ask for addresses.
+    /// Path of the address list for callers.
     fn directory_path(&self) -> &str;
 
-    /// Path at which readiness is asked for.
+    /// Path of the readiness check.
     fn ready_path(&self) -> &str;
 
-    /// Body that names addresses.
+    /// Encodes a list of addresses that callers may cache for `ttl`.
     fn addresses_body(&self, addresses: &[SocketAddr], ttl: Duration) -> Bytes;
 
-    /// Type of that body.
+    /// Content type of the address list.
     fn addresses_content_type(&self) -> &str;
 }
--- a/crates/fescuewell_gateway/src/gateway.rs
+++ b/crates/fescuewell_gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! What the threads of one instance share.
+//! State shared by the threads of an instance.
 
 mod crash;
 mod gate;
@@ -35,56 +35,57 @@
 
 pub use crash::ProbeRequest;
 
-/// Span over which arrivals are counted, in seconds.
+/// Window over which arriving requests are counted, in seconds.
 pub const ARRIVAL_WINDOW_S: u32 = 4;
 
-/// Stage of the process's life.
+/// Stage of the process's lifecycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
 pub enum Stage {
-    /// Without a configuration, or without the grants of its former process.
+    /// The configuration, the grants of the previous process or the quarantined requests have not been
+    /// loaded.
     Starting,
-    /// Takes requests.
+    /// Accepts requests.
     Ready,
-    /// Was asked to stop: still serves, and sends callers elsewhere.
+    /// Shutdown was requested: requests are still served, and callers are asked to use other instances.
     Draining,
 }
 
-/// What requests and duties change together.
+/// Mutable state that request handlers and the control thread share.
 #[derive(Debug)]
 pub struct State {
-    /// Backend servers.
+    /// Listed backend servers.
     pub registry: Registry,
-    /// How far the list of them is known.
+    /// Version up to which the list of backend servers is known.
     pub cursor: relay::Cursor,
-    /// What may be sent to those that are cold.
+    /// Rate limits for cold backend servers.
     pub warmup: Warmup,
-    /// How they do.
+    /// Health scores of backend servers.
     pub health: Health,
-    /// Which of them have crashed, and under what.
+    /// Suspected and detected crashes of backend servers.
     pub crashes: Watch,
-    /// Requests that are to blame for it.
+    /// Requests that crash backend servers.
     pub quarantine: Quarantine,
-    /// Requests under way at them.
+    /// In-flight requests per backend server.
     pub load: Load,
-    /// Prepaid tokens.
+    /// Prepaid tokens of the client accounts.
     pub quota: Quota,
-    /// Repeats.
+    /// Retry budget.
     pub retry: Budget,
-    /// The other instances.
+    /// The other instances of the fleet.
     pub directory: Directory,
-    /// Requests of callers in the last seconds.
+    /// Requests that arrived within [`ARRIVAL_WINDOW_S`].
     pub arrivals: Window,
-    /// What callers send against what this instance can pass on.
+    /// Limits on callers' traffic.
     pub admission: admission::Limiter,
-    /// Random choices.
+    /// Random number generator.
     pub rng: SmallRng,
 }
 
 impl State {
-    /// The cold servers of a service to which this instance may send, and how many instances share each; see
-    /// [`fescuewell_forward::warmup`].
-    pub fn introduced(
+    /// Returns the cold servers of a service that this instance may use, each with the number of instances
+    /// that share its request rate; see [`fescuewell_forward::warmup`].
+    pub fn cold_shares(
         &mut self,
         service: &str,
         instance: &str,
@@ -103,49 +104,51 @@
     }
 }
 
-/// A request that misses tokens which another instance may lend.
+/// Request to borrow tokens from other instances.
 #[derive(Debug)]
 pub struct BorrowRequest {
-    /// The client account.
+    /// Client account to borrow for.
     pub account: Arc<str>,
-    /// Tokens of the request.
+    /// Tokens that the request needs.
     pub tokens: u64,
-    /// Told whether the account has them now.
+    /// Receives whether the account has the tokens now.
     pub reply: oneshot::Sender<bool>,
 }
 
-/// What requests ask of the control thread.
+/// Receiving ends of the requests to the control thread.
 #[derive(Debug, Clone)]
 pub struct Inbox {
-    /// Tokens are to be drawn at once.
+    /// Requests to update the grants now.
     pub plan_requests: flume::Receiver<()>,
-    /// A journal is wanted at once.
+    /// Requests to write the journal now.
     pub journal_requests: flume::Receiver<()>,
-    /// Tokens are to be borrowed.
+    /// Requests to borrow tokens.
     pub borrow_requests: flume::Receiver<BorrowRequest>,
-    /// Quarantined requests that may be sent once more.
+    /// Requests for permission to probe a quarantined request.
     pub probe_requests: flume::Receiver<ProbeRequest>,
 }
 
-/// Longest time for which a request waits for tokens of other instances: a silent lender costs 30 ms, one that answers a few.
+/// Maximum time that a request waits for tokens from other instances. A lender that does not respond costs 30
+/// ms, one that responds a few.
 ///
-/// Where nobody takes shortages, since the instance has no address for the words of others, a request would wait for ever.
-const BORROWING: Duration = Duration::from_millis(150);
-/// Requests that may wait to have their tokens borrowed. More of them at once could not be served before their time is up.
+/// Without this limit a request would wait forever if nothing receives borrow requests, because the instance
+/// has no address for peer messages.
+const BORROW_TIMEOUT: Duration = Duration::from_millis(150);
+/// Maximum number of pending borrow requests. More could not be served before they time out.
 const MAX_BORROW_REQUESTS: usize = 256;
 
-/// Quarantined requests that may wait for leave to be sent once.
+/// Maximum number of pending probe requests.
 const MAX_PROBE_REQUESTS: usize = 16;
 
-/// The shared part of one instance.
+/// State and services shared by the threads of one instance.
 pub struct Gateway {
-    /// Its settings.
+    /// Settings of the instance.
     pub settings: Settings,
-    /// How callers and backend servers name things.
+    /// Header names, paths and bodies of the platform.
     pub dialect: Arc<dyn Dialect>,
-    /// What is counted.
+    /// Metrics of the instance.
     pub metrics: Metrics,
-    /// Connections to backend servers.
+    /// Connection pool for backend servers.
     pub client: upstream::Client,
     table: ArcSwapOption<Table>,
     state: Mutex<State>,
@@ -164,17 +167,17 @@
     token_changes: watch::Sender<u64>,
     server_exits: watch::Sender<u64>,
     store_recoveries: watch::Sender<u64>,
-    loaded: Notify,
+    load_change: Notify,
     gate: OnceLock<Gate>,
     started: Instant,
 }
 
 impl Gateway {
-    /// A gateway that knows nothing yet, and the channels on which it asks for tokens.
+    /// Creates a gateway without any state, and the receivers of its requests to the control thread.
     ///
     /// # Errors
     ///
-    /// When the metrics cannot be set up.
+    /// Returns an error if the metrics cannot be set up.
     pub fn new(
         settings: Settings,
         dialect: Arc<dyn Dialect>,
@@ -224,7 +227,7 @@
             token_changes,
             server_exits,
             store_recoveries,
-            loaded: Notify::new(),
+            load_change: Notify::new(),
             gate: OnceLock::new(),
             started: Instant::now(),
         };
@@ -239,27 +242,27 @@
         Ok((gateway, inbox))
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn table(&self) -> Option<Arc<Table>> {
         self.table.load_full()
     }
 
-    /// Puts a newer configuration in force.
+    /// Replaces the configuration.
     pub fn set_table(&self, table: Table) {
         self.table.store(Some(Arc::new(table)));
     }
 
-    /// The shared state; held for short steps only, never across a wait.
+    /// Locks the shared state. The guard must be held briefly and never across an `await`.
     pub fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A random number.
+    /// Returns a random number.
     pub fn random_u64(&self) -> u64 {
         self.state().rng.random()
     }
 
-    /// Milliseconds of the process's steady clock.
+    /// Milliseconds since the process started, on the monotonic clock.
     pub fn now_ms(&self) -> u64 {
         self.started.elapsed().as_millis() as u64
     }
@@ -269,7 +272,7 @@
         self.started.elapsed()
     }
 
-    /// Stage of the process's life.
+    /// Returns the stage of the process's lifecycle.
     pub fn stage(&self) -> Stage {
         match self.stage.load(Ordering::Acquire) {
             0 => Stage::Starting,
@@ -278,147 +281,150 @@
         }
     }
 
-    /// Goes on to a later stage; returns whether it is a new one.
+    /// Advances to a later stage. Returns `true` if the stage changed.
     pub fn advance(&self, stage: Stage) -> bool {
         self.stage.fetch_max(stage as u8, Ordering::AcqRel) < stage as u8
     }
 
-    /// Whether callers are to be sent elsewhere.
+    /// Returns `true` while the instance drains and callers are asked to use other instances.
     pub fn is_draining(&self) -> bool {
         self.stage() == Stage::Draining
     }
 
-    /// Whether the instance takes requests.
+    /// Returns `true` if the instance accepts requests.
     pub fn is_ready(&self) -> bool {
         self.stage() == Stage::Ready
     }
 
-    /// Time since the store answered last.
+    /// Returns the time since the store's last response, or since the start before the first one.
     pub fn time_since_store_response(&self) -> Duration {
-        let heard = self.last_store_response_ms.load(Ordering::Relaxed);
-        Duration::from_millis(self.now_ms().saturating_sub(heard))
+        let last_ms = self.last_store_response_ms.load(Ordering::Relaxed);
+        Duration::from_millis(self.now_ms().saturating_sub(last_ms))
     }
 
-    /// Whether the store answered last time.
+    /// Returns `true` if the last store call got a response.
     pub fn is_store_up(&self) -> bool {
         self.store_up.load(Ordering::Relaxed)
     }
 
-    /// Notes whether the store answers; returns whether that is news.
+    /// Records whether the store responds. Returns `true` if that changed.
     pub fn set_store_up(&self, up: bool) -> bool {
         if up {
             let now_ms = self.now_ms();
-            let heard_ms = self.last_store_response_ms.swap(now_ms, Ordering::Relaxed);
-            let silence_ms = now_ms.saturating_sub(heard_ms);
+            let last_response_ms = self.last_store_response_ms.swap(now_ms, Ordering::Relaxed);
+            let silence_ms = now_ms.saturating_sub(last_response_ms);
             if silence_ms >= LAPSING_SILENCE_MS {
                 self.state().registry.store_returned(silence_ms, now_ms);
             }
         }
-        let is_news = self.store_up.swap(up, Ordering::Relaxed) != up;
-        if up && is_news {
+        let has_changed = self.store_up.swap(up, Ordering::Relaxed) != up;
+        if up && has_changed {
             self.store_recoveries.send_modify(|count| *count += 1);
         }
-        is_news
+        has_changed
     }
 
-    /// Wakes when the store answers again.
+    /// Subscribes to recoveries of the store.
     pub fn store_recoveries(&self) -> watch::Receiver<u64> {
         self.store_recoveries.subscribe()
     }
 
-    /// Notes that another instance's message has come.
+    /// Records the arrival of another instance's message.
     pub fn record_peer_message(&self) {
         self.last_peer_message_ms
             .store(self.now_ms(), Ordering::Relaxed);
     }
 
-    /// Time since the last message of another instance.
+    /// Returns the time since the last message of another instance, or since the start before the first one.
     pub fn time_since_peer_message(&self) -> Duration {
-        let heard = self.last_peer_message_ms.load(Ordering::Relaxed);
-        Duration::from_millis(self.now_ms().saturating_sub(heard))
+        let last_ms = self.last_peer_message_ms.load(Ordering::Relaxed);
+        Duration::from_millis(self.now_ms().saturating_sub(last_ms))
     }
 
-    /// Requests under way.
+    /// Number of requests in flight.
     pub fn in_flight_requests(&self) -> &AtomicUsize {
         &self.in_flight_requests
     }
 
-    /// Asks the control thread to draw what requests miss, at once.
+    /// Requests an immediate update of the grants, so that waiting requests get tokens.
     pub fn request_plan(&self) {
-        // A full channel means that it has been asked already.
+        // A full channel means that a request is already pending.
         let _ = self.plan_requests.try_send(());
     }
 
-    /// Asks the control thread for a journal at once.
+    /// Requests an immediate write of the journal.
     pub fn request_journal(&self) {
-        // A full channel means that it has been asked already.
+        // A full channel means that a request is already pending.
         let _ = self.journal_requests.try_send(());
     }
 
-    /// Asks the control thread for both.
+    /// Requests an immediate write of the journal and update of the grants.
     pub fn sync_quota(&self) {
         self.request_journal();
         self.request_plan();
     }
 
-    /// Borrows what a request misses from other instances; returns whether the account has it now.
+    /// Borrows the tokens that a request lacks from other instances. Returns `true` if the account now has
+    /// enough.
     pub async fn borrow_tokens(&self, account: &Arc<str>, tokens: u64) -> bool {
-        let (reply, answer) = oneshot::channel();
-        let shortage = BorrowRequest {
+        let (reply, response) = oneshot::channel();
+        let request = BorrowRequest {
             account: account.clone(),
             tokens,
             reply,
         };
-        if self.settings.peer.is_none() || self.borrow_requests.try_send(shortage).is_err() {
-            // A full channel means that many wait already, and a closed one that the process ends.
+        if self.settings.peer.is_none() || self.borrow_requests.try_send(request).is_err() {
+            // Full: too many requests are waiting already. Closed: the process is shutting down.
             return false;
         }
-        let answer = tokio::time::timeout(BORROWING, answer).await;
-        matches!(answer, Ok(Ok(true)))
+        let response = tokio::time::timeout(BORROW_TIMEOUT, response).await;
+        matches!(response, Ok(Ok(true)))
     }
 
-    /// The key that proves instances to each other, once it was read.
+    /// Returns the key that authenticates messages between instances, once it has been read.
     pub fn fleet_key(&self) -> Option<Arc<Key>> {
         self.fleet_key.load_full()
     }
 
-    /// Era of the store in which that key was read.
+    /// Store era in which the key was read.
     pub fn fleet_key_era(&self) -> u32 {
         self.fleet_key_era.load(Ordering::Relaxed)
     }
 
-    /// Sets that key as it was read in an era of the store. The row is replaced only where the store has lost it.
+    /// Sets the key, as read in an era of the store. The stored key is replaced only if the store has lost
+    /// it.
     pub fn set_fleet_key(&self, key: Key, era: u32) {
         self.fleet_key.store(Some(Arc::new(key)));
         self.fleet_key_era.store(era, Ordering::Relaxed);
     }
 
-    /// Tells waiting requests that a plan was carried out.
+    /// Notifies waiting requests that the available tokens may have changed: a journal or a plan was written,
+    /// or a loan arrived.
     pub fn notify_token_changes(&self) {
         self.token_changes.send_modify(|count| *count += 1);
     }
 
-    /// Tells requests under way that backend servers have started again or are gone.
+    /// Notifies in-flight requests that backend servers restarted or were removed.
     pub fn notify_server_exits(&self) {
         self.server_exits.send_modify(|count| *count += 1);
     }
 
-    /// Wakes when backend servers have started again or are gone.
+    /// Subscribes to restarts and removals of backend servers.
     pub fn server_exits(&self) -> watch::Receiver<u64> {
         self.server_exits.subscribe()
     }
 
-    /// Tells that the own load has changed.
+    /// Notifies the sender of load reports that this instance's load changed.
     pub fn notify_load_changed(&self) {
-        self.loaded.notify_one();
+        self.load_change.notify_one();
     }
 
-    /// Waits for a change of the own load.
+    /// Waits until this instance's load changes.
     pub async fn load_changed(&self) {
-        self.loaded.notified().await;
+        self.load_change.notified().await;
     }
 
-    /// Wakes after each plan.
+    /// Subscribes to changes of the available tokens.
     pub fn token_changes(&self) -> watch::Receiver<u64> {
         self.token_changes.subscribe()
     }
--- a/crates/fescuewell_gateway/src/gateway/crash.rs
+++ b/crates/fescuewell_gateway/src/gateway/crash.rs
@@ -1,4 +1,4 @@
-//! Crashes of backend servers, and the requests under which they happen.
+//! Crashes of backend servers and the requests that cause them.
 
 use fescuewell_core::log_event;
 use fescuewell_core::prelude::*;
@@ -8,8 +8,8 @@
 
 use super::{Gateway, State};
 
-/// Most requests that one log line names.
-const MOST_NAMED: usize = 8;
+/// Maximum number of requests listed in one log line.
+const MAX_LOGGED_REQUESTS: usize = 8;
 
 /// Request for permission to probe a quarantined request.
 #[derive(Debug)]
@@ -31,7 +31,7 @@
         self.quarantine.verdict(request, self.store_ms(now_ms))
     }
 
-    /// Reports a lost exchange with a server, unless the server is leaving.
+    /// Reports a lost exchange with a server. Returns `None` if the server is draining or no longer listed.
     pub fn report_loss(
         &mut self,
         server: &Entry,
@@ -43,12 +43,12 @@
             let has_crashed = self.crashes.has_crashed(server.incarnation());
             return has_crashed.then_some(Finding::Crashed);
         }
-        // Leaving servers close their connections.
+        // Draining servers close their connections.
         let is_ready = self.registry.is_ready(&server.id, now_ms);
         is_ready.then(|| self.crashes.lost(server, request, loss, now_ms))
     }
 
-    fn crash(&mut self, server: &Entry, request: Fingerprint, now_ms: u64) -> Option<usize> {
+    fn record_crash(&mut self, server: &Entry, request: Fingerprint, now_ms: u64) -> Option<usize> {
         let store_ms = self.store_ms(now_ms);
         let server = server.incarnation();
         self.quarantine.crash(request, server, store_ms)
@@ -56,7 +56,7 @@
 }
 
 impl Gateway {
-    /// Records the crash of a backend server for each request it was running.
+    /// Records the crash of a backend server for each request that it was running.
     pub fn record_crash(&self, server: &Entry, evidence: Evidence) {
         let now_ms = self.now_ms();
         let mut quarantined = Vec::new();
@@ -64,7 +64,7 @@
             let mut state = self.state();
             let requests = state.crashes.crashed(server.incarnation(), now_ms);
             for request in &requests {
-                if state.crash(server, *request, now_ms) == Some(THRESHOLD) {
+                if state.record_crash(server, *request, now_ms) == Some(THRESHOLD) {
                     quarantined.push(*request);
                 }
             }
@@ -77,23 +77,23 @@
             server.id,
             server.service,
             requests.len(),
-            named(&requests)
+            format_requests(&requests)
         );
         log_quarantined(&quarantined, &server.id);
         self.notify_crash_changes();
     }
 
-    /// Records a known crash for another request that the server was running.
+    /// Records a crash that was already detected for another request that the server was running.
     pub fn record_known_crash(&self, server: &Entry, request: Fingerprint) {
         let now_ms = self.now_ms();
-        let count = self.state().crash(server, request, now_ms);
+        let count = self.state().record_crash(server, request, now_ms);
         if count == Some(THRESHOLD) {
             log_quarantined(&[request], &server.id);
         }
         self.notify_crash_changes();
     }
 
-    /// Records a complete response.
+    /// Records a complete response, which clears the request of earlier crashes.
     pub fn record_response(&self, server: &Entry, request: Fingerprint) {
         let now_ms = self.now_ms();
         let is_cleared = {
@@ -112,7 +112,7 @@
         self.notify_crash_changes();
     }
 
-    /// Merges records of other instances or of the store.
+    /// Merges crash records received from `source`: another instance or the store.
     pub fn merge_crashes<Updates>(&self, updates: Updates, source: &str)
     where
         Updates: IntoIterator<Item = Update>,
@@ -132,7 +132,7 @@
 
     /// Requests permission to probe a quarantined request.
     pub async fn request_probe(&self, request: Fingerprint) -> bool {
-        let (reply, answer) = oneshot::channel();
+        let (reply, response) = oneshot::channel();
         if self
             .probe_requests
             .try_send(ProbeRequest { request, reply })
@@ -141,15 +141,15 @@
             // Full: other probes are pending. Closed: the process is shutting down.
             return false;
         }
-        answer.await.unwrap_or(false)
+        response.await.unwrap_or(false)
     }
 
-    /// Notifies waiting requests and the exchange of a change.
+    /// Notifies waiting requests and the exchange between instances that crash records changed.
     pub fn notify_crash_changes(&self) {
         self.crash_changes.send_modify(|count| *count += 1);
     }
 
-    /// Subscribes to changes of crash records.
+    /// Subscribes to changes of the crash records.
     pub fn crash_changes(&self) -> watch::Receiver<u64> {
         self.crash_changes.subscribe()
     }
@@ -164,8 +164,8 @@
     }
 }
 
-fn named(requests: &[Fingerprint]) -> String {
-    let named = requests.iter().take(MOST_NAMED);
-    let named: Vec<String> = named.map(Fingerprint::to_string).collect();
-    named.join(",")
+fn format_requests(requests: &[Fingerprint]) -> String {
+    let listed = requests.iter().take(MAX_LOGGED_REQUESTS);
+    let texts: Vec<String> = listed.map(Fingerprint::to_string).collect();
+    texts.join(",")
 }
--- a/crates/fescuewell_gateway/src/gateway/gate.rs
+++ b/crates/fescuewell_gateway/src/gateway/gate.rs
@@ -1,4 +1,4 @@
-//! Whether callers may come to this instance.
+//! Admission of callers' traffic: the listener gate and readiness.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,8 +11,9 @@
 use super::Gateway;
 
 impl Gateway {
-    /// Notes a caller's request. An instance that is sent too much keeps new connections out, and asks its callers to leave
-    /// if the others have room. Runs inside a listener's runtime.
+    /// Records a caller's request with a body of so many bytes. If the instance is overloaded, closes the
+    /// listener to new connections, and reports the instance unready if the fleet has capacity for its
+    /// callers. Must be called inside a listener's runtime.
     pub fn record_arrival(self: &Arc<Self>, body: usize) {
         let action = self.state().admission.admit(self.now_ms(), body);
         match action {
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Looks after the gate until it is open again.
+    /// Reopens the listener once the traffic is back within the limits.
     fn reopen_later(self: &Arc<Self>) {
         let gateway = self.clone();
         spawn(async move {
@@ -48,24 +49,25 @@
         });
     }
 
-    /// Sets what lets callers' connections in.
+    /// Sets the gate of the callers' listener.
     pub fn set_gate(&self, gate: Gate) {
-        // Set once, when the listener starts.
+        // The listener starts only once.
         let _ = self.gate.set(gate);
     }
 
-    /// Whether new connections of callers are let in.
+    /// Returns `true` if new connections from callers are accepted.
     pub fn is_accepting(&self) -> bool {
         !self.state().admission.is_closed(self.now_ms())
     }
 
-    /// Keeps new connections of callers out while they are too many; returns whether that is news.
+    /// Opens or closes the listener to new connections as the limits require. Returns `true` if that changed.
     pub fn update_gate(&self) -> bool {
         let open = self.is_accepting();
         self.gate.get().is_some_and(|gate| gate.set(open))
     }
 
-    /// Whether callers may come: it takes requests, and passes on what it is sent.
+    /// Returns `true` if the readiness check succeeds: the instance accepts requests and is not shedding
+    /// callers.
     pub fn reports_ready(&self) -> bool {
         let now_ms = self.now_ms();
         self.is_ready() && self.state().admission.unready_left_ms(now_ms) == 0
--- a/crates/fescuewell_gateway/src/header.rs
+++ b/crates/fescuewell_gateway/src/header.rs
@@ -1,4 +1,4 @@
-//! Which headers go on.
+//! Header filtering between callers and backend servers.
 
 use http::HeaderMap;
 use http::header::{
@@ -8,8 +8,8 @@
 
 use crate::dialect::HeaderNames;
 
-/// Whether a header concerns one connection only.
-fn is_hop(name: &HeaderName) -> bool {
+/// Returns `true` for hop-by-hop headers.
+fn is_hop_by_hop(name: &HeaderName) -> bool {
     *name == CONNECTION
         || *name == TE
         || *name == TRAILER
@@ -19,8 +19,8 @@
         || name.as_str().starts_with("proxy-auth")
 }
 
-/// Names that the message's own `Connection` header declares to concern one connection.
-fn named(headers: &HeaderMap) -> Vec<HeaderName> {
+/// Returns the header names listed in the message's `Connection` header, which are hop-by-hop too.
+fn connection_options(headers: &HeaderMap) -> Vec<HeaderName> {
     let values = headers.get_all(CONNECTION).iter();
     let words = values.filter_map(|value| value.to_str().ok());
     let words = words.flat_map(|value| value.split(','));
@@ -29,15 +29,14 @@
         .collect()
 }
 
-/// Headers of a request for a backend server, without those that the system sets itself.
+/// Returns the headers of a request to a backend server, without those that only the gateway may set.
 ///
-/// A caller that could set them would choose another account's name, or take memory that was reserved for
-/// somebody else.
+/// Otherwise a caller could set the name of another client account or use memory reserved for others.
 pub fn request_headers(headers: &HeaderMap, names: &HeaderNames) -> HeaderMap {
-    let dropped = named(headers);
+    let dropped = connection_options(headers);
     let mut kept = HeaderMap::with_capacity(headers.len() + 4);
     for (name, value) in headers {
-        if is_hop(name) || *name == CONTENT_LENGTH || dropped.contains(name) {
+        if is_hop_by_hop(name) || *name == CONTENT_LENGTH || dropped.contains(name) {
             continue;
         }
         if *name == names.account_key || names.reserved.contains(name) {
@@ -48,28 +47,30 @@
     kept
 }
 
-/// Headers of an answer for the caller.
-pub fn response_headers(headers: &HeaderMap, closing: bool) -> HeaderMap {
-    let dropped = named(headers);
+/// Returns the headers of a response to a caller.
+pub fn response_headers(headers: &HeaderMap, close_connection: bool) -> HeaderMap {
+    let dropped = connection_options(headers);
     let mut kept = HeaderMap::with_capacity(headers.len() + 1);
     for (name, value) in headers {
-        if is_hop(name) || *name == CONTENT_LENGTH || dropped.contains(name) {
+        if is_hop_by_hop(name) || *name == CONTENT_LENGTH || dropped.contains(name) {
             continue;
         }
         kept.append(name.clone(), value.clone());
     }
-    if closing {
+    if close_connection {
         kept.insert(CONNECTION, HeaderValue::from_static("close"));
     }
     kept
 }
 
-/// Whether the sender of an answer will close its connection.
-pub fn closes(headers: &HeaderMap) -> bool {
-    named(headers).iter().any(|name| name.as_str() == "close")
+/// Returns `true` if the sender of a response closes its connection.
+pub fn closes_connection(headers: &HeaderMap) -> bool {
+    connection_options(headers)
+        .iter()
+        .any(|name| name.as_str() == "close")
 }
 
-/// The host that a request names.
+/// Returns the `Host` header, or an empty string.
 pub fn host(headers: &HeaderMap) -> &str {
     let host = headers.get(HOST).and_then(|value| value.to_str().ok());
     host.unwrap_or_default()
--- a/crates/fescuewell_gateway/src/job.rs
+++ b/crates/fescuewell_gateway/src/job.rs
@@ -227,7 +227,7 @@
         let draw = self.gateway.random_u64();
         let mut state = self.gateway.state();
         let shares = match self.service.warmup {
-            Some(_) => state.introduced(&self.service.name, &self.gateway.settings.name, now_ms),
+            Some(_) => state.cold_shares(&self.service.name, &self.gateway.settings.name, now_ms),
             None => HashMap::new(),
         };
         let candidates = Candidates::new(&state, self, &shares, now_ms);
--- a/crates/fescuewell_gateway/src/lib.rs
+++ b/crates/fescuewell_gateway/src/lib.rs
@@ -1,14 +1,13 @@
-//! The forwarding path at work: a listener for callers, calls to backend servers, and the duties that keep
-//! what an instance knows in step with the store.
+//! Runtime of a gateway instance: the callers' listener, requests to backend servers, and the
+//! background tasks that synchronize the instance's state with the store.
 //!
-//! The decisions stand in `fescuewell_forward`. What the surrounding platform calls things stands behind the
-//! traits [`store::Store`], [`source::Source`] and [`dialect::Dialect`], so that this crate knows
-//! none of its names.
+//! The decision logic is in `fescuewell_forward`. The traits [`store::Store`], [`source::Source`] and
+//! [`dialect::Dialect`] abstract the surrounding platform, so that this crate uses none of its names.
 //!
-//! | thread | duty |
+//! | thread | purpose |
 //! | --- | --- |
-//! | `front-0` | callers' connections and the calls to backend servers made for them |
-//! | `directory-0`, `ready-0` | which addresses to use; whether this instance takes requests |
+//! | `front-0` | callers' connections, and the requests to backend servers made for them |
+//! | `directory-0`, `ready-0` | addresses of instances; readiness checks |
 //! | `control` | configuration, backend servers, grants, membership |
 //!
 //! ```
@@ -33,7 +32,7 @@
 pub mod store;
 pub mod stream;
 
-/// What a program that runs an instance needs.
+/// Common imports for programs that run an instance.
 pub mod prelude {
     pub use crate::daemon::Daemon;
     pub use crate::dialect::{Dialect, PromptPart, RequestMetadata, TokenCounts};
--- a/crates/fescuewell_gateway/src/refusal.rs
+++ b/crates/fescuewell_gateway/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of our own: what became of a request that no backend server answered.
+//! Responses that the gateway generates itself for requests that no backend server answered.
 
 use std::time::Duration;
 
@@ -8,34 +8,35 @@
 use http::header::{CONNECTION, CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use http::{HeaderMap, StatusCode};
 
-/// A process that has just started has its configuration within this time.
-const AFTER_START: Duration = Duration::from_millis(500);
-/// Another instance, or this one after its next plan, may have the account's tokens.
-const AFTER_SHORT: Duration = Duration::from_millis(150);
-/// A backend server that was lost is replaced, or found sound again, no sooner.
-const AFTER_NO_SERVER: Duration = Duration::from_millis(400);
-/// A full backend server has worked off a part of its queue by then.
-const AFTER_TURNED_AWAY: Duration = Duration::from_millis(150);
+/// Retry delay after a start: the configuration is loaded within this time.
+const START_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Retry delay for tokens: another instance, or this one after its next plan, may have them.
+const TOKEN_RETRY_DELAY: Duration = Duration::from_millis(150);
+/// Retry delay without a backend server: the minimum time until a lost one is replaced or found healthy.
+const SERVER_RETRY_DELAY: Duration = Duration::from_millis(400);
+/// Retry delay for overloaded backend servers: by then they have processed part of their queues.
+const OVERLOAD_RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// When a caller should come back after a refusal, where that may help.
+/// Returns the default retry delay for a refusal, or `None` if a retry would not help.
 pub fn retry_after(code: Code) -> Option<Duration> {
     match code {
-        Code::NotReady | Code::Draining => Some(AFTER_START),
-        Code::BudgetUnknown => Some(AFTER_SHORT),
-        Code::NoServer => Some(AFTER_NO_SERVER),
-        Code::TurnedAway | Code::DeadlineTooNear => Some(AFTER_TURNED_AWAY),
+        Code::NotReady | Code::Draining => Some(START_RETRY_DELAY),
+        Code::BudgetUnknown => Some(TOKEN_RETRY_DELAY),
+        Code::NoServer => Some(SERVER_RETRY_DELAY),
+        Code::TurnedAway | Code::DeadlineTooNear => Some(OVERLOAD_RETRY_DELAY),
         _ => None,
     }
 }
 
-/// Sends a refusal. `wait` is when to come back where that is known better than the code tells; `closing` asks the caller to open its next connection elsewhere.
-pub fn send(reply: Reply, code: Code, wait: Option<Duration>, closing: bool) {
+/// Sends a refusal. `delay` overrides the default retry delay of the code; `close_connection` asks the caller
+/// to open its next connection to another instance.
+pub fn send(reply: Reply, code: Code, delay: Option<Duration>, close_connection: bool) {
     let mut headers = HeaderMap::new();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
-    if let Some(value) = wait.or(retry_after(code)).and_then(seconds) {
+    if let Some(value) = delay.or(retry_after(code)).and_then(seconds) {
         headers.insert(RETRY_AFTER, value);
     }
-    if closing {
+    if close_connection {
         headers.insert(CONNECTION, HeaderValue::from_static("close"));
     }
     let status = StatusCode::from_u16(code.status()).unwrap_or(StatusCode::BAD_GATEWAY);
@@ -43,6 +44,6 @@
     reply.whole(status, headers, Bytes::from(text));
 }
 
-fn seconds(wait: Duration) -> Option<HeaderValue> {
-    HeaderValue::from_str(&format!("{:.3}", wait.as_secs_f64())).ok()
+fn seconds(delay: Duration) -> Option<HeaderValue> {
+    HeaderValue::from_str(&format!("{:.3}", delay.as_secs_f64())).ok()
 }
