--- a/crates/fescuewell_gateway/src/metrics.rs
+++ b/crates/fescuewell_gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters, histograms and gauges of one instance, kept by `opentelemetry` and shown as Prometheus text.
+//! Metrics of one instance, recorded with `opentelemetry` and exported in the Prometheus text format.
 
 use std::sync::{Arc, Weak};
 use std::time::Duration;
@@ -11,11 +11,11 @@
 
 use crate::gateway::Gateway;
 
-/// Accounts whose tokens are shown one by one; a fleet with more shows the first of them by name, so that the page stays
-/// small.
-const MOST_ACCOUNTS: usize = 64;
+/// Maximum number of accounts with token gauges. In a larger fleet only the first accounts by name have them,
+/// which bounds the size of the page.
+const MAX_ACCOUNTS: usize = 64;
 
-/// Everything that one instance counts.
+/// Instruments of one instance.
 pub struct Metrics {
     page: Page,
     requests: Counter<u64>,
@@ -23,15 +23,15 @@
     store_calls: Counter<u64>,
     crashes: Counter<u64>,
     first_event: Histogram<f64>,
-    whole: Histogram<f64>,
+    request_duration: Histogram<f64>,
 }
 
 impl Metrics {
-    /// Sets the instruments up.
+    /// Creates the instruments.
     ///
     /// # Errors
     ///
-    /// When the page cannot be set up.
+    /// Returns an error if the metrics page cannot be created.
     pub fn new() -> Result<Self, Error> {
         let page = Page::new()?;
         let meter = page.meter();
@@ -43,29 +43,30 @@
             first_event: meter
                 .f64_histogram("fescuewell_first_event_seconds")
                 .build(),
-            whole: meter.f64_histogram("fescuewell_request_seconds").build(),
+            request_duration: meter.f64_histogram("fescuewell_request_seconds").build(),
             page,
         })
     }
 
-    /// Shows what the gateway holds: tokens by account, and the ages of what it believes.
+    /// Registers gauges of the gateway's state: tokens by account, and sizes and ages of the local state.
     pub fn register_gauges(&self, gateway: &Arc<Gateway>) {
         let meter = self.page.meter();
-        watch_tokens(&meter, Arc::downgrade(gateway));
-        watch_beliefs(&meter, Arc::downgrade(gateway));
+        register_tokens(&meter, Arc::downgrade(gateway));
+        register_state(&meter, Arc::downgrade(gateway));
     }
 
-    /// Counts the end of a request.
+    /// Counts a finished request and records its duration.
     pub fn count_request(&self, route: &str, outcome: &str, took: Duration) {
         let attributes = [
             KeyValue::new("route", route.to_owned()),
             KeyValue::new("outcome", outcome.to_owned()),
         ];
         self.requests.add(1, &attributes);
-        self.whole.record(took.as_secs_f64(), &attributes[..1]);
+        self.request_duration
+            .record(took.as_secs_f64(), &attributes[..1]);
     }
 
-    /// Counts a refusal by its code.
+    /// Counts a refused request by its code.
     pub fn count_refusal(&self, route: &str, code: Code, took: Duration) {
         self.count_request(route, code.name(), took);
     }
@@ -94,19 +95,19 @@
         self.store_calls.add(1, &attributes);
     }
 
-    /// Notes the time to the first event of a stream.
+    /// Records the time to the first event of a stream.
     pub fn record_first_event(&self, route: &str, took: Duration) {
         let attributes = [KeyValue::new("route", route.to_owned())];
         self.first_event.record(took.as_secs_f64(), &attributes);
     }
 
-    /// The present values in the Prometheus text format.
+    /// Returns the current values in the Prometheus text format.
     pub fn text(&self) -> Vec<u8> {
         self.page.text()
     }
 }
 
-fn watch_tokens(meter: &Meter, gateway: Weak<Gateway>) {
+fn register_tokens(meter: &Meter, gateway: Weak<Gateway>) {
     meter
         .u64_observable_gauge("fescuewell_tokens")
         .with_callback(move |gauge| {
@@ -114,7 +115,7 @@
                 return;
             };
             let state = gateway.state();
-            for name in state.quota.names().iter().take(MOST_ACCOUNTS) {
+            for name in state.quota.names().iter().take(MAX_ACCOUNTS) {
                 let Some(account) = state.quota.view(name) else {
                     continue;
                 };
@@ -135,7 +136,7 @@
         .build();
 }
 
-fn watch_beliefs(meter: &Meter, gateway: Weak<Gateway>) {
+fn register_state(meter: &Meter, gateway: Weak<Gateway>) {
     meter
         .f64_observable_gauge("fescuewell_state")
         .with_callback(move |gauge| {
