--- a/crates/fescuewell_gateway/tests/quarantine.rs
+++ b/crates/fescuewell_gateway/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Quarantined requests and the store.
+//! Synchronization of quarantined requests with the store.
 
 mod common;
 
@@ -11,12 +11,12 @@
 use fescuewell_gateway::gateway::Gateway;
 
 const TABLE: &str = "quarantine";
-/// Time after which a first quarantine is over.
-const QUARANTINE: Duration = Duration::from_secs(601);
-/// Time in which the instance has read the clock of the store.
-const CLOCK_KNOWN: Duration = Duration::from_secs(1);
-/// Time in which what is written has arrived.
-const WRITTEN: Duration = Duration::from_millis(100);
+/// Time after which the first quarantine period has elapsed.
+const QUARANTINE_PERIOD: Duration = Duration::from_secs(601);
+/// Time within which the instance has read the store's clock.
+const CLOCK_SYNC_TIME: Duration = Duration::from_secs(1);
+/// Time within which a write reaches the store.
+const WRITE_TIME: Duration = Duration::from_millis(100);
 
 fn request() -> Fingerprint {
     Fingerprint::new(&Content {
@@ -41,7 +41,7 @@
     }
 }
 
-/// Servers crash while they run the request for this instance.
+/// Crashes servers while they run the request for this instance.
 fn crash(gateway: &Arc<Gateway>, servers: std::ops::Range<u64>) {
     for number in servers {
         let server = server(number);
@@ -58,11 +58,11 @@
     gateway.state().verdict(request(), gateway.now_ms())
 }
 
-/// Guards against a store that is read without a pause while it answers only now and then: each reading that failed counted as an
-/// outage, and the next answer as its end.
+/// Guards against reading a flapping store without a pause: each failed read counted as an outage, and the
+/// next response as its end.
 #[test]
 fn a_store_that_answers_now_and_then_is_read_at_the_usual_pace() {
-    let readings = common::play(1_000_000, 1, async move |_, store| {
+    let reads = common::play(1_000_000, 1, async move |_, store| {
         tokio::time::sleep(Duration::from_secs(3)).await;
         let before = store.readings(TABLE);
         for step in 0..200 {
@@ -75,61 +75,62 @@
         store.readings(TABLE) - before
     });
 
-    assert!(readings <= 5, "{readings} readings in ten seconds");
+    assert!(reads <= 5, "{reads} reads in ten seconds");
 }
 
 #[test]
 fn a_quarantine_is_written_once() {
     let rows = common::play(1_000_000, 1, async move |gateway, store| {
-        tokio::time::sleep(CLOCK_KNOWN).await;
+        tokio::time::sleep(CLOCK_SYNC_TIME).await;
         crash(&gateway, 0..2);
-        tokio::time::sleep(WRITTEN).await;
+        tokio::time::sleep(WRITE_TIME).await;
         let before = store.rows(TABLE);
         crash(&gateway, 2..4);
-        tokio::time::sleep(WRITTEN).await;
+        tokio::time::sleep(WRITE_TIME).await;
         (before, store.rows(TABLE))
     });
 
     assert_eq!(rows, (0, 1));
 }
 
-/// Guards against instances that each send a quarantined request once more when its time is over.
+/// Guards against each instance sending a probe of its own when the quarantine period ends.
 #[test]
 fn one_instance_of_the_fleet_gets_leave_for_a_probe() {
-    let leaves = common::play(1_000_000, 1, async move |gateway, store| {
-        tokio::time::sleep(CLOCK_KNOWN).await;
+    let permissions = common::play(1_000_000, 1, async move |gateway, store| {
+        tokio::time::sleep(CLOCK_SYNC_TIME).await;
         crash(&gateway, 0..3);
-        tokio::time::sleep(WRITTEN).await;
+        tokio::time::sleep(WRITE_TIME).await;
         let settings = common::settings("entry-2");
         let (other, control) = common::instance(settings, &store, 2);
-        let leaves = async {
+        let permissions = async {
             let early = gateway.request_probe(request()).await;
-            tokio::time::sleep(QUARANTINE).await;
-            let leaves = tokio::join!(
+            tokio::time::sleep(QUARANTINE_PERIOD).await;
+            let permissions = tokio::join!(
                 gateway.request_probe(request()),
                 other.request_probe(request())
             );
-            (early, verdict(&other), leaves)
+            (early, verdict(&other), permissions)
         };
         tokio::select! {
-            () = control.run() => unreachable!("the duties end with the process"),
-            leaves = leaves => leaves,
+            () = control.run() => unreachable!("the control tasks run until the process ends"),
+            permissions = permissions => permissions,
         }
     });
 
-    let (early, other, (first, second)) = leaves;
+    let (early, other, (first, second)) = permissions;
     assert!(!early);
     assert!(matches!(other, Verdict::Quarantined { .. }));
     assert!(first != second, "{first} {second}");
 }
 
-/// Guards against probes that nobody can bound: without the store no instance knows of those of others.
+/// Guards against an unbounded number of probes: without the store, an instance does not know of the probes
+/// of others.
 #[test]
 fn nobody_probes_while_the_store_is_away() {
     let may_probe = common::play(1_000_000, 1, async move |gateway, store: Arc<Memory>| {
-        tokio::time::sleep(CLOCK_KNOWN).await;
+        tokio::time::sleep(CLOCK_SYNC_TIME).await;
         crash(&gateway, 0..3);
-        tokio::time::sleep(QUARANTINE).await;
+        tokio::time::sleep(QUARANTINE_PERIOD).await;
         store.set(Behaviour::Refuse);
         (verdict(&gateway), gateway.request_probe(request()).await)
     });
