--- a/crates/fescuewell_gateway/src/front.rs
+++ b/crates/fescuewell_gateway/src/front.rs
@@ -1,4 +1,4 @@
-//! Takes callers' requests in and decides what each of them is.
+//! Handler of callers' requests: validates them and starts a job for each.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -12,16 +12,16 @@
 use crate::job::Job;
 use crate::{header, refusal};
 
-/// Time that a caller without a deadline is thought to wait.
-const DEFAULT_PATIENCE: Duration = Duration::from_secs(10);
+/// Timeout of a request without a deadline.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The callers' side of an instance.
+/// Request handler of the callers' listener.
 pub struct Front {
     gateway: Arc<Gateway>,
 }
 
 impl Front {
-    /// A handler for the callers' listener.
+    /// Creates the handler.
     pub fn new(gateway: Arc<Gateway>) -> Self {
         Self { gateway }
     }
@@ -44,7 +44,7 @@
     gateway.record_arrival(request.body.len());
     match admit(gateway, request) {
         Ok(job) => {
-            // A caller that leaves drops the job, and with it the call to the backend server.
+            // If the caller disconnects, dropping the job also cancels the request to the backend server.
             let id = job.id().clone();
             tokio::select! {
                 biased;
@@ -71,7 +71,7 @@
     }
 }
 
-/// A request that is refused before anything is tried.
+/// A request that is refused before a job is created.
 struct Refused {
     id: Option<Arc<str>>,
     code: Code,
@@ -86,7 +86,7 @@
         code,
         version,
     };
-    // Without a configuration nothing is known to be wrong with the request, so it is not refused for good.
+    // Without a configuration the request may well be valid, so the refusal must allow a retry.
     let Some(table) = gateway.table() else {
         return Err(refuse(Code::NotReady, 0));
     };
@@ -95,13 +95,13 @@
     let Some(route) = table.route(host, &request.path).cloned() else {
         return Err(refuse(Code::NoSuchPath, version));
     };
-    let mut tenant = None;
+    let mut account = None;
     if table.has_tenants() && !route.public {
         let key = metadata.account_key.as_deref().unwrap_or_default();
         let Some(found) = table.tenant(key) else {
             return Err(refuse(Code::Unauthorized, version));
         };
-        tenant = Some(found.clone());
+        account = Some(found.clone());
     }
     let Some(id) = metadata.request_id.clone() else {
         return Err(refuse(Code::MalformedRequest, version));
@@ -110,11 +110,11 @@
     let Some(service) = service.and_then(|name| table.service(&name).cloned()) else {
         return Err(refuse(Code::NoServer, version));
     };
-    let patience = metadata.timeout.unwrap_or(DEFAULT_PATIENCE);
+    let timeout = metadata.timeout.unwrap_or(DEFAULT_TIMEOUT);
     let arrived: Instant = request.arrived;
     let job = Job::new(gateway.clone(), request, metadata, id)
         .with_route(route, service, version)
-        .with_tenant(tenant)
-        .with_deadline(arrived + patience);
+        .with_account(account)
+        .with_deadline(arrived + timeout);
     Ok(job)
 }
--- a/crates/fescuewell_gateway/src/hold.rs
+++ b/crates/fescuewell_gateway/src/hold.rs
@@ -1,4 +1,4 @@
-//! Tokens held back for one request, settled whatever becomes of it.
+//! Reservation of prepaid tokens for a request, settled when the request ends for any reason.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -11,81 +11,83 @@
 use crate::dialect::TokenCounts;
 use crate::gateway::Gateway;
 
-/// How long a request waits for tokens that this instance has not: two transactions with the store and
-/// their repeats.
-const WAIT: Duration = Duration::from_millis(250);
+/// Minimum time that a request waits for tokens that this instance does not have: two transactions with the
+/// store and their retries.
+const MIN_WAIT: Duration = Duration::from_millis(250);
 
-/// How long callers are told to stay away where only the store can give more.
-fn outage_left(gateway: &Gateway) -> Duration {
+/// Retry delay during a store outage, when only the store can provide more tokens.
+fn outage_delay(gateway: &Gateway) -> Duration {
     let silence_ms = gateway.time_since_store_response().as_millis() as u64;
     Duration::from_millis(outage_left_ms(silence_ms, gateway.random_u64()))
 }
 
-/// Tokens held back for one request. Dropped, it charges what was delivered.
+/// Prepaid tokens reserved for one request. Dropping it charges the tokens that were used and releases the
+/// rest.
 pub struct Hold {
     gateway: Arc<Gateway>,
     account: Arc<str>,
     request: Arc<str>,
     tokens: TokenCounts,
-    ran: bool,
+    is_executed: bool,
     delivered: u64,
-    is_told: bool,
+    is_logged: bool,
 }
 
 impl Hold {
-    /// Holds the most that a request may cost, waiting a little for tokens of others, or up to `patience` for the
-    /// own pace.
+    /// Reserves the maximum cost of a request. Waits for tokens up to the longer of `max_wait` and
+    /// `MIN_WAIT`.
     ///
     /// # Errors
     ///
-    /// [`Code::BudgetExhausted`] when the fleet has not enough, [`Code::BudgetUnknown`] when this instance has not.
-    pub async fn take(
+    /// [`Code::BudgetExhausted`] if the fleet does not have enough tokens, [`Code::BudgetUnknown`] if only
+    /// this instance does not.
+    pub async fn acquire(
         gateway: &Arc<Gateway>,
         account: &Arc<str>,
         tokens: TokenCounts,
         id: &Arc<str>,
-        patience: Duration,
+        max_wait: Duration,
     ) -> Result<Self, Refusal> {
-        let most = tokens.prompt + tokens.max_output;
-        let until = Instant::now() + patience.max(WAIT);
-        let refuse = |code: Code, later: Option<Duration>| {
+        let max_cost = tokens.prompt + tokens.max_output;
+        let until = Instant::now() + max_wait.max(MIN_WAIT);
+        let refuse = |code: Code, retry_after: Option<Duration>| {
             let refusal = Refusal::new(code);
-            match later {
-                Some(later) => refusal.with_retry_after(later),
+            match retry_after {
+                Some(retry_after) => refusal.with_retry_after(retry_after),
                 None => refusal,
             }
         };
-        let mut plans = gateway.token_changes();
-        let mut waited = false;
+        let mut token_changes = gateway.token_changes();
+        let mut is_wait_logged = false;
         let now_ms = gateway.now_ms();
-        gateway.state().quota.ask(account, most, now_ms);
+        gateway.state().quota.ask(account, max_cost, now_ms);
         loop {
-            plans.mark_unchanged();
+            token_changes.mark_unchanged();
             let now_ms = gateway.now_ms();
-            let verdict = gateway.state().quota.hold(account, most, now_ms);
+            let verdict = gateway.state().quota.hold(account, max_cost, now_ms);
             match verdict {
                 Verdict::Held => return Ok(Self::new(gateway, account, id, tokens)),
                 Verdict::Exhausted => return Err(refuse(Code::BudgetExhausted, None)),
                 Verdict::Short | Verdict::Later(_) => {}
             }
-            let later = match verdict {
+            let retry_after = match verdict {
                 Verdict::Later(wait_ms) => wait_ms.map(Duration::from_millis),
                 _ => None,
             };
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
-                return Err(refuse(Code::BudgetUnknown, later));
+            let remaining = until.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
+                return Err(refuse(Code::BudgetUnknown, retry_after));
             }
             if !gateway.is_store_up() {
-                if gateway.borrow_tokens(account, most).await {
+                if gateway.borrow_tokens(account, max_cost).await {
                     continue;
                 }
-                // Nobody can give more now; only the pace moves on by itself.
-                match later.filter(|later| *later <= left) {
-                    Some(later) => tokio::time::sleep(later).await,
+                // No other instance can lend. Only the pace allows more tokens as time passes.
+                match retry_after.filter(|retry_after| *retry_after <= remaining) {
+                    Some(retry_after) => tokio::time::sleep(retry_after).await,
                     None => {
-                        let later = later.unwrap_or(outage_left(gateway));
-                        return Err(refuse(Code::BudgetUnknown, Some(later)));
+                        let retry_after = retry_after.unwrap_or(outage_delay(gateway));
+                        return Err(refuse(Code::BudgetUnknown, Some(retry_after)));
                     }
                 }
                 continue;
@@ -94,19 +96,19 @@
                 Verdict::Short => gateway.request_plan(),
                 _ => gateway.request_journal(),
             }
-            // Whichever comes first serves it: tokens that another instance has, or those that nobody holds.
-            if verdict == Verdict::Short && gateway.borrow_tokens(account, most).await {
+            // The request takes whichever comes first: tokens lent by another instance, or ungranted ones.
+            if verdict == Verdict::Short && gateway.borrow_tokens(account, max_cost).await {
                 continue;
             }
-            if !waited {
+            if !is_wait_logged {
                 log_event!(
                     Event::TokensAwaited,
-                    "request={id} account={account} tokens={most}"
+                    "request={id} account={account} tokens={max_cost}"
                 );
-                waited = true;
+                is_wait_logged = true;
             }
-            // A plan, or the end of the time; the next look decides.
-            let _ = tokio::time::timeout(left, plans.changed()).await;
+            // The next iteration evaluates the new state, or the timeout.
+            let _ = tokio::time::timeout(remaining, token_changes.changed()).await;
         }
     }
 
@@ -121,31 +123,31 @@
             account: account.clone(),
             request: request.clone(),
             tokens,
-            ran: false,
+            is_executed: false,
             delivered: 0,
-            is_told: false,
+            is_logged: false,
         }
     }
 
-    /// The request reached a backend server and may have run: its prompt is charged.
-    pub fn ran(&mut self) {
-        self.ran = true;
+    /// Marks the request as possibly executed, so that its prompt is charged.
+    pub fn mark_executed(&mut self) {
+        self.is_executed = true;
     }
 
-    /// Output tokens came.
-    pub fn deliver(&mut self, tokens: u64) {
+    /// Adds output tokens that the backend server produced.
+    pub fn add_output(&mut self, tokens: u64) {
         self.delivered += tokens;
     }
 
-    /// The request's last log line tells what it cost.
-    pub fn tell(&mut self) {
-        self.is_told = true;
+    /// Marks the cost as logged with the end of the request.
+    pub fn mark_logged(&mut self) {
+        self.is_logged = true;
     }
 
-    /// What the request costs so far.
+    /// Returns the cost of the request so far.
     pub fn cost(&self) -> u64 {
         let output = self.delivered.min(self.tokens.max_output);
-        match self.ran {
+        match self.is_executed {
             true => self.tokens.prompt + output,
             false => 0,
         }
@@ -156,8 +158,9 @@
     fn drop(&mut self) {
         let held = self.tokens.prompt + self.tokens.max_output;
         let cost = self.cost();
-        // Log lines and ledger are to come to the same sum: a request whose caller left has no line with its cost.
-        if !self.is_told && cost > 0 {
+        // The costs in the log must add up to the ledger, and a request whose caller disconnected has no
+        // other log line with its cost.
+        if !self.is_logged && cost > 0 {
             log_event!(
                 Event::TokensCharged,
                 "request={} account={} tokens={cost} delivered={}",
--- a/crates/fescuewell_gateway/src/job.rs
+++ b/crates/fescuewell_gateway/src/job.rs
@@ -1,4 +1,4 @@
-//! A proxied request: choice of a backend server, retries and the final answer.
+//! Lifecycle of a proxied request: choice of a backend server, retries and the final response.
 
 mod attempt;
 mod candidates;
@@ -26,16 +26,17 @@
 use candidates::Candidates;
 use crash::InFlight;
 
-pub(crate) use attempt::{Answer, Attempt};
-pub(crate) use crash::loss;
+pub(crate) use attempt::{AttemptOutcome, Response};
+pub(crate) use crash::classify_loss;
 pub(crate) use permit::Permit;
 
-/// Part of the target latency for which a request waits for tokens: the rest is enough for a backend server.
-const TOKENS_PART: f64 = 0.5;
-/// Servers that are tried while nothing could be sent to any of them.
-const MOST_UNSENT: u32 = 4;
+/// Fraction of the target latency that a request waits for tokens. The rest is enough for a backend server to
+/// respond.
+const TOKEN_WAIT_FRACTION: f64 = 0.5;
+/// Maximum number of servers tried when the request could not be sent to any of them.
+const MAX_UNSENT_ATTEMPTS: u32 = 4;
 
-/// One request of a caller.
+/// A caller's request while it is being proxied.
 pub struct Job {
     pub(crate) gateway: Arc<Gateway>,
     pub(crate) id: Arc<str>,
@@ -43,7 +44,7 @@
     pub(crate) route: Arc<Route>,
     pub(crate) service: Service,
     pub(crate) hold: Option<Hold>,
-    tenant: Option<Arc<Tenant>>,
+    account: Option<Arc<Tenant>>,
     version: u64,
     method: Method,
     target: Uri,
@@ -53,19 +54,19 @@
     is_probe: bool,
     arrived: Instant,
     deadline: Instant,
-    limit: Instant,
+    route_deadline: Instant,
     sends: u32,
-    unsent: u32,
+    unsent_attempts: u32,
     tried: Vec<Arc<str>>,
     possibly_executed: bool,
-    has_retry: bool,
+    has_reserved_retry: bool,
     timed_out: bool,
     held_ms: u128,
-    first_ms: u128,
+    first_event_ms: u128,
 }
 
 impl Job {
-    /// A request as it came in.
+    /// Creates a job for a received request.
     pub fn new(
         gateway: Arc<Gateway>,
         request: Request,
@@ -77,7 +78,7 @@
             gateway,
             id,
             metadata,
-            route: Arc::new(unrouted()),
+            route: Arc::new(placeholder_route()),
             service: Service {
                 name: "".into(),
                 max_connections: 0,
@@ -85,7 +86,7 @@
                 warmup: None,
             },
             hold: None,
-            tenant: None,
+            account: None,
             version: 0,
             method: request.method,
             target: path_only(request.target),
@@ -95,19 +96,19 @@
             is_probe: false,
             arrived: request.arrived,
             deadline: request.arrived,
-            limit: request.arrived,
+            route_deadline: request.arrived,
             sends: 0,
-            unsent: 0,
+            unsent_attempts: 0,
             tried: Vec::new(),
             possibly_executed: false,
-            has_retry: false,
+            has_reserved_retry: false,
             timed_out: false,
             held_ms: 0,
-            first_ms: 0,
+            first_event_ms: 0,
         }
     }
 
-    /// Sets the route, the service and the configuration's version that chose them.
+    /// Sets the route, the service, and the version of the configuration that they come from.
     pub fn with_route(mut self, route: Arc<Route>, service: Service, version: u64) -> Self {
         self.route = route;
         self.service = service;
@@ -115,36 +116,36 @@
         self
     }
 
-    /// Sets the client account.
-    pub fn with_tenant(mut self, tenant: Option<Arc<Tenant>>) -> Self {
-        self.tenant = tenant;
-        self.fingerprint = self.identify();
+    /// Sets the client account and computes the fingerprint.
+    pub fn with_account(mut self, account: Option<Arc<Tenant>>) -> Self {
+        self.account = account;
+        self.fingerprint = self.compute_fingerprint();
         self
     }
 
-    /// Sets until when the caller waits.
+    /// Sets the caller's deadline, and the route deadline as the earlier of it and the route's timeout.
     pub fn with_deadline(mut self, deadline: Instant) -> Self {
         self.deadline = deadline;
-        self.limit = deadline.min(self.arrived + self.route.timeout);
+        self.route_deadline = deadline.min(self.arrived + self.route.timeout);
         self
     }
 
-    /// Identity of the caller's attempt.
+    /// Returns the id of the caller's attempt.
     pub fn id(&self) -> &Arc<str> {
         &self.id
     }
 
-    /// Serves the request.
+    /// Processes the request and sends the response.
     pub async fn run(mut self, reply: Reply) {
-        if let Err(code) = self.admit().await {
+        if let Err(code) = self.check_quarantine().await {
             return self.refuse(reply, code);
         }
         if !self.has_server() {
-            // Waiting for tokens would be pointless.
+            // Without a server the request would wait for tokens in vain.
             return self.refuse(reply, Code::NoServer);
         }
-        if let Err(refusal) = self.reserve().await {
-            return self.refuse_as(reply, refusal.code, refusal.retry_after);
+        if let Err(refusal) = self.reserve_tokens().await {
+            return self.refuse_after(reply, refusal.code, refusal.retry_after);
         }
         self.held_ms = self.arrived.elapsed().as_millis();
         let now_ms = self.gateway.now_ms();
@@ -155,22 +156,24 @@
             state.arrivals.add(now_ms, 1);
         }
         loop {
-            let mut permit = match self.pick().await {
+            let mut permit = match self.pick_server().await {
                 Ok(permit) => permit,
                 Err(code) => return self.refuse(reply, code),
             };
-            let attempt = self.attempt(&mut permit, None).await;
-            match attempt {
-                Attempt::Whole(answer) => return self.answer(reply, answer, &permit),
-                Attempt::Events(exchange, first) => {
+            let outcome = self.run_attempt(&mut permit, None).await;
+            match outcome {
+                AttemptOutcome::Complete(response) => {
+                    return self.respond(reply, response, &permit);
+                }
+                AttemptOutcome::Stream(exchange, first) => {
                     return self.stream(reply, *exchange, first, permit).await;
                 }
-                Attempt::Failed(answer) if !self.may_retry() => {
-                    return self.answer(reply, answer, &permit);
+                AttemptOutcome::Failed(response) if !self.may_retry() => {
+                    return self.respond(reply, response, &permit);
                 }
-                Attempt::Failed(_) => {}
-                Attempt::Rejected | Attempt::NotSent | Attempt::Unknown => {
-                    if let Some(code) = self.gives_up() {
+                AttemptOutcome::Failed(_) => {}
+                AttemptOutcome::Rejected | AttemptOutcome::NotSent | AttemptOutcome::Unknown => {
+                    if let Some(code) = self.final_code() {
                         return self.refuse(reply, code);
                     }
                 }
@@ -186,7 +189,7 @@
         }
     }
 
-    /// Whether any backend server of the service may get work.
+    /// Returns `true` if the service has a backend server that accepts new requests.
     fn has_server(&self) -> bool {
         let now_ms = self.gateway.now_ms();
         let state = self.gateway.state();
@@ -197,27 +200,27 @@
             .is_some()
     }
 
-    /// Holds the tokens that the request may cost at most.
-    async fn reserve(&mut self) -> Result<(), Refusal> {
+    /// Reserves the maximum number of tokens that the request may cost.
+    async fn reserve_tokens(&mut self) -> Result<(), Refusal> {
         let Some(tokens) = self.metadata.tokens else {
             return Ok(());
         };
-        let Some(tenant) = self.tenant.clone() else {
+        let Some(account) = self.account.clone() else {
             return Ok(());
         };
-        if tenant.prepaid.is_none() || self.service.engine.is_none() {
+        if account.prepaid.is_none() || self.service.engine.is_none() {
             return Ok(());
         }
-        let patience = self.route.target_latency.mul_f64(TOKENS_PART);
-        let hold = Hold::take(&self.gateway, &tenant.name, tokens, &self.id, patience);
+        let max_wait = self.route.target_latency.mul_f64(TOKEN_WAIT_FRACTION);
+        let hold = Hold::acquire(&self.gateway, &account.name, tokens, &self.id, max_wait);
         self.hold = Some(hold.await?);
         Ok(())
     }
 
-    /// Chooses a backend server that has not been tried.
-    pub(crate) async fn pick(&mut self) -> Result<Permit, Code> {
+    /// Selects a backend server that has not been tried.
+    pub(crate) async fn pick_server(&mut self) -> Result<Permit, Code> {
         self.await_capacity().await?;
-        if Instant::now() >= self.limit {
+        if Instant::now() >= self.route_deadline {
             return Err(match self.possibly_executed {
                 true => Code::TimedOut,
                 false => Code::DeadlineTooNear,
@@ -231,25 +234,31 @@
             None => HashMap::new(),
         };
         let candidates = Candidates::new(&state, self, &shares, now_ms);
-        let listed = candidates.listed;
-        let shared = self
+        let ready_count = candidates.ready_count;
+        let shared_parts = self
             .metadata
             .prompt_parts
             .split_last()
-            .map_or(&[][..], |(_, shared)| shared);
+            .map_or(&[][..], |(_, shared_parts)| shared_parts);
         let query = Query {
-            affinity: shared.last().map(|part| &*part.id),
-            shared_tokens: shared.iter().map(|part| part.tokens).sum(),
+            affinity: shared_parts.last().map(|part| &*part.id),
+            shared_tokens: shared_parts.iter().map(|part| part.tokens).sum(),
             zone: &self.gateway.settings.zone,
             draw,
         };
         let chosen = match self.is_isolated(&state, now_ms) {
-            true => choice::quietest(&candidates.open, &state.load, &state.health, now_ms),
-            false => choice::pick(&candidates.open, &query, &state.load, &state.health, now_ms),
+            true => choice::quietest(&candidates.eligible, &state.load, &state.health, now_ms),
+            false => choice::pick(
+                &candidates.eligible,
+                &query,
+                &state.load,
+                &state.health,
+                now_ms,
+            ),
         };
         let chosen = chosen.cloned();
         let prompt = self.metadata.tokens.map_or(0, |tokens| tokens.prompt);
-        let unread = chosen
+        let prefill_tokens = chosen
             .as_ref()
             .map_or(0, |server| state.load.to_read(prompt, &query, &server.id));
         if let (Some(server), Some(part)) = (&chosen, query.affinity) {
@@ -270,21 +279,27 @@
         };
         log_event!(
             Event::RouteChosen,
-            "request={} route={} service={} server={} candidates={listed} running={} configuration={} account={}",
+            "request={} route={} service={} server={} candidates={ready_count} running={} configuration={} account={}",
             self.id,
             self.route.name,
             self.service.name,
             server.id,
             running.unwrap_or_default(),
             self.version,
-            self.tenant.as_ref().map_or("-", |tenant| &tenant.name)
+            self.account.as_ref().map_or("-", |account| &account.name)
         );
         self.tried.push(server.id.clone());
         let in_flight = InFlight::begin(&self.gateway, self.fingerprint);
-        Ok(Permit::take(&self.gateway, server, unread, in_flight))
+        Ok(Permit::acquire(
+            &self.gateway,
+            server,
+            prefill_tokens,
+            in_flight,
+        ))
     }
 
-    /// Returns `true` if the request may be sent to another backend server; takes a retry from the fleet's budget.
+    /// Returns `true` if the request may be sent to another backend server, in which case a retry is taken
+    /// from the fleet's retry budget.
     pub(crate) fn may_retry(&mut self) -> bool {
         if self.is_quarantined() {
             return false;
@@ -292,24 +307,24 @@
         if self.possibly_executed && !self.route.kind.is_idempotent() {
             return false;
         }
-        if self.sends >= self.route.max_attempts || Instant::now() >= self.limit {
+        if self.sends >= self.route.max_attempts || Instant::now() >= self.route_deadline {
             return false;
         }
         if self.sends == 0 {
-            return self.unsent < MOST_UNSENT;
+            return self.unsent_attempts < MAX_UNSENT_ATTEMPTS;
         }
-        std::mem::take(&mut self.has_retry) || self.take_retry()
+        std::mem::take(&mut self.has_reserved_retry) || self.take_retry()
     }
 
-    /// Returns `true` if an attempt may be abandoned for another one. Takes the retry first, since abandoning an attempt without one
-    /// would fail a request that its server may be about to answer.
-    pub(crate) fn may_give_up(&mut self) -> bool {
-        let may_retry = self.route.kind.is_idempotent() && Instant::now() < self.limit;
-        self.has_retry = may_retry && self.take_retry();
-        self.has_retry
+    /// Returns `true` if the current attempt may be abandoned for another one. Takes the retry first, because
+    /// abandoning an attempt without one would fail a request that its server may be about to answer.
+    pub(crate) fn may_abandon(&mut self) -> bool {
+        let may_retry = self.route.kind.is_idempotent() && Instant::now() < self.route_deadline;
+        self.has_reserved_retry = may_retry && self.take_retry();
+        self.has_reserved_retry
     }
 
-    /// Takes a retry from the fleet's budget.
+    /// Takes a retry from the fleet's retry budget. Returns `false` if none is left.
     fn take_retry(&mut self) -> bool {
         let now_ms = self.gateway.now_ms();
         let mut state = self.gateway.state();
@@ -317,8 +332,8 @@
         state.retry.try_retry(&self.service.name, instances, now_ms)
     }
 
-    /// The code of the answer where no further attempt is made.
-    fn gives_up(&mut self) -> Option<Code> {
+    /// Returns the code of the final response, or `None` if another attempt is made.
+    fn final_code(&mut self) -> Option<Code> {
         if self.may_retry() {
             return None;
         }
@@ -334,10 +349,10 @@
     }
 
     fn refuse(&self, reply: Reply, code: Code) {
-        self.refuse_as(reply, code, None);
+        self.refuse_after(reply, code, None);
     }
 
-    fn refuse_as(&self, reply: Reply, code: Code, wait: Option<Duration>) {
+    fn refuse_after(&self, reply: Reply, code: Code, delay: Option<Duration>) {
         let took = self.arrived.elapsed();
         self.gateway
             .metrics
@@ -347,7 +362,7 @@
             "request={} route={} account={} code={} cause={} sends={} fingerprint={} configuration={} age_ms={}",
             self.id,
             self.route.name,
-            self.tenant.as_ref().map_or("-", |tenant| &tenant.name),
+            self.account.as_ref().map_or("-", |account| &account.name),
             code.number(),
             code.name(),
             self.sends,
@@ -355,24 +370,24 @@
             self.version,
             self.arrived.elapsed().as_millis()
         );
-        refusal::send(reply, code, wait, self.gateway.is_draining());
+        refusal::send(reply, code, delay, self.gateway.is_draining());
     }
 
-    fn answer(mut self, reply: Reply, answer: Answer, permit: &Permit) {
+    fn respond(mut self, reply: Reply, response: Response, permit: &Permit) {
         if let (Some(hold), Some(tokens)) = (&mut self.hold, self.metadata.tokens)
-            && answer.status.is_success()
+            && response.status.is_success()
         {
-            hold.deliver(tokens.max_output);
+            hold.add_output(tokens.max_output);
         }
-        let closing = self.gateway.is_draining();
-        let headers = header::response_headers(&answer.headers, closing);
-        reply.whole(answer.status, headers, answer.body);
-        self.done(permit, answer.status.as_str());
+        let close_connection = self.gateway.is_draining();
+        let headers = header::response_headers(&response.headers, close_connection);
+        reply.whole(response.status, headers, response.body);
+        self.finish(permit, response.status.as_str());
     }
 
-    pub(crate) fn done(&mut self, permit: &Permit, outcome: &str) {
+    pub(crate) fn finish(&mut self, permit: &Permit, outcome: &str) {
         if let Some(hold) = &mut self.hold {
-            hold.tell();
+            hold.mark_logged();
         }
         let took = self.arrived.elapsed();
         let metrics = &self.gateway.metrics;
@@ -387,19 +402,19 @@
             self.sends,
             self.hold.as_ref().map_or(0, Hold::cost),
             self.held_ms,
-            self.first_ms,
+            self.first_event_ms,
             self.arrived.elapsed().as_millis()
         );
     }
 }
 
-/// The path and query of a request's target; the rest of an absolute one names the host.
+/// Returns the path and query of a request's target. An absolute target also contains the host.
 fn path_only(target: Uri) -> Uri {
     let path = target.into_parts().path_and_query;
     path.map(Uri::from).unwrap_or_default()
 }
 
-fn unrouted() -> Route {
+fn placeholder_route() -> Route {
     Route {
         name: "".into(),
         host: "".into(),
--- a/crates/fescuewell_gateway/src/job/attempt.rs
+++ b/crates/fescuewell_gateway/src/job/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a backend server: the request sent, its timeouts and the evaluation of the answer.
+//! A single attempt at a backend server: sending the request, timeouts and evaluation of the response.
 
 use std::time::{Duration, Instant};
 
@@ -13,76 +13,82 @@
 use http::header::HeaderValue;
 use http::{HeaderMap, StatusCode};
 
-use super::crash::loss;
+use super::crash::classify_loss;
 use super::{Job, Permit};
 
-/// Time for opening a connection; backend servers are a few milliseconds away.
-const CONNECT: Duration = Duration::from_millis(300);
-/// Hedging delay of a safe request, in multiples of its target latency,
-const SAFE_PATIENCE: u32 = 2;
-/// and its minimum.
-const SAFE_LEAST: Duration = Duration::from_millis(200);
-/// Hedging delay of a resumable stream before its first event, in multiples of its target latency.
-const STREAM_PATIENCE: u32 = 2;
-/// Gap between events after which a resumable stream is resumed elsewhere, in multiples of the route's gap objective.
-const GAP_PATIENCE: f64 = 1.25;
-/// Largest answer that is read whole, in bytes.
-const MOST_ANSWER: usize = 4 * 1024 * 1024;
+/// Connect timeout. Backend servers are a few milliseconds away.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Hedging delay of a safe request as a multiple of its target latency.
+const SAFE_HEDGE_FACTOR: u32 = 2;
+/// Minimum hedging delay of a safe request.
+const MIN_SAFE_HEDGE_DELAY: Duration = Duration::from_millis(200);
+/// Hedging delay of a resumable stream before its first event, as a multiple of its target latency.
+const STREAM_HEDGE_FACTOR: u32 = 2;
+/// Gap between events after which a resumable stream is resumed on another server, as a multiple of the
+/// route's gap objective.
+const GAP_TIMEOUT_FACTOR: f64 = 1.25;
+/// Maximum size of a response body that is buffered, in bytes.
+const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
-/// A backend server's answer.
-pub(crate) struct Answer {
+/// A backend server's complete response.
+pub(crate) struct Response {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
 }
 
-/// How one attempt ended.
-pub(crate) enum Attempt {
-    /// Answered whole.
-    Whole(Answer),
-    /// The server ran it and says that it failed.
-    Failed(Answer),
-    /// Events have begun to come.
-    Events(Box<Exchange>, Bytes),
-    /// The server did not run it.
+/// Outcome of an attempt.
+pub(crate) enum AttemptOutcome {
+    /// The server sent a complete response.
+    Complete(Response),
+    /// The server executed the request and reported a failure.
+    Failed(Response),
+    /// The server started streaming events; holds the exchange and its first chunk.
+    Stream(Box<Exchange>, Bytes),
+    /// The server rejected the request without executing it.
     Rejected,
-    /// No byte of it left.
+    /// Nothing of the request was sent.
     NotSent,
-    /// It was possibly executed.
+    /// The server possibly executed the request, but there is no usable response.
     Unknown,
 }
 
 impl Job {
-    /// Sends the request to a backend server; `after` is the last event that the caller already has.
-    pub(crate) async fn attempt(&mut self, permit: &mut Permit, after: Option<u64>) -> Attempt {
-        let Some(request) = self.request(&permit.server, after) else {
+    /// Sends the request to a backend server. `after` is the id of the last event that the caller already
+    /// received.
+    pub(crate) async fn run_attempt(
+        &mut self,
+        permit: &mut Permit,
+        after: Option<u64>,
+    ) -> AttemptOutcome {
+        let Some(request) = self.build_request(&permit.server, after) else {
             permit.settle();
-            return Attempt::NotSent;
+            return AttemptOutcome::NotSent;
         };
         let until = match self.route.kind.is_stream() {
             true => self.deadline,
-            false => self.limit,
+            false => self.route_deadline,
         };
         let target = Target::new(permit.server.address).with_deadline(until);
         let sent_at = Instant::now();
-        let lost = permit.lost();
-        tokio::pin!(lost);
+        let server_exit = permit.server_exit();
+        tokio::pin!(server_exit);
         let gateway = self.gateway.clone();
         let opened = gateway.client.open(&target, request, self.timeouts());
         tokio::pin!(opened);
-        let patience = self.patience();
+        let hedge_delay = self.hedge_delay();
         let opened = loop {
             tokio::select! {
                 biased;
                 opened = &mut opened => break opened,
-                () = &mut lost => {
+                () = &mut server_exit => {
                     self.sends += 1;
-                    return self.lost(permit).await;
+                    return self.handle_exit(permit).await;
                 }
-                () = wait_out(patience) => {
-                    if self.may_give_up() {
-                        self.sent();
-                        return self.unknown(permit, "no answer for so long, and a retry is available");
+                () = sleep_or_pend(hedge_delay) => {
+                    if self.may_abandon() {
+                        self.mark_sent();
+                        return self.unknown_outcome(permit, "no answer for so long, and a retry is available");
                     }
                 }
             }
@@ -91,123 +97,124 @@
             Ok(exchange) => exchange,
             Err(Error::NotSent { reason }) => {
                 permit.settle();
-                self.unsent += 1;
-                permit.judge(Outcome::Bad);
-                self.note(permit, "not_sent", &reason);
-                return Attempt::NotSent;
+                self.unsent_attempts += 1;
+                permit.record_outcome(Outcome::Bad);
+                self.log_failure(permit, "not_sent", &reason);
+                return AttemptOutcome::NotSent;
             }
             Err(error) => {
-                self.sent();
-                self.lost_at(permit, loss(&error)).await;
-                return self.unknown(permit, &error);
+                self.mark_sent();
+                self.report_loss(permit, classify_loss(&error)).await;
+                return self.unknown_outcome(permit, &error);
             }
         };
         let received = tokio::select! {
             biased;
-            received = self.receive(permit, exchange, sent_at) => Some(received),
-            () = &mut lost => None,
+            received = self.receive_response(permit, exchange, sent_at) => Some(received),
+            () = &mut server_exit => None,
         };
         match received {
             Some(received) => received,
-            None => self.lost(permit).await,
+            None => self.handle_exit(permit).await,
         }
     }
 
-    /// The server has started again while the request was under way there.
-    async fn lost(&mut self, permit: &Permit) -> Attempt {
+    /// Handles a restart of the server while the request was in flight.
+    async fn handle_exit(&mut self, permit: &Permit) -> AttemptOutcome {
         self.mark_executed();
-        self.lost_at(permit, Loss::Broken).await;
-        self.note(permit, "unknown", "the server has started again");
-        Attempt::Unknown
+        self.report_loss(permit, Loss::Broken).await;
+        self.log_failure(permit, "unknown", "the server has started again");
+        AttemptOutcome::Unknown
     }
 
-    async fn receive(
+    async fn receive_response(
         &mut self,
         permit: &mut Permit,
         mut exchange: Exchange,
         sent_at: Instant,
-    ) -> Attempt {
+    ) -> AttemptOutcome {
         self.sends += 1;
         let names = self.gateway.dialect.header_names().clone();
         let status = exchange.status;
-        let refused = exchange.headers.contains_key(&names.not_executed);
-        if refused || status == StatusCode::MISDIRECTED_REQUEST {
+        let is_rejected = exchange.headers.contains_key(&names.not_executed);
+        if is_rejected || status == StatusCode::MISDIRECTED_REQUEST {
             permit.settle();
             if status == StatusCode::MISDIRECTED_REQUEST {
-                // The address belongs to another server now; the entry is of no use until it changes.
+                // Another server uses this address now, so the entry is useless until it changes.
                 self.gateway
                     .state()
                     .registry
                     .mark_draining(&permit.server.id);
             } else {
-                permit.judge(Outcome::Full);
+                permit.record_outcome(Outcome::Full);
             }
-            self.note(permit, "turned_away", status.as_str());
-            // Read to its end, so that the connection can be used again.
-            if let Err(error) = exchange.whole(MOST_ANSWER).await {
-                self.note(permit, "refusal_broken", &error.to_string());
+            self.log_failure(permit, "turned_away", status.as_str());
+            // The body is read to the end, so that the connection can be reused.
+            if let Err(error) = exchange.whole(MAX_RESPONSE_BYTES).await {
+                self.log_failure(permit, "refusal_broken", &error.to_string());
             }
-            return Attempt::Rejected;
+            return AttemptOutcome::Rejected;
         }
         self.mark_executed();
         let echoed = exchange.headers.get(&names.request_id);
-        let own = echoed.is_some_and(|value| value.as_bytes() == self.id.as_bytes());
-        let sealed = exchange.headers.contains_key(&names.seal);
-        if !own || (status.is_success() && !sealed) {
-            // An answer to another request that came late, or bytes that no server sealed: its connection
-            // is dropped with it.
-            return self.unknown(permit, &"the answer belongs to another request");
+        let is_own = echoed.is_some_and(|value| value.as_bytes() == self.id.as_bytes());
+        let is_sealed = exchange.headers.contains_key(&names.seal);
+        if !is_own || (status.is_success() && !is_sealed) {
+            // This is a late response to another request, or one that no backend server sealed. Its
+            // connection is dropped with it.
+            return self.unknown_outcome(permit, &"the answer belongs to another request");
         }
         if self.route.kind.is_stream() && status.is_success() {
             return match exchange.next_chunk().await {
                 Some(Ok(first)) => {
-                    permit.first_event();
+                    permit.record_first_event();
                     let took = self.arrived.elapsed();
-                    self.first_ms = took.as_millis();
+                    self.first_event_ms = took.as_millis();
                     self.gateway
                         .metrics
                         .record_first_event(&self.route.name, took);
-                    Attempt::Events(Box::new(exchange), first)
+                    AttemptOutcome::Stream(Box::new(exchange), first)
                 }
                 Some(Err(error)) => {
-                    self.lost_at(permit, loss(&error)).await;
-                    self.unknown(permit, &error)
+                    self.report_loss(permit, classify_loss(&error)).await;
+                    self.unknown_outcome(permit, &error)
                 }
-                None => self.unknown(permit, &"a stream without events"),
+                None => self.unknown_outcome(permit, &"a stream without events"),
             };
         }
         let headers = std::mem::take(&mut exchange.headers);
-        match exchange.whole(MOST_ANSWER).await {
+        match exchange.whole(MAX_RESPONSE_BYTES).await {
             Ok(body) => {
                 permit.settle();
                 if status.is_success() {
-                    // A server that fails some of its requests may fail this one before it would crash.
+                    // Only success clears the request: a server that fails some of its requests may fail this
+                    // one before it would crash.
                     self.gateway
                         .record_response(&permit.server, self.fingerprint);
                 }
-                let answer = Answer {
+                let response = Response {
                     status,
                     headers,
                     body,
                 };
                 if status.is_server_error() {
-                    permit.judge(Outcome::Failed);
-                    self.note(permit, "failed", status.as_str());
-                    return Attempt::Failed(answer);
+                    permit.record_outcome(Outcome::Failed);
+                    self.log_failure(permit, "failed", status.as_str());
+                    return AttemptOutcome::Failed(response);
                 }
-                permit.judge(Outcome::Good);
-                permit.time(sent_at.elapsed());
-                Attempt::Whole(answer)
+                permit.record_outcome(Outcome::Good);
+                permit.record_latency(sent_at.elapsed());
+                AttemptOutcome::Complete(response)
             }
             Err(error) => {
-                self.lost_at(permit, loss(&error)).await;
-                self.unknown(permit, &error)
+                self.report_loss(permit, classify_loss(&error)).await;
+                self.unknown_outcome(permit, &error)
             }
         }
     }
 
-    /// The request as the backend server gets it.
-    fn request(&self, server: &Entry, after: Option<u64>) -> Option<http::Request<Bytes>> {
+    /// Builds the request for a backend server. Returns `None` if a header value is invalid.
+    fn build_request(&self, server: &Entry, after: Option<u64>) -> Option<http::Request<Bytes>> {
         let names = self.gateway.dialect.header_names();
         let mut headers = self.headers.clone();
         let left = self.deadline.saturating_duration_since(Instant::now());
@@ -215,8 +222,8 @@
         headers.insert(names.deadline.clone(), left);
         let expected = HeaderValue::from_str(&server.id).ok()?;
         headers.insert(names.expected_server.clone(), expected);
-        if let Some(tenant) = &self.tenant {
-            let name = HeaderValue::from_str(&tenant.name).ok()?;
+        if let Some(account) = &self.account {
+            let name = HeaderValue::from_str(&account.name).ok()?;
             headers.insert(names.account.clone(), name);
         }
         if self.service.engine.is_some() {
@@ -232,47 +239,50 @@
         Some(request)
     }
 
-    /// Rank at the backend server, 0 to 9: the account's if it has one, else the route's.
+    /// Returns the request's priority in the backend server's queue, 0 to 9: the account's if set, otherwise
+    /// the route's.
     fn urgency(&self) -> u16 {
-        let own = self.tenant.as_ref().and_then(|tenant| tenant.priority);
+        let own = self.account.as_ref().and_then(|account| account.priority);
         u16::from(own.unwrap_or(self.route.priority)).min(9)
     }
 
     fn timeouts(&self) -> Timeouts {
-        let left = self.limit.saturating_duration_since(Instant::now());
+        let left = self
+            .route_deadline
+            .saturating_duration_since(Instant::now());
         let progress = match self.route.kind {
-            Kind::Stream { resumable: true } if !self.is_last() => {
-                self.route.gap.mul_f64(GAP_PATIENCE)
+            Kind::Stream { resumable: true } if !self.is_last_attempt() => {
+                self.route.gap.mul_f64(GAP_TIMEOUT_FACTOR)
             }
             Kind::Stream { .. } => self.deadline.saturating_duration_since(Instant::now()),
             _ => left,
         };
         Timeouts {
-            connect: CONNECT,
+            connect: CONNECT_TIMEOUT,
             first_byte: left,
             progress,
         }
     }
 
-    /// Whether no other server may get the request after this one.
-    fn is_last(&self) -> bool {
+    /// Returns `true` if the request may not be sent to another server after this attempt.
+    fn is_last_attempt(&self) -> bool {
         self.sends + 1 >= self.route.max_attempts
     }
 
-    /// Hedging delay, or `None` if no other server may be tried.
-    fn patience(&self) -> Option<Duration> {
-        if self.is_last() {
+    /// Returns the hedging delay, or `None` if the attempt must not be hedged.
+    fn hedge_delay(&self) -> Option<Duration> {
+        if self.is_last_attempt() {
             return None;
         }
         let target = self.route.target_latency;
         match self.route.kind {
-            Kind::Safe => Some((target * SAFE_PATIENCE).max(SAFE_LEAST)),
-            Kind::Stream { resumable: true } => Some(target * STREAM_PATIENCE),
+            Kind::Safe => Some((target * SAFE_HEDGE_FACTOR).max(MIN_SAFE_HEDGE_DELAY)),
+            Kind::Stream { resumable: true } => Some(target * STREAM_HEDGE_FACTOR),
             _ => None,
         }
     }
 
-    fn sent(&mut self) {
+    fn mark_sent(&mut self) {
         self.sends += 1;
         self.mark_executed();
     }
@@ -280,28 +290,30 @@
     fn mark_executed(&mut self) {
         self.possibly_executed = true;
         if let Some(hold) = &mut self.hold {
-            hold.ran();
+            hold.mark_executed();
         }
     }
 
-    fn unknown<Reason>(&mut self, permit: &Permit, reason: &Reason) -> Attempt
+    fn unknown_outcome<Reason>(&mut self, permit: &Permit, reason: &Reason) -> AttemptOutcome
     where
         Reason: std::fmt::Display + ?Sized,
     {
-        self.timed_out = Instant::now() >= self.limit;
+        self.timed_out = Instant::now() >= self.route_deadline;
         if !self.timed_out {
-            permit.judge(Outcome::Bad);
+            permit.record_outcome(Outcome::Bad);
         }
-        self.note(permit, "unknown", &reason.to_string());
-        Attempt::Unknown
+        self.log_failure(permit, "unknown", &reason.to_string());
+        AttemptOutcome::Unknown
     }
 
-    pub(crate) fn note(&self, permit: &Permit, what: &'static str, reason: &str) {
-        self.gateway.metrics.count_attempt(&self.service.name, what);
+    pub(crate) fn log_failure(&self, permit: &Permit, outcome: &'static str, reason: &str) {
+        self.gateway
+            .metrics
+            .count_attempt(&self.service.name, outcome);
         let reason = reason.replace(' ', "_");
         log_event!(
             Event::AttemptFailed,
-            "request={} server={} outcome={what} sends={} fingerprint={} reason={reason}",
+            "request={} server={} outcome={outcome} sends={} fingerprint={} reason={reason}",
             self.id,
             permit.server.id,
             self.sends,
@@ -310,8 +322,8 @@
     }
 }
 
-/// Ends after a time, or never.
-async fn wait_out(time: Option<Duration>) {
+/// Sleeps for a duration, or forever if there is none.
+async fn sleep_or_pend(time: Option<Duration>) {
     match time {
         Some(time) => tokio::time::sleep(time).await,
         None => std::future::pending().await,
--- a/crates/fescuewell_gateway/src/job/candidates.rs
+++ b/crates/fescuewell_gateway/src/job/candidates.rs
@@ -1,4 +1,4 @@
-//! The backend servers among which a request's is chosen.
+//! Candidate selection among backend servers.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,16 +8,17 @@
 use super::Job;
 use crate::gateway::State;
 
-/// The servers that may get a request now.
+/// Backend servers that a request may be sent to now.
 pub(super) struct Candidates<'a> {
-    /// How many of the service take work.
-    pub(super) listed: usize,
-    /// Those that were not tried, and are warm or have credit here.
-    pub(super) open: Vec<&'a Arc<Entry>>,
+    /// Number of servers of the service that accept new requests.
+    pub(super) ready_count: usize,
+    /// Servers that have not been tried, and are warm or have credit at this instance.
+    pub(super) eligible: Vec<&'a Arc<Entry>>,
 }
 
 impl<'a> Candidates<'a> {
-    /// `shares` are the cold servers to which this instance may send, with the number of instances that share each.
+    /// Selects the candidates for a job. `shares` maps the cold servers that this instance may use to the
+    /// number of instances that share each.
     pub(super) fn new(
         state: &'a State,
         job: &'a Job,
@@ -25,23 +26,26 @@
         now_ms: u64,
     ) -> Self {
         let all: Vec<&Arc<Entry>> = state.registry.ready(&job.service.name, now_ms).collect();
-        let listed = all.len();
-        let mut open = Vec::with_capacity(listed);
+        let ready_count = all.len();
+        let mut eligible = Vec::with_capacity(ready_count);
         for entry in all {
             if job.tried.contains(&entry.id) {
                 continue;
             }
-            if !may_send(state, job, shares, entry, now_ms) {
+            if !is_eligible(state, job, shares, entry, now_ms) {
                 continue;
             }
-            open.push(entry);
+            eligible.push(entry);
+        }
+        Self {
+            ready_count,
+            eligible,
         }
-        Self { listed, open }
     }
 }
 
-/// Whether a server is warm, or cold with credit at this instance.
-fn may_send(
+/// Returns `true` if a server is warm, or cold with credit at this instance.
+fn is_eligible(
     state: &State,
     job: &Job,
     shares: &HashMap<Arc<str>, usize>,
--- a/crates/fescuewell_gateway/src/job/crash.rs
+++ b/crates/fescuewell_gateway/src/job/crash.rs
@@ -1,4 +1,5 @@
-//! Handling of requests that crash backend servers: admission, and evidence from lost connections.
+//! Handling of requests that crash backend servers: quarantine checks, and crash detection from lost
+//! connections.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -15,8 +16,8 @@
 use crate::header;
 
 /// Timeout of a connection probe.
-const PROBE: Duration = Duration::from_millis(300);
-/// Delay before an accepted probe connection is checked again.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Delay before a server that accepted a probe connection is probed again.
 const SECOND_PROBE_DELAY: Duration = Duration::from_millis(50);
 
 /// Guard of an in-flight attempt.
@@ -26,7 +27,7 @@
 }
 
 impl InFlight {
-    /// Registers an in-flight attempt.
+    /// Registers an in-flight attempt until the guard is dropped.
     pub(super) fn begin(gateway: &Arc<Gateway>, request: Fingerprint) -> Self {
         gateway.state().quarantine.begin(request);
         Self {
@@ -50,19 +51,19 @@
     }
 }
 
-/// Repeats a probe, since a crashing server may accept one more connection.
+/// Probes again, because a crashing server may accept one more connection.
 async fn probe_again(gateway: &Gateway, server: &Entry) {
     tokio::time::sleep(SECOND_PROBE_DELAY).await;
-    let is_sound = gateway.client.has_idle(server.address)
-        || gateway.client.probe(server.address, PROBE).await != Reach::Refused;
-    match is_sound {
+    let is_alive = gateway.client.has_idle(server.address)
+        || gateway.client.probe(server.address, PROBE_TIMEOUT).await != Reach::Refused;
+    match is_alive {
         true => gateway.state().crashes.accepted(server.incarnation()),
         false => gateway.record_crash(server, Evidence::Refused),
     }
 }
 
 /// Classifies a failed exchange.
-pub(crate) fn loss(error: &Error) -> Loss {
+pub(crate) fn classify_loss(error: &Error) -> Loss {
     match error.is_broken() {
         true => Loss::Broken,
         false => Loss::Silent,
@@ -71,8 +72,8 @@
 
 impl Job {
     /// Computes the request's fingerprint.
-    pub(super) fn identify(&self) -> Fingerprint {
-        let account = self.tenant.as_ref().map_or("", |tenant| &tenant.name);
+    pub(super) fn compute_fingerprint(&self) -> Fingerprint {
+        let account = self.account.as_ref().map_or("", |account| &account.name);
         let target = self.target.path_and_query();
         Fingerprint::new(&Content {
             account,
@@ -89,7 +90,7 @@
     }
 
     /// Rejects a quarantined request unless the store permits a probe.
-    pub(super) async fn admit(&mut self) -> Result<(), Code> {
+    pub(super) async fn check_quarantine(&mut self) -> Result<(), Code> {
         let Verdict::Quarantined { may_probe } = self.verdict() else {
             return Ok(());
         };
@@ -121,7 +122,7 @@
     pub(crate) async fn await_capacity(&mut self) -> Result<(), Code> {
         let mut changes = self.gateway.crash_changes();
         let until = self.arrived + self.route.target_latency;
-        let until = until.min(self.limit);
+        let until = until.min(self.route_deadline);
         loop {
             changes.mark_unchanged();
             match self.verdict() {
@@ -140,9 +141,10 @@
         }
     }
 
-    /// Reports a lost exchange and waits for the probe's result, so that a crash is counted before the request is retried.
-    pub(crate) async fn lost_at(&mut self, permit: &Permit, loss: Loss) {
-        // A probe permits a single attempt.
+    /// Reports a lost exchange and waits for the probe's result, so that a crash is counted before the
+    /// request is retried.
+    pub(crate) async fn report_loss(&mut self, permit: &Permit, loss: Loss) {
+        // Permission to probe covers a single attempt.
         self.is_probe = false;
         let gateway = self.gateway.clone();
         let server = &permit.server;
@@ -154,24 +156,25 @@
         match finding {
             Some(Finding::Crashed) => gateway.record_known_crash(server, self.fingerprint),
             Some(Finding::Probe) => {
-                self.probe(permit);
-                self.probe_finished(permit).await;
+                self.probe_server(permit);
+                self.await_probe(permit).await;
             }
-            Some(Finding::Awaited) => self.probe_finished(permit).await,
+            Some(Finding::Awaited) => self.await_probe(permit).await,
             Some(Finding::Open) | None => {}
         }
     }
 
-    /// Probes a server in a task of its own, since the result also concerns other requests and the caller may disconnect.
-    fn probe(&self, permit: &Permit) {
+    /// Probes a server in a separate task, because the result also concerns other requests and the caller may
+    /// disconnect.
+    fn probe_server(&self, permit: &Permit) {
         let gateway = self.gateway.clone();
         let server = permit.server.clone();
         spawn(async move {
-            let reach = gateway.client.probe(server.address, PROBE).await;
+            let reach = gateway.client.probe(server.address, PROBE_TIMEOUT).await;
             if reach == Reach::Refused {
                 return gateway.record_crash(&server, Evidence::Refused);
             }
-            // The server list or the second probe may still settle it.
+            // The server list or the second probe may still provide evidence.
             gateway.state().crashes.silent(server.incarnation());
             gateway.notify_crash_changes();
             if reach == Reach::Accepted {
@@ -180,7 +183,7 @@
         });
     }
 
-    async fn probe_finished(&self, permit: &Permit) {
+    async fn await_probe(&self, permit: &Permit) {
         let mut changes = self.gateway.crash_changes();
         let server = permit.server.incarnation();
         let found = async {
@@ -190,7 +193,7 @@
                 }
             }
         };
-        // The server list may still settle it later.
-        let _ = tokio::time::timeout(PROBE, found).await;
+        // The server list may still provide evidence later.
+        let _ = tokio::time::timeout(PROBE_TIMEOUT, found).await;
     }
 }
--- a/crates/fescuewell_gateway/src/job/permit.rs
+++ b/crates/fescuewell_gateway/src/job/permit.rs
@@ -1,4 +1,4 @@
-//! In-flight permit of a request at a backend server.
+//! Tracking of an in-flight request at a backend server: load, health and crash detection.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -17,73 +17,77 @@
 pub(crate) struct Permit {
     gateway: Arc<Gateway>,
     pub(crate) server: Arc<Entry>,
-    unread: u64,
+    prefill_tokens: u64,
     in_flight: Option<InFlight>,
     is_settled: AtomicBool,
 }
 
 impl Permit {
-    pub(super) fn take(
+    pub(super) fn acquire(
         gateway: &Arc<Gateway>,
         server: Arc<Entry>,
-        unread: u64,
+        prefill_tokens: u64,
         in_flight: InFlight,
     ) -> Self {
-        gateway.state().load.begin(&server.id, unread);
+        gateway.state().load.begin(&server.id, prefill_tokens);
         gateway.notify_load_changed();
         Self {
             gateway: gateway.clone(),
             server,
-            unread,
+            prefill_tokens,
             in_flight: Some(in_flight),
             is_settled: AtomicBool::new(false),
         }
     }
 
-    /// Marks the outcome at the server as known. An attempt that ends without one, since the caller disconnected or another server
-    /// was tried, may still crash the server.
+    /// Marks the request's outcome at the server as known. An attempt that ends without a known outcome,
+    /// because the caller disconnected or another server was tried, may still crash the server.
     pub(crate) fn settle(&self) {
         self.is_settled.store(true, Ordering::Relaxed);
     }
 
-    /// The first event shows that the prompt has been read.
-    pub(super) fn first_event(&mut self) {
-        let unread = std::mem::take(&mut self.unread);
-        self.gateway.state().load.read(&self.server.id, unread);
+    /// Records the first event, which shows that the server has processed the prompt.
+    pub(super) fn record_first_event(&mut self) {
+        let prefill_tokens = std::mem::take(&mut self.prefill_tokens);
+        self.gateway
+            .state()
+            .load
+            .read(&self.server.id, prefill_tokens);
         self.gateway.notify_load_changed();
     }
 
-    /// Waits until the server has started again: it then knows nothing of the request, and an answer that has not come
-    /// never will. Without this a connection that has gone silent is waited for until the deadline.
-    pub(crate) fn lost(&self) -> impl Future<Output = ()> + use<> {
+    /// Waits until the server restarts. The new process knows nothing of the request, so a response that has
+    /// not arrived never will. Without this check, the request would wait on a silent connection until its
+    /// deadline.
+    pub(crate) fn server_exit(&self) -> impl Future<Output = ()> + use<> {
         let gateway = self.gateway.clone();
         let server = self.server.clone();
         async move {
-            let mut ends = gateway.server_exits();
+            let mut exits = gateway.server_exits();
             while !gateway.state().registry.is_reborn(&server) {
-                if ends.changed().await.is_err() {
+                if exits.changed().await.is_err() {
                     std::future::pending::<()>().await;
                 }
             }
         }
     }
 
-    /// Notes how long the server took: for a whole answer, or between two events.
-    pub(crate) fn time(&self, time: Duration) {
+    /// Records a latency of the server: of a complete response, or between two events.
+    pub(crate) fn record_latency(&self, latency: Duration) {
         let now_ms = self.gateway.now_ms();
-        let time_ms = time.as_secs_f64() * 1_000.0;
+        let latency_ms = latency.as_secs_f64() * 1_000.0;
         let mut state = self.gateway.state();
         if !state.registry.is_reborn(&self.server) {
-            state.health.time(&self.server.id, time_ms, now_ms);
+            state.health.time(&self.server.id, latency_ms, now_ms);
         }
     }
 
-    /// Notes how the request ended at this server.
-    pub(crate) fn judge(&self, outcome: Outcome) {
+    /// Records the outcome of the request at this server, which may eject the server.
+    pub(crate) fn record_outcome(&self, outcome: Outcome) {
         let now_ms = self.gateway.now_ms();
         let mut state = self.gateway.state();
         if state.registry.is_reborn(&self.server) {
-            // How the former process ended says nothing of the new one.
+            // The previous process's outcome does not apply to the new one.
             return;
         }
         let ejected = state.health.outcome(&self.server.id, outcome, now_ms);
@@ -99,14 +103,14 @@
 }
 
 impl Permit {
-    /// Ends the in-flight request.
+    /// Ends the in-flight request. Later calls have no effect.
     pub(crate) fn release(&mut self) {
         let Some(in_flight) = self.in_flight.take() else {
             return;
         };
         let now_ms = self.gateway.now_ms();
         let mut state = self.gateway.state();
-        state.load.read(&self.server.id, self.unread);
+        state.load.read(&self.server.id, self.prefill_tokens);
         state.load.end(&self.server.id);
         if !self.is_settled.load(Ordering::Relaxed) {
             let request = in_flight.request();
--- a/crates/fescuewell_gateway/src/stream.rs
+++ b/crates/fescuewell_gateway/src/stream.rs
@@ -1,5 +1,5 @@
-//! Streamed answers: whole events go on as they come, and a broken stream is taken up elsewhere inside the
-//! same answer.
+//! Streamed responses: complete events are forwarded as they arrive, and a broken stream is resumed on
+//! another server within the same response.
 
 use std::time::Instant;
 
@@ -12,92 +12,92 @@
 use fescuewell_http::upstream::Exchange;
 
 use crate::header;
-use crate::job::{Attempt, Job, Permit, loss};
+use crate::job::{AttemptOutcome, Job, Permit, classify_loss};
 
-/// Largest event, in bytes.
-const MOST_EVENT: usize = 256 * 1024;
+/// Maximum event size in bytes.
+const MAX_EVENT_BYTES: usize = 256 * 1024;
 
-/// Whole events cut from a stream of bytes.
+/// Splits a byte stream into complete server-sent events.
 ///
-/// A server may stop in the middle of an event. Half an event must not reach the caller: the next server repeats
-/// it whole, and the caller would see it joined to its first half.
+/// A server may stop in the middle of an event. A partial event must not reach the caller: the next server
+/// sends the event again from its start, and the caller would see it appended to the first part.
 #[derive(Debug, Default)]
-pub struct Cutter {
-    rest: BytesMut,
-    last: Option<u64>,
-    taken: u64,
+pub struct EventFramer {
+    buffer: BytesMut,
+    last_event_id: Option<u64>,
+    forwarded: u64,
 }
 
-/// Why a stream cannot go on.
+/// Reason why a server's stream cannot continue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fault {
-    /// An event is too large.
-    TooLarge,
-    /// An event is missing between two others.
-    Gap,
+pub enum FramingError {
+    /// An event exceeds the maximum size.
+    EventTooLarge,
+    /// The event ids have a gap.
+    MissingEvent,
 }
 
-impl Cutter {
-    /// A cutter for a caller that already has the events up to `last`.
-    pub fn new(last: Option<u64>) -> Self {
+impl EventFramer {
+    /// Creates a framer for a caller that already received the events up to `last_event_id`.
+    pub fn new(last_event_id: Option<u64>) -> Self {
         Self {
-            last,
+            last_event_id,
             ..Self::default()
         }
     }
 
-    /// Number of the last event that went on.
-    pub fn last(&self) -> Option<u64> {
-        self.last
+    /// Returns the id of the last forwarded event.
+    pub fn last_event_id(&self) -> Option<u64> {
+        self.last_event_id
     }
 
-    /// How many events went on.
-    pub fn taken(&self) -> u64 {
-        self.taken
+    /// Returns the number of forwarded events.
+    pub fn forwarded(&self) -> u64 {
+        self.forwarded
     }
 
-    /// Whether part of an event is left over.
-    pub fn has_rest(&self) -> bool {
-        !self.rest.is_empty()
+    /// Returns `true` if the buffer contains a partial event.
+    pub fn has_partial(&self) -> bool {
+        !self.buffer.is_empty()
     }
 
-    /// Forgets the part of an event that a broken stream left.
-    pub fn restart(&mut self) {
-        self.rest.clear();
+    /// Discards the partial event of a broken stream.
+    pub fn discard_partial(&mut self) {
+        self.buffer.clear();
     }
 
-    /// Takes bytes and returns the whole events that they complete.
+    /// Adds received bytes and returns the events that they complete.
     ///
     /// # Errors
     ///
-    /// [`Fault`]; what went on before stays valid.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<Bytes, Fault> {
-        self.rest.extend_from_slice(bytes);
+    /// Returns a [`FramingError`] if an event is too large or missing. Events returned earlier stay valid.
+    pub fn push(&mut self, bytes: &[u8]) -> Result<Bytes, FramingError> {
+        self.buffer.extend_from_slice(bytes);
         let mut out = BytesMut::new();
-        while let Some(end) = event_end(&self.rest) {
-            let number = event_number(&self.rest[..end]);
-            if let (Some(number), Some(last)) = (number, self.last) {
-                if number <= last {
-                    // A server that begins again, or repeats the last event: the caller has it.
-                    self.rest.advance(end);
+        while let Some(end) = event_end(&self.buffer) {
+            let id = event_id(&self.buffer[..end]);
+            if let (Some(id), Some(last_event_id)) = (id, self.last_event_id) {
+                if id <= last_event_id {
+                    // The server repeats events that the caller already received.
+                    self.buffer.advance(end);
                     continue;
                 }
-                if number > last + 1 {
-                    return Err(Fault::Gap);
+                if id > last_event_id + 1 {
+                    return Err(FramingError::MissingEvent);
                 }
             }
-            out.extend_from_slice(&self.rest.split_to(end));
-            self.last = number.or(self.last);
-            self.taken += 1;
+            out.extend_from_slice(&self.buffer.split_to(end));
+            self.last_event_id = id.or(self.last_event_id);
+            self.forwarded += 1;
         }
-        if self.rest.len() > MOST_EVENT {
-            return Err(Fault::TooLarge);
+        if self.buffer.len() > MAX_EVENT_BYTES {
+            return Err(FramingError::EventTooLarge);
         }
         Ok(out.freeze())
     }
 }
 
-/// End of the first event, behind its empty line.
+/// Returns the end of the first event, after its empty line.
 fn event_end(bytes: &[u8]) -> Option<usize> {
     let newlines = bytes.windows(2).position(|pair| pair == b"\n\n");
     let returns = bytes.windows(4).position(|four| four == b"\r\n\r\n");
@@ -109,7 +109,7 @@
     }
 }
 
-fn event_number(event: &[u8]) -> Option<u64> {
+fn event_id(event: &[u8]) -> Option<u64> {
     for line in event.split(|byte| *byte == b'\n') {
         let Some(value) = line.strip_prefix(b"id:") else {
             continue;
@@ -119,15 +119,15 @@
     None
 }
 
-/// How the events of one server ended.
-enum Ending {
-    Whole,
+/// How the stream of one server ended.
+enum StreamEnd {
+    Complete,
     Broken,
     CallerGone,
 }
 
 impl Job {
-    /// Passes a stream on, taking it up at other servers where that is allowed.
+    /// Forwards a stream to the caller and resumes it on other servers if the route allows it.
     pub(crate) async fn stream(
         mut self,
         reply: Reply,
@@ -135,110 +135,113 @@
         first: Bytes,
         permit: Permit,
     ) {
-        let closing = self.gateway.is_draining();
-        let headers = header::response_headers(&exchange.headers, closing);
+        let close_connection = self.gateway.is_draining();
+        let headers = header::response_headers(&exchange.headers, close_connection);
         let sink = reply.stream(exchange.status, headers);
-        let mut cutter = Cutter::new(self.metadata.last_event_id);
+        let mut framer = EventFramer::new(self.metadata.last_event_id);
         let mut current = Some((exchange, first));
         let mut permit = permit;
         loop {
             let Some((exchange, first)) = current.take() else {
-                return self.done(&permit, "broken_off");
+                return self.finish(&permit, "broken_off");
             };
-            let begun = (Instant::now(), cutter.taken());
+            let begun = (Instant::now(), framer.forwarded());
             match self
-                .pump(&sink, &mut cutter, exchange, first, &permit)
+                .forward_events(&sink, &mut framer, exchange, first, &permit)
                 .await
             {
-                Ending::Whole => {
-                    permit.judge(Outcome::Good);
+                StreamEnd::Complete => {
+                    permit.record_outcome(Outcome::Good);
                     permit.settle();
                     self.gateway
                         .record_response(&permit.server, self.fingerprint);
-                    let events = cutter.taken().saturating_sub(begun.1 + 1);
+                    let events = framer.forwarded().saturating_sub(begun.1 + 1);
                     if let Some(gap) = begun.0.elapsed().checked_div(events as u32) {
-                        permit.time(gap);
+                        permit.record_latency(gap);
                     }
                     sink.finish();
-                    return self.done(&permit, "whole");
+                    return self.finish(&permit, "whole");
                 }
-                Ending::CallerGone => return self.done(&permit, "caller_gone"),
-                Ending::Broken => permit.judge(Outcome::Bad),
+                StreamEnd::CallerGone => return self.finish(&permit, "caller_gone"),
+                StreamEnd::Broken => permit.record_outcome(Outcome::Bad),
             }
-            cutter.restart();
+            framer.discard_partial();
             while current.is_none() && self.may_retry() {
-                // Given up first: the former try must not count beside the new one.
+                // The previous permit is released first, so that the abandoned attempt does not count beside
+                // the new one.
                 permit.release();
-                let Ok(next) = self.pick().await else { break };
+                let Ok(next) = self.pick_server().await else {
+                    break;
+                };
                 permit = next;
                 log_event!(
                     Event::StreamResumed,
                     "request={} server={} after={:?}",
                     self.id,
                     permit.server.id,
-                    cutter.last()
+                    framer.last_event_id()
                 );
-                let attempt = self.attempt(&mut permit, cutter.last()).await;
-                if let Attempt::Events(exchange, first) = attempt {
+                let outcome = self.run_attempt(&mut permit, framer.last_event_id()).await;
+                if let AttemptOutcome::Stream(exchange, first) = outcome {
                     current = Some((*exchange, first));
                 }
             }
         }
     }
 
-    async fn pump(
+    async fn forward_events(
         &mut self,
         sink: &Sink,
-        cutter: &mut Cutter,
+        framer: &mut EventFramer,
         mut exchange: Exchange,
         first: Bytes,
         permit: &Permit,
-    ) -> Ending {
+    ) -> StreamEnd {
         let mut chunk = first;
-        let lost = permit.lost();
-        tokio::pin!(lost);
+        let server_exit = permit.server_exit();
+        tokio::pin!(server_exit);
         loop {
-            let before = cutter.taken();
-            let Ok(events) = cutter.push(&chunk) else {
-                return Ending::Broken;
+            let before = framer.forwarded();
+            let Ok(events) = framer.push(&chunk) else {
+                return StreamEnd::Broken;
             };
-            self.count(cutter.taken() - before);
+            self.charge_events(framer.forwarded() - before);
             if !events.is_empty() && sink.send(events).await.is_err() {
-                return Ending::CallerGone;
+                return StreamEnd::CallerGone;
             }
             let next = tokio::select! {
                 biased;
                 next = exchange.next_chunk() => next,
-                () = &mut lost => {
-                    self.lost_at(permit, Loss::Broken).await;
-                    self.note(permit, "broken", "the server has started again");
-                    return Ending::Broken;
+                () = &mut server_exit => {
+                    self.report_loss(permit, Loss::Broken).await;
+                    self.log_failure(permit, "broken", "the server has started again");
+                    return StreamEnd::Broken;
                 }
             };
             chunk = match next {
                 Some(Ok(chunk)) => chunk,
                 Some(Err(error)) => {
-                    self.lost_at(permit, loss(&error)).await;
-                    self.note(permit, "broken", &error.to_string());
-                    return Ending::Broken;
+                    self.report_loss(permit, classify_loss(&error)).await;
+                    self.log_failure(permit, "broken", &error.to_string());
+                    return StreamEnd::Broken;
                 }
-                None if cutter.has_rest() => {
-                    // A body without a length ends like this when the server crashes.
-                    self.lost_at(permit, Loss::Broken).await;
-                    return Ending::Broken;
+                None if framer.has_partial() => {
+                    // A body without a length ends like this if the server crashes.
+                    self.report_loss(permit, Loss::Broken).await;
+                    return StreamEnd::Broken;
                 }
-                None => return Ending::Whole,
+                None => return StreamEnd::Complete,
             };
         }
     }
 
-    fn count(&mut self, events: u64) {
+    fn charge_events(&mut self, events: u64) {
         let each = self
             .service
             .engine
             .map_or(0, |engine| engine.tokens_per_event);
         if let Some(hold) = &mut self.hold {
-            hold.deliver(events * each);
+            hold.add_output(events * each);
         }
     }
 }
