--- a/crates/fescuewell_gateway/src/hold.rs
+++ b/crates/fescuewell_gateway/src/hold.rs
@@ -82,7 +82,7 @@
                 if gateway.borrow_tokens(account, max_cost).await {
                     continue;
                 }
-                // No other instance can lend. Only the pace allows more tokens as time passes.
+                // No other instance can lend. Only the rate limit allows more tokens as time passes.
                 match retry_after.filter(|retry_after| *retry_after <= remaining) {
                     Some(retry_after) => tokio::time::sleep(retry_after).await,
                     None => {
