--- a/crates/fescuewell_gateway/src/control.rs
+++ b/crates/fescuewell_gateway/src/control.rs
@@ -104,7 +104,7 @@
         took: Duration,
     ) {
         let up = matches!(result, Ok(_) | Err(Error::Compacted));
-        let silence = self.gateway.store_silence();
+        let silence = self.gateway.time_since_store_response();
         let has_changed = self.gateway.set_store_up(up);
         let took_ms = took.as_millis();
         match result {
@@ -122,7 +122,7 @@
                 );
                 // The journal is as old as the outage, and a restart now is charged for all of that
                 // time.
-                self.gateway.want_tokens();
+                self.gateway.sync_quota();
             }
         }
     }
@@ -130,7 +130,7 @@
     /// Completes when the store is reachable again and a call sent before that has had time to get
     /// its reply.
     async fn wait_superseded(&self, started: Instant) {
-        let mut returns = self.gateway.returns();
+        let mut returns = self.gateway.store_recoveries();
         if returns.changed().await.is_err() {
             // The gateway was dropped, so no call is waiting any more.
             std::future::pending::<()>().await;
@@ -141,7 +141,7 @@
     /// Applies jitter to an interval, so that instances that start together do not keep calling at
     /// the same time.
     fn jitter(&self, time: Duration) -> Duration {
-        let part = self.gateway.draw() as f64 / u64::MAX as f64;
+        let part = self.gateway.random_u64() as f64 / u64::MAX as f64;
         time.mul_f64(JITTER_MIN + (JITTER_MAX - JITTER_MIN) * part)
     }
 
@@ -177,7 +177,7 @@
             () = self.wait_superseded(started), if was_store_down => {
                 // A call that was sent during the outage says nothing about the store's current
                 // state.
-                self.gateway.metrics.store_call(name, "overtaken");
+                self.gateway.metrics.count_store_call(name, "overtaken");
                 return Err(no_reply("superseded by another call"));
             }
         };
@@ -188,7 +188,7 @@
             Err(Error::Unknown { .. }) => "unknown",
             Err(Error::Compacted) => "compacted",
         };
-        self.gateway.metrics.store_call(name, outcome);
+        self.gateway.metrics.count_store_call(name, outcome);
         self.record_outcome(&result, name, started.elapsed());
         result
     }
--- a/crates/fescuewell_gateway/src/control/lending.rs
+++ b/crates/fescuewell_gateway/src/control/lending.rs
@@ -19,7 +19,7 @@
 
 use super::Control;
 use super::rows::{log_unreadable, read, row_id};
-use crate::gateway::Shortage;
+use crate::gateway::BorrowRequest;
 use crate::store::{Outcome, Row, Transaction};
 
 /// Table of the fleet key.
@@ -107,7 +107,7 @@
 /// A request whose tokens are being borrowed.
 #[derive(Debug)]
 struct PendingLoan {
-    shortage: Shortage,
+    shortage: BorrowRequest,
     lenders: VecDeque<Arc<str>>,
     /// The lender that was asked last, and the deadline for its reply.
     lender: Arc<str>,
@@ -152,7 +152,7 @@
     }
 
     async fn handle_shortages(&self) {
-        while let Ok(shortage) = self.control.inbox.shortages.recv_async().await {
+        while let Ok(shortage) = self.control.inbox.borrow_requests.recv_async().await {
             let now_ms = self.control.gateway.now_ms();
             let lenders = {
                 let state = self.control.gateway.state();
@@ -165,7 +165,7 @@
     }
 
     /// Sends a loan request to the next lender, or fails the shortage if there is none.
-    fn request_next(&self, shortage: Shortage, mut lenders: VecDeque<Arc<str>>) {
+    fn request_next(&self, shortage: BorrowRequest, mut lenders: VecDeque<Arc<str>>) {
         let gateway = &self.control.gateway;
         let Some(key) = gateway.fleet_key() else {
             return complete(shortage, false);
@@ -177,7 +177,7 @@
         }
         let prefetch = self.prefetch(&shortage, now_ms);
         while let Some(lender) = lenders.pop_front() {
-            let id = gateway.draw();
+            let id = gateway.random_u64();
             let state = gateway.state();
             let Some(address) = state.directory.peer(&lender) else {
                 continue;
@@ -257,7 +257,7 @@
     /// Returns the tokens to request beyond the shortage, so that the next requests need no loan.
     /// During an outage lenders can give only what their journals cover, and that is left to
     /// requests that need it now.
-    fn prefetch(&self, shortage: &Shortage, now_ms: u64) -> u64 {
+    fn prefetch(&self, shortage: &BorrowRequest, now_ms: u64) -> u64 {
         let gateway = &self.control.gateway;
         let requests = self.pending.borrow();
         let mut others = requests.values();
@@ -281,7 +281,7 @@
             if deferred.len() < MAX_DEFERRED {
                 deferred.push((ask, from));
                 self.deferred_added.notify_one();
-                gateway.want_journal();
+                gateway.request_journal();
                 return;
             }
         }
@@ -291,7 +291,7 @@
     /// Replies to the loan requests that wait for a journal.
     async fn reply_deferred(&self) {
         let gateway = &self.control.gateway;
-        let mut plans = gateway.plans();
+        let mut plans = gateway.token_changes();
         loop {
             self.deferred_added.notified().await;
             plans.mark_unchanged();
@@ -338,7 +338,7 @@
         }
         // Other requests of the account may be waiting for the same tokens, also after a late
         // reply.
-        self.control.gateway.notify_planned();
+        self.control.gateway.notify_token_changes();
         let request = self.pending.borrow_mut().remove(&answer.id);
         let Some(request) = request else { return };
         match self.missing(&request.shortage, now_ms) {
@@ -347,14 +347,14 @@
         }
     }
 
-    fn missing(&self, shortage: &Shortage, now_ms: u64) -> u64 {
+    fn missing(&self, shortage: &BorrowRequest, now_ms: u64) -> u64 {
         let state = self.control.gateway.state();
         let quota = &state.quota;
         quota.shortfall(&shortage.account, shortage.tokens, now_ms)
     }
 }
 
-fn complete(shortage: Shortage, has_tokens: bool) {
+fn complete(shortage: BorrowRequest, has_tokens: bool) {
     // The request may be gone; its tokens stay with the account.
     let _ = shortage.reply.send(has_tokens);
 }
--- a/crates/fescuewell_gateway/src/control/members.rs
+++ b/crates/fescuewell_gateway/src/control/members.rs
@@ -10,7 +10,7 @@
 
 use super::rows::{FLEET_PARTITION, log_unreadable, read, row_id};
 use super::{CALL_TIMEOUT, Control};
-use crate::gateway::{ARRIVALS_S, Gateway, State};
+use crate::gateway::{ARRIVAL_WINDOW_S, Gateway, State};
 use crate::settings::Settings;
 use crate::store::Transaction;
 
@@ -29,7 +29,7 @@
     let mut transaction = Transaction::default();
     // Keep the row if callers were sent away: the next process reads it and stays unready, or they
     // would come back at once.
-    if gateway.is_leaving() && member.out_until_ms == 0 {
+    if gateway.is_draining() && member.out_until_ms == 0 {
         transaction.deletes.push(id);
     } else {
         transaction.puts.push((id, member.encode()));
@@ -51,11 +51,11 @@
         peer: settings.peer,
         zone: settings.zone.clone(),
         weight: weight(settings),
-        requests: state.arrivals.sum(now_ms) as u32 / ARRIVALS_S,
+        requests: state.arrivals.sum(now_ms) as u32 / ARRIVAL_WINDOW_S,
         usage: state.quota.usage(now_ms),
         era: heartbeat.era,
         is_certain: heartbeat.knows_grants,
-        at_ms: if gateway.is_leaving() { 0 } else { store_ms },
+        at_ms: if gateway.is_draining() { 0 } else { store_ms },
         out_until_ms: match state.admission.unready_left_ms(now_ms) {
             0 => 0,
             left_ms => store_ms + left_ms,
--- a/crates/fescuewell_gateway/src/control/peers.rs
+++ b/crates/fescuewell_gateway/src/control/peers.rs
@@ -125,7 +125,7 @@
     };
     let message = key.open(bytes);
     if message.is_some() {
-        gateway.set_peer_heard();
+        gateway.record_peer_message();
     }
     match message {
         Some(Message::Ask(ask)) => lending.handle_request(&key, ask, from),
--- a/crates/fescuewell_gateway/src/control/sync.rs
+++ b/crates/fescuewell_gateway/src/control/sync.rs
@@ -67,7 +67,7 @@
     let mut written_at = Instant::now();
     let mut next = written_at;
     loop {
-        let wanted = control.inbox.journals.recv_async();
+        let wanted = control.inbox.journal_requests.recv_async();
         let is_wanted = matches!(tokio::time::timeout_at(next, wanted).await, Ok(Ok(())));
         let min_interval = min_journal_interval(control);
         if is_wanted && !is_overdue(control) {
@@ -87,15 +87,15 @@
         }
         written_at = Instant::now();
         next = written_at + control.jitter(interval.max(fair_journal_interval(control)));
-        gateway.notify_planned();
+        gateway.notify_token_changes();
     }
 }
 
 /// Draws tokens for waiting requests, and returns all tokens when the instance leaves.
 async fn draw_loop(control: &Control) {
     let gateway = &control.gateway;
-    while control.inbox.plans.recv_async().await.is_ok() {
-        let is_leaving = gateway.is_leaving();
+    while control.inbox.plan_requests.recv_async().await.is_ok() {
+        let is_leaving = gateway.is_draining();
         let names = match is_leaving {
             true => gateway.state().quota.prepaid_accounts(),
             false => gateway.state().quota.short_accounts(),
@@ -106,7 +106,7 @@
         if is_leaving {
             renew_journal(control).await;
         }
-        gateway.notify_planned();
+        gateway.notify_token_changes();
         tokio::time::sleep(MIN_DRAW_INTERVAL).await;
     }
 }
@@ -119,7 +119,7 @@
         let next = Instant::now() + interval;
         write_heartbeat(control).await;
         read_members(control).await;
-        gateway.tend_gate();
+        gateway.update_gate();
         if enter_era(control).await {
             read_ledgers(control, round).await;
             let names = gateway.state().quota.prepaid_accounts();
--- a/crates/fescuewell_gateway/src/daemon.rs
+++ b/crates/fescuewell_gateway/src/daemon.rs
@@ -128,13 +128,13 @@
     pub fn stop(&self) {
         let requested = Instant::now();
         let grace_period = self.gateway.settings.grace_period;
-        if !self.gateway.advance(Stage::Leaving) {
+        if !self.gateway.advance(Stage::Draining) {
             return;
         }
-        let open = self.gateway.open().load(Ordering::Acquire);
+        let open = self.gateway.in_flight_requests().load(Ordering::Acquire);
         log_event!(Event::DrainStarted, "open={open}");
         self.gateway.state().quota.begin_shutdown();
-        self.gateway.want_tokens();
+        self.gateway.sync_quota();
         std::thread::sleep(grace_period.mul_f64(SERVE_FRACTION));
         let remaining = grace_period.saturating_sub(requested.elapsed() + SHUTDOWN_RESERVE);
         let cut = self.front.drain(remaining);
@@ -149,9 +149,9 @@
     /// Waits until the tokens of requests that ended during the drain have been returned as well.
     fn wait_returned(&self) {
         let deadline = Instant::now() + SHUTDOWN_RESERVE / 3;
-        let plans = self.gateway.plans();
+        let plans = self.gateway.token_changes();
         let seen = *plans.borrow();
-        self.gateway.want_tokens();
+        self.gateway.sync_quota();
         while *plans.borrow() <= seen && Instant::now() < deadline {
             std::thread::sleep(POLL_INTERVAL);
         }
--- a/crates/fescuewell_gateway/src/front.rs
+++ b/crates/fescuewell_gateway/src/front.rs
@@ -1,4 +1,4 @@
-//! Takes callers' requests in and decides what each of them is.
+//! Handler of callers' requests: validates them and starts a job for each.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -12,16 +12,16 @@
 use crate::job::Job;
 use crate::{header, refusal};
 
-/// Time that a caller without a deadline is thought to wait.
-const DEFAULT_PATIENCE: Duration = Duration::from_secs(10);
+/// Timeout of a request without a deadline.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The callers' side of an instance.
+/// Request handler of the callers' listener.
 pub struct Front {
     gateway: Arc<Gateway>,
 }
 
 impl Front {
-    /// A handler for the callers' listener.
+    /// Creates the handler.
     pub fn new(gateway: Arc<Gateway>) -> Self {
         Self { gateway }
     }
@@ -31,9 +31,9 @@
     fn handle(&self, request: Request, reply: Reply) {
         let gateway = self.gateway.clone();
         spawn(async move {
-            gateway.open().fetch_add(1, Ordering::AcqRel);
+            gateway.in_flight_requests().fetch_add(1, Ordering::AcqRel);
             serve(&gateway, request, reply).await;
-            gateway.open().fetch_sub(1, Ordering::AcqRel);
+            gateway.in_flight_requests().fetch_sub(1, Ordering::AcqRel);
         });
     }
 }
@@ -41,10 +41,10 @@
 async fn serve(gateway: &Arc<Gateway>, request: Request, reply: Reply) {
     let closed = reply.closed();
     let arrived = request.arrived;
-    gateway.take_in(request.body.len());
+    gateway.record_arrival(request.body.len());
     match admit(gateway, request) {
         Ok(job) => {
-            // A caller that leaves drops the job, and with it the call to the backend server.
+            // If the caller disconnects, dropping the job also cancels the request to the backend server.
             let id = job.id().clone();
             tokio::select! {
                 biased;
@@ -65,13 +65,13 @@
                 refused.version
             );
             let took = arrived.elapsed();
-            gateway.metrics.refusal("-", code, took);
-            refusal::answer(reply, code, None, gateway.is_leaving());
+            gateway.metrics.count_refusal("-", code, took);
+            refusal::send(reply, code, None, gateway.is_draining());
         }
     }
 }
 
-/// A request that is refused before anything is tried.
+/// A request that is refused before a job is created.
 struct Refused {
     id: Option<Arc<str>>,
     code: Code,
@@ -79,14 +79,14 @@
 }
 
 fn admit(gateway: &Arc<Gateway>, request: Request) -> Result<Job, Refused> {
-    let facts = gateway.dialect.facts(&request.headers);
-    let id = facts.id.clone();
+    let metadata = gateway.dialect.metadata(&request.headers);
+    let id = metadata.request_id.clone();
     let refuse = |code, version| Refused {
         id: id.clone(),
         code,
         version,
     };
-    // Without a configuration nothing is known to be wrong with the request, so it is not refused for good.
+    // Without a configuration the request may well be valid, so the refusal must allow a retry.
     let Some(table) = gateway.table() else {
         return Err(refuse(Code::NotReady, 0));
     };
@@ -95,26 +95,26 @@
     let Some(route) = table.route(host, &request.path).cloned() else {
         return Err(refuse(Code::NoSuchPath, version));
     };
-    let mut tenant = None;
+    let mut account = None;
     if table.has_tenants() && !route.public {
-        let key = facts.key.as_deref().unwrap_or_default();
+        let key = metadata.account_key.as_deref().unwrap_or_default();
         let Some(found) = table.tenant(key) else {
             return Err(refuse(Code::Unauthorized, version));
         };
-        tenant = Some(found.clone());
+        account = Some(found.clone());
     }
-    let Some(id) = facts.id.clone() else {
+    let Some(id) = metadata.request_id.clone() else {
         return Err(refuse(Code::MalformedRequest, version));
     };
-    let service = route.service(gateway.draw()).cloned();
+    let service = route.service(gateway.random_u64()).cloned();
     let Some(service) = service.and_then(|name| table.service(&name).cloned()) else {
         return Err(refuse(Code::NoServer, version));
     };
-    let patience = facts.patience.unwrap_or(DEFAULT_PATIENCE);
+    let timeout = metadata.timeout.unwrap_or(DEFAULT_TIMEOUT);
     let arrived: Instant = request.arrived;
-    let job = Job::new(gateway.clone(), request, facts, id)
+    let job = Job::new(gateway.clone(), request, metadata, id)
         .with_route(route, service, version)
-        .with_tenant(tenant)
-        .with_deadline(arrived + patience);
+        .with_account(account)
+        .with_deadline(arrived + timeout);
     Ok(job)
 }
--- a/crates/fescuewell_gateway/src/side.rs
+++ b/crates/fescuewell_gateway/src/side.rs
@@ -31,11 +31,11 @@
     }
 
     fn ready(&self, reply: Reply) {
-        if self.gateway.takes_callers() {
+        if self.gateway.reports_ready() {
             reply.whole(StatusCode::OK, HeaderMap::new(), Bytes::new());
             return;
         }
-        refusal::answer(reply, Code::NotReady, None, false);
+        refusal::send(reply, Code::NotReady, None, false);
     }
 
     fn addresses(&self, reply: Reply) {
@@ -46,16 +46,16 @@
         let may_list_self = is_read || self.gateway.uptime() > SELF_LIST_DELAY;
         let own = self.gateway.is_ready() && may_list_self;
         let own = own.then_some(self.gateway.settings.front);
-        let draw = self.gateway.draw();
+        let draw = self.gateway.random_u64();
         let addresses = self.gateway.state().directory.addresses(own, draw);
         if addresses.is_empty() {
-            refusal::answer(reply, Code::NotReady, None, false);
+            refusal::send(reply, Code::NotReady, None, false);
             return;
         }
         let ttl = self.gateway.settings.address_ttl;
-        let body = self.gateway.dialect.addresses(&addresses, ttl);
+        let body = self.gateway.dialect.addresses_body(&addresses, ttl);
         let mut headers = HeaderMap::new();
-        if let Ok(kind) = HeaderValue::from_str(self.gateway.dialect.content_type()) {
+        if let Ok(kind) = HeaderValue::from_str(self.gateway.dialect.addresses_content_type()) {
             headers.insert(CONTENT_TYPE, kind);
         }
         reply.whole(StatusCode::OK, headers, body);
@@ -78,6 +78,6 @@
             reply.whole(StatusCode::OK, HeaderMap::new(), text);
             return;
         }
-        refusal::answer(reply, Code::NoSuchPath, None, false);
+        refusal::send(reply, Code::NoSuchPath, None, false);
     }
 }
--- a/crates/fescuewell_gateway/tests/lending.rs
+++ b/crates/fescuewell_gateway/tests/lending.rs
@@ -66,7 +66,7 @@
             wait_ready(&lender, &borrower).await;
             store.set_behaviour(Behaviour::Silent);
             // A datagram may be lost, so the loan is retried.
-            while !borrower.borrow(&ACCOUNT.into(), TOKENS).await {}
+            while !borrower.borrow_tokens(&ACCOUNT.into(), TOKENS).await {}
         };
 
         tokio::select! {
@@ -88,7 +88,7 @@
 fn an_instance_without_peers_borrows_nothing() {
     let borrowed = common::run_scenario(10_000, 1, async |gateway, store| {
         store.set_behaviour(Behaviour::Silent);
-        gateway.borrow(&ACCOUNT.into(), 20_000).await
+        gateway.borrow_tokens(&ACCOUNT.into(), 20_000).await
     });
 
     assert!(!borrowed);
