--- a/src/command/check.rs
+++ b/src/command/check.rs
@@ -63,14 +63,14 @@
 }
 
 fn check_platform(text: &str, path: &str) -> Result<(), Error> {
-    let read = fescuewell::adapter::settings::read(text, path);
+    let read = fescuewell::adapter::settings::parse(text, path);
     read.map(drop).map_err(|error| Error::Invalid {
         message: error.to_string(),
     })
 }
 
 fn check_deploy(text: &str, path: &str) -> Result<(), Error> {
-    let read = fescuewell::adapter::deploy::read(text, path);
+    let read = fescuewell::adapter::deploy::parse(text, path);
     read.map(drop).map_err(|error| Error::Invalid {
         message: error.to_string(),
     })
--- a/src/command/entry.rs
+++ b/src/command/entry.rs
@@ -4,10 +4,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fescuewell::adapter::dialect::Wire;
-use fescuewell::adapter::rows::Rows;
-use fescuewell::adapter::settings::{self, Boot};
-use fescuewell::adapter::source::Registry;
+use fescuewell::adapter::dialect::PlatformProtocol;
+use fescuewell::adapter::rows::StoreClient;
+use fescuewell::adapter::settings::{self, ProcessSettings};
+use fescuewell::adapter::source::StoreSource;
 use fescuewell::core::event::Event;
 use fescuewell::core::log_event;
 use fescuewell::gateway::daemon::Daemon;
@@ -40,7 +40,7 @@
     let boot = read(&path)?;
     let _logger = log::start(&options)?;
     let signals = stop::Listener::start()?.into_channel()?;
-    let rows = Arc::new(Rows::new(boot.store));
+    let rows = Arc::new(StoreClient::new(boot.store));
     let daemon = start(boot.clone(), rows.clone())?;
     let mut file = Watched { path, boot };
     loop {
@@ -59,13 +59,13 @@
 /// The settings file and what it said last.
 struct Watched {
     path: PathBuf,
-    boot: Boot,
+    boot: ProcessSettings,
 }
 
 impl Watched {
     /// Takes up a changed address of the store; other changes need a restart. A file that cannot be used changes
     /// nothing.
-    fn look(&mut self, rows: &Rows) {
+    fn look(&mut self, rows: &StoreClient) {
         let boot = match read(&self.path) {
             Ok(boot) => boot,
             Err(error) => {
@@ -100,18 +100,18 @@
     })
 }
 
-fn read(path: &PathBuf) -> Result<Boot, Error> {
+fn read(path: &PathBuf) -> Result<ProcessSettings, Error> {
     let file = path.to_string_lossy();
     let text = std::fs::read_to_string(path)
         .map_err(|error| Error::failed(format_args!("{file}: {error}")))?;
-    settings::read(&text, &file).map_err(|error| Error::Invalid {
+    settings::parse(&text, &file).map_err(|error| Error::Invalid {
         message: error.to_string(),
     })
 }
 
 /// The subsystems of an instance: the platform's store serves rows and lists, its dialect the rest.
-fn start(boot: Boot, rows: Arc<Rows>) -> Result<Daemon, Error> {
-    let source = Arc::new(Registry::new(rows.clone()));
-    let dialect = Arc::new(Wire::default());
+fn start(boot: ProcessSettings, rows: Arc<StoreClient>) -> Result<Daemon, Error> {
+    let source = Arc::new(StoreSource::new(rows.clone()));
+    let dialect = Arc::new(PlatformProtocol::default());
     Daemon::start(boot.instance, dialect, rows, source).map_err(Error::failed)
 }
--- a/tests/forward/fixture.rs
+++ b/tests/forward/fixture.rs
@@ -6,10 +6,10 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use fescuewell::adapter::dialect::Wire;
-use fescuewell::adapter::rows::Rows as Client;
+use fescuewell::adapter::dialect::PlatformProtocol;
+use fescuewell::adapter::rows::StoreClient;
 use fescuewell::adapter::settings;
-use fescuewell::adapter::source::Registry;
+use fescuewell::adapter::source::StoreSource;
 use fescuewell::forward::server::Incarnation;
 use fescuewell::gateway::daemon::Daemon;
 use fescuewell::standin::rows::Rows;
@@ -161,7 +161,7 @@
             self.directory,
             self.store.address()
         );
-        let mut boot = settings::read(&text, "boot.conf").unwrap();
+        let mut boot = settings::parse(&text, "boot.conf").unwrap();
         boot.instance.metrics = Some(self.metrics);
         boot.instance.link_mbps = self.link_mbps;
         boot.instance.peer = self.peer;
@@ -169,9 +169,14 @@
             boot.instance.retry.ratio = 0.0;
         }
         boot.instance.retry.slack = self.repeats;
-        let rows = Arc::new(Client::new(boot.store));
-        let source = Arc::new(Registry::new(rows.clone()));
-        let daemon = Daemon::start(boot.instance, Arc::new(Wire::default()), rows, source);
+        let rows = Arc::new(StoreClient::new(boot.store));
+        let source = Arc::new(StoreSource::new(rows.clone()));
+        let daemon = Daemon::start(
+            boot.instance,
+            Arc::new(PlatformProtocol::default()),
+            rows,
+            source,
+        );
         self.daemon = Some(daemon.unwrap());
     }
 
--- a/tests/forward/refusals.rs
+++ b/tests/forward/refusals.rs
@@ -82,7 +82,7 @@
 
     #[test]
     fn any_settings_text_is_read_or_refused(text in "[ -~\n]{0,300}") {
-        let _ = fescuewell::adapter::settings::read(&text, "boot.conf");
+        let _ = fescuewell::adapter::settings::parse(&text, "boot.conf");
     }
 
     #[test]
