--- a/tests/forward/configuration.rs
+++ b/tests/forward/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, and the list of backend servers.
+//! Tests of configuration updates and of the list of backend servers.
 
 use fescuewell::standin::rows::Fault;
 use fescuewell::standin::sample;
@@ -25,8 +25,8 @@
     );
 }
 
-/// Symptom: a dropped route was served again. Sequence: an old configuration is read after a newer one. Cause: what was
-/// read last counted, whatever its version.
+/// Guards against serving a removed route again, because an older version of the configuration that is read later
+/// replaces the active one.
 #[test]
 fn an_older_version_never_comes_back() {
     let fixture = Fixture::ready(1, 1_000_000);
@@ -40,8 +40,8 @@
     assert_eq!(fixture.version(), 6);
 }
 
-/// Symptom: a change was never in force. Sequence: the feed stays silent while the change is made, then its history is
-/// dropped. Cause: only the feed was followed.
+/// Guards against missing a change when the feed reports nothing at the time of the write and its history is compacted
+/// afterwards, because only the feed is followed.
 #[test]
 fn a_change_that_the_feed_missed_is_found() {
     let fixture = Fixture::ready(1, 1_000_000);
@@ -54,8 +54,7 @@
     assert!(wait_until(|| fixture.version() == 2));
 }
 
-/// Symptom: a server that was leaving got new work. Sequence: it reports that it drains. Cause: the list was read
-/// too seldom.
+/// Guards against sending new requests to a draining server, because the list is read too rarely.
 #[test]
 fn a_draining_server_gets_no_more_requests() {
     let fixture = Fixture::ready(2, 1_000_000);
@@ -76,20 +75,20 @@
 
     for fault in [Fault::Busy, Fault::Reset, Fault::Silent] {
         fixture.store.set_fault(fault);
-        let answer = fixture.send(&Request::new("GET /safe/x", "r-1"));
-        assert_eq!(answer.status, 200, "{fault:?}");
+        let response = fixture.send(&Request::new("GET /safe/x", "r-1"));
+        assert_eq!(response.status, 200, "{fault:?}");
     }
 }
 
-/// Symptom: all callers of a zone came to one instance with a narrow link. Sequence: they ask while it has not read the list
-/// of instances yet. Cause: it named itself alone.
+/// Guards against sending all callers of a zone to one instance with a narrow link, because it returns only its own
+/// address before it has read the list of instances.
 #[test]
 fn no_address_is_told_before_the_list_was_read() {
-    let mut fixture = Fixture::platform(1, 1_000_000);
+    let mut fixture = Fixture::without_instance(1, 1_000_000);
     fixture.store.set_fault(Fault::Silent);
     fixture.start();
-    let directory_answers = || fixture.directory_status().is_some();
-    assert!(wait_until(directory_answers));
+    let directory_responds = || fixture.directory_status().is_some();
+    assert!(wait_until(directory_responds));
 
     let status = fixture.directory_status();
 
@@ -105,11 +104,11 @@
     assert_eq!(addresses, [fixture.front.to_string()]);
 }
 
-/// Symptom: every request was refused for want of a server. Sequence: something else writes rows into the list of backend
-/// servers: bytes, another type, a state that does not exist. Cause: one such row made the whole list unreadable.
+/// Guards against refusing every request for lack of a server, because one row that no backend server has written
+/// (arbitrary bytes, another type or an unknown state) makes the whole list unreadable.
 #[test]
 fn rows_of_another_writer_leave_the_list_in_use() {
-    let mut fixture = Fixture::platform(2, 1_000_000);
+    let mut fixture = Fixture::without_instance(2, 1_000_000);
     fixture
         .store
         .put("servers", "", "i-bytes", &[0xff, 0xfe, 0x00]);
@@ -122,19 +121,19 @@
         .store
         .put("servers", "", "i-1", resting.to_string().as_bytes());
     fixture.wait_server_gone("i-1");
-    let answer = fixture.send(&Request::new("GET /safe/x", "r-1"));
+    let response = fixture.send(&Request::new("GET /safe/x", "r-1"));
     resting["state"] = "ready".into();
     fixture
         .store
         .put("servers", "", "i-1", resting.to_string().as_bytes());
 
     fixture.wait_server("i-1", true);
-    assert_eq!(answer.status, 200);
+    assert_eq!(response.status, 200);
     assert!(fixture.workers[1].runs().is_empty());
 }
 
-/// Symptom: a caller waited for its whole deadline. Sequence: a server gets a request, crashes and starts again under its name,
-/// and the connection stays silent. Cause: a start was told by the name alone.
+/// Guards against a caller that waits until its deadline: its server crashes, restarts under the same name and leaves
+/// the old connection silent, and the restart is not detected because servers are identified by name alone.
 #[test]
 fn a_request_at_a_server_that_started_again_goes_on_elsewhere() {
     let fixture = Fixture::ready(2, 1_000_000);
@@ -143,16 +142,16 @@
     }
     let front = fixture.front;
     let request = Request::new("POST /stream/x", "r-1").with("X-Fescuewell-Deadline-Ms", "20000");
-    let asked = std::thread::spawn(move || send(front, &request));
-    let at = || {
+    let caller = std::thread::spawn(move || send(front, &request));
+    let busy = || {
         fixture
             .workers
             .iter()
             .position(|worker| !worker.runs().is_empty())
     };
-    assert!(wait_until(|| at().is_some()));
-    let first = at().unwrap();
-    // The other one answers without a pause.
+    assert!(wait_until(|| busy().is_some()));
+    let first = busy().unwrap();
+    // The other server responds without a pause.
     fixture.workers[1 - first].release();
 
     let mut entry = sample::entry(fixture.workers[first].address(), "ready");
@@ -162,13 +161,13 @@
         .store
         .put("servers", "", &key, entry.to_string().as_bytes());
 
-    let answer = asked.join().unwrap().unwrap();
-    assert!(answer.whole);
-    assert_eq!(answer.events(), (1..=EVENTS).collect::<Vec<u64>>());
+    let response = caller.join().unwrap().unwrap();
+    assert!(response.is_complete);
+    assert_eq!(response.events(), (1..=EVENTS).collect::<Vec<u64>>());
     assert_eq!(fixture.workers[1 - first].runs().len(), 1);
 }
 
-/// Guards against a configuration that no instance can read and that each takes for an outage of the store.
+/// Guards against treating an invalid configuration as an outage of the store.
 #[test]
 fn an_unreadable_configuration_leaves_the_one_before_in_force() {
     let fixture = Fixture::ready(1, 1_000_000);
@@ -177,16 +176,16 @@
 
     fixture.configure(&unreadable);
     fixture.store.put("op", "", "evacuate/a", b"{}");
-    // Part of the same reading: that it is in force shows that the reading was taken.
+    // The evacuation is read together with the configuration, so its effect shows that both rows were processed.
     fixture.wait_server("i-0", false);
     let gateway = fixture.daemon.as_ref().unwrap().gateway();
     let is_store_up = gateway.is_store_up();
     fixture.store.remove("op", "", "evacuate/a");
     fixture.wait_server("i-0", true);
-    let answer = fixture.send(&Request::new("GET /safe/x", "r-1"));
+    let response = fixture.send(&Request::new("GET /safe/x", "r-1"));
     fixture.configure(&configuration(3, 1_000_000));
 
     assert!(is_store_up);
-    assert_eq!(answer.status, 200);
+    assert_eq!(response.status, 200);
     assert!(wait_until(|| fixture.version() == 3));
 }
--- a/tests/forward/crashes.rs
+++ b/tests/forward/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the backend servers which run them.
+//! Tests of the quarantine of requests that crash backend servers.
 
 use std::io::Write;
 
@@ -8,11 +8,11 @@
 
 const SERVERS: usize = 4;
 const PREPAID: u64 = 10_000_000;
-const POISON: &[u8] = b"a prompt that crashes engines";
+const CRASHING_PROMPT: &[u8] = b"a prompt that crashes engines";
 
 fn fixture() -> Fixture {
     let fixture = Fixture::ready(SERVERS, PREPAID);
-    fixture.crash_on(POISON);
+    fixture.crash_on(CRASHING_PROMPT);
     fixture
 }
 
@@ -22,96 +22,97 @@
         .with_body(body)
 }
 
-/// Guards against a request that takes one backend server after the other with it, since its tries have ids of their own.
+/// Guards against a request that crashes one backend server after another, since each retry has its own id.
 #[test]
 fn a_request_that_crashes_servers_reaches_three_at_most() {
     let fixture = fixture();
 
     for number in 0..6 {
-        let answer = fixture.send(&stream(&format!("r-{number}"), POISON));
-        assert_eq!(answer.status, 502);
-        fixture.revive();
+        let response = fixture.send(&stream(&format!("r-{number}"), CRASHING_PROMPT));
+        assert_eq!(response.status, 502);
+        fixture.restart_crashed_servers();
     }
 
     assert_eq!(fixture.crashes(), 3);
     let other = fixture.send(&stream("r-other", b"another prompt"));
     assert_eq!(other.status, 200);
-    assert!(other.whole);
+    assert!(other.is_complete);
 }
 
-/// Guards against a fleet in which each instance learns by its own crashes.
+/// Guards against instances that do not share the crashes that they observe.
 #[test]
 fn an_instance_learns_from_the_crashes_of_another() {
-    let mut fixture = Fixture::platform(SERVERS, PREPAID);
-    fixture.crash_on(POISON);
-    let mut other = fixture.beside();
+    let mut fixture = Fixture::without_instance(SERVERS, PREPAID);
+    fixture.crash_on(CRASHING_PROMPT);
+    let mut other = fixture.add_instance();
     for instance in [&mut fixture, &mut other] {
         instance.start();
         instance.wait_listed("i-0");
     }
-    fixture.wait_acquainted(&other);
+    fixture.wait_discovered(&other);
 
     for number in 0..2 {
-        fixture.send(&stream(&format!("r-{number}"), POISON));
-        fixture.revive();
+        fixture.send(&stream(&format!("r-{number}"), CRASHING_PROMPT));
+        fixture.restart_crashed_servers();
     }
     other.wait_quarantined(1);
-    let answer = other.send(&stream("r-other", POISON));
+    let response = other.send(&stream("r-other", CRASHING_PROMPT));
 
-    assert_eq!(answer.status, 502);
+    assert_eq!(response.status, 502);
     assert_eq!(fixture.crashes(), 3);
 }
 
-/// Guards against a loss of power of the whole fleet after which the request is served three servers again.
+/// Guards against losing a quarantine when the whole fleet loses power: the request could then crash three more
+/// servers.
 #[test]
 fn a_quarantine_outlives_a_kill_of_all_instances() {
     let mut fixture = fixture();
     for number in 0..2 {
-        fixture.send(&stream(&format!("r-{number}"), POISON));
-        fixture.revive();
+        fixture.send(&stream(&format!("r-{number}"), CRASHING_PROMPT));
+        fixture.restart_crashed_servers();
     }
     fixture.wait_quarantined(1);
 
-    fixture.wait_recorded();
+    fixture.wait_quarantine_stored();
     fixture.kill();
     fixture.start();
     fixture.wait_ready();
-    let answer = fixture.send(&stream("r-after", POISON));
+    let response = fixture.send(&stream("r-after", CRASHING_PROMPT));
 
-    assert_eq!(answer.status, 502);
+    assert_eq!(response.status, 502);
     assert_eq!(fixture.crashes(), 3);
 }
 
-/// Guards against servers that fail some of their requests: a failure is no sign that the request is harmless.
+/// Guards against clearing a suspected request because a server responded to it with an error.
 #[test]
 fn a_failure_does_not_clear_a_request_that_crashes_servers() {
     let fixture = fixture();
-    fixture.send(&stream("r-0", POISON));
-    fixture.revive();
+    fixture.send(&stream("r-0", CRASHING_PROMPT));
+    fixture.restart_crashed_servers();
     for worker in &fixture.workers {
         worker.next(&[Behaviour::Fail]);
     }
 
-    let failed = fixture.send(&stream("r-1", POISON));
+    let failed = fixture.send(&stream("r-1", CRASHING_PROMPT));
     for number in 2..6 {
-        fixture.send(&stream(&format!("r-{number}"), POISON));
-        fixture.revive();
+        fixture.send(&stream(&format!("r-{number}"), CRASHING_PROMPT));
+        fixture.restart_crashed_servers();
     }
 
     assert_eq!(failed.status, 500);
     assert_eq!(fixture.crashes(), 3);
 }
 
-/// Guards against callers that leave before their request crashes its server: nobody is left to see the connection break.
+/// Guards against missing a crash when the caller has already disconnected and the connection to the server is closed.
 #[test]
 fn a_crash_counts_after_the_caller_has_left() {
     let fixture = Fixture::ready(1, PREPAID);
-    fixture.crash_on(POISON);
+    fixture.crash_on(CRASHING_PROMPT);
     let worker = &fixture.workers[0];
     worker.next(&[Behaviour::Wait]);
     let mut connection = fixture.connect();
     connection
-        .write_all(&stream("r-0", POISON).bytes())
+        .write_all(&stream("r-0", CRASHING_PROMPT).bytes())
         .unwrap();
     assert!(worker.wait_for(1));
     drop(connection);
@@ -124,7 +125,7 @@
     fixture.wait_suspects(1);
 }
 
-/// Guards against a planned removal that passes for a crash: a server may leave the list and go on with its work for a while.
+/// Guards against treating a planned removal as a crash: a server may leave the list and continue to work for a while.
 #[test]
 fn a_server_that_leaves_the_list_and_still_accepts_connections_has_not_crashed() {
     let fixture = Fixture::ready(2, PREPAID);
@@ -150,6 +151,6 @@
     fixture.store.remove("servers", "", &id);
     fixture.wait_server_gone(&id);
 
-    fixture.wait_settled(incarnation);
+    fixture.wait_not_suspected(incarnation);
     fixture.wait_suspects(0);
 }
--- a/tests/forward/fixture.rs
+++ b/tests/forward/fixture.rs
@@ -1,4 +1,4 @@
-//! A store, backend servers and an instance on loopback, and a caller.
+//! Test fixture: a store, backend servers and an instance on loopback, and an HTTP client.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream, UdpSocket};
@@ -22,44 +22,44 @@
 
 pub use fescuewell::standin::sample::{GROUP, HOST, KEY, configuration};
 
-/// Any free address.
-pub fn any() -> SocketAddr {
+/// Loopback address with port 0, which binds any free port.
+pub fn any_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Addresses that are known before anybody listens on them.
+/// Addresses that are reserved before the instance listens on them.
 ///
-/// An address that is merely looked up may be given to the next connection of another test, and the instance then cannot
-/// listen. So each is held by a socket that does not listen.
-pub struct Addresses {
-    held: Vec<Socket>,
+/// Each is bound by a socket that does not listen. A port that was only looked up could be assigned to a connection of
+/// another test, and the instance could not listen on it.
+pub struct ReservedAddresses {
+    sockets: Vec<Socket>,
 }
 
-impl Addresses {
-    pub fn take(count: usize) -> Self {
-        let held = (0..count).map(|_| {
+impl ReservedAddresses {
+    pub fn reserve(count: usize) -> Self {
+        let sockets = (0..count).map(|_| {
             let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
             socket.set_reuse_address(true).unwrap();
-            socket.bind(&any().into()).unwrap();
+            socket.bind(&any_address().into()).unwrap();
             socket
         });
         Self {
-            held: held.collect(),
+            sockets: sockets.collect(),
         }
     }
 
     pub fn get(&self, index: usize) -> SocketAddr {
-        let address = self.held[index].local_addr().unwrap();
+        let address = self.sockets[index].local_addr().unwrap();
         address.as_socket().unwrap()
     }
 }
 
 fn free_datagram_address() -> SocketAddr {
-    let socket = UdpSocket::bind(any()).unwrap();
+    let socket = UdpSocket::bind(any_address()).unwrap();
     socket.local_addr().unwrap()
 }
 
-/// Listeners of an instance.
+/// Number of listeners of an instance.
 const LISTENERS: usize = 4;
 
 pub struct Fixture {
@@ -70,39 +70,40 @@
     ready: SocketAddr,
     directory: SocketAddr,
     metrics: SocketAddr,
-    _addresses: Addresses,
+    _addresses: ReservedAddresses,
     name: &'static str,
-    /// The instance's link in Mbit/s, from its next start on.
+    /// Link bandwidth of the instance in Mbit/s; takes effect at its next start.
     pub link_mbps: f64,
-    /// Repeats that the fleet may make beside a part of its requests, from the next start on.
-    pub repeats: f64,
-    /// Where it takes messages of other instances, from the next start on.
+    /// Retries that the fleet may make beyond the ratio of its requests; takes effect at the next start. With 0 the
+    /// ratio is 0, too.
+    pub retry_slack: f64,
+    /// Address for messages of other instances; takes effect at the next start.
     peer: Option<SocketAddr>,
 }
 
 impl Fixture {
-    /// A store with a configuration and so many backend servers; no instance yet.
-    pub fn platform(workers: usize, prepaid: u64) -> Self {
-        let fixture = Self::empty(workers);
+    /// Starts a store with a configuration and `workers` backend servers, without an instance.
+    pub fn without_instance(workers: usize, prepaid: u64) -> Self {
+        let fixture = Self::without_configuration(workers);
         fixture.configure(&configuration(1, prepaid));
         fixture
     }
 
-    /// The same without a configuration.
-    pub fn empty(workers: usize) -> Self {
-        let store = Arc::new(Rows::start(any()).unwrap());
-        let mut fixture = Self::at(store, "entry-1");
+    /// Starts a store without a configuration and `workers` backend servers, without an instance.
+    pub fn without_configuration(workers: usize) -> Self {
+        let store = Arc::new(Rows::start(any_address()).unwrap());
+        let mut fixture = Self::with_store(store, "entry-1");
         for index in 0..workers {
-            let worker = Worker::start(any(), &format!("i-{index}")).unwrap();
+            let worker = Worker::start(any_address(), &format!("i-{index}")).unwrap();
             fixture.workers.push(worker);
             fixture.register(index, "ready");
         }
         fixture
     }
 
-    /// An instance of this name at a store; it does not run yet.
-    fn at(store: Arc<Rows>, name: &'static str) -> Self {
-        let addresses = Addresses::take(LISTENERS);
+    /// Creates the fixture of an instance that uses `store`, without starting it.
+    fn with_store(store: Arc<Rows>, name: &'static str) -> Self {
+        let addresses = ReservedAddresses::reserve(LISTENERS);
         Self {
             store,
             workers: Vec::new(),
@@ -114,23 +115,23 @@
             _addresses: addresses,
             name,
             link_mbps: 1_000.0,
-            repeats: 50.0,
+            retry_slack: 50.0,
             peer: None,
         }
     }
 
-    /// Another instance at the same store and backend servers; both can reach each other once they run.
-    pub fn beside(&mut self) -> Self {
-        let mut other = Self::at(self.store.clone(), "entry-2");
+    /// Adds a second instance with the same store and backend servers. Both can reach each other once they are started.
+    pub fn add_instance(&mut self) -> Self {
+        let mut other = Self::with_store(self.store.clone(), "entry-2");
         for fixture in [self, &mut other] {
             fixture.peer = Some(free_datagram_address());
         }
         other
     }
 
-    /// All of it, ready for requests.
+    /// Starts a store, backend servers and an instance, and waits until it is ready for requests.
     pub fn ready(workers: usize, prepaid: u64) -> Self {
-        let mut fixture = Self::platform(workers, prepaid);
+        let mut fixture = Self::without_instance(workers, prepaid);
         fixture.start();
         fixture.wait_ready();
         fixture
@@ -141,7 +142,7 @@
         self.store.put("op", "", "config", value.as_bytes());
     }
 
-    /// A backend server's own entry.
+    /// Writes the entry of a backend server to the store.
     pub fn register(&self, index: usize, state: &str) {
         let worker = &self.workers[index];
         let mut entry = sample::entry(worker.address(), state);
@@ -161,51 +162,52 @@
             self.directory,
             self.store.address()
         );
-        let mut boot = settings::parse(&text, "boot.conf").unwrap();
-        boot.instance.metrics = Some(self.metrics);
-        boot.instance.link_mbps = self.link_mbps;
-        boot.instance.peer = self.peer;
-        if self.repeats == 0.0 {
-            boot.instance.retry.ratio = 0.0;
+        let mut process_settings = settings::parse(&text, "boot.conf").unwrap();
+        process_settings.instance.metrics = Some(self.metrics);
+        process_settings.instance.link_mbps = self.link_mbps;
+        process_settings.instance.peer = self.peer;
+        if self.retry_slack == 0.0 {
+            process_settings.instance.retry.ratio = 0.0;
         }
-        boot.instance.retry.slack = self.repeats;
-        let rows = Arc::new(StoreClient::new(boot.store));
-        let source = Arc::new(StoreSource::new(rows.clone()));
+        process_settings.instance.retry.slack = self.retry_slack;
+        let client = Arc::new(StoreClient::new(process_settings.store));
+        let source = Arc::new(StoreSource::new(client.clone()));
         let daemon = Daemon::start(
-            boot.instance,
+            process_settings.instance,
             Arc::new(PlatformProtocol::default()),
-            rows,
+            client,
             source,
         );
         self.daemon = Some(daemon.unwrap());
     }
 
-    /// Requests with this body crash each backend server that runs them.
+    /// Makes backend servers crash when they run a request with this body.
     pub fn crash_on(&self, body: &[u8]) {
         for worker in &self.workers {
             worker.crash_on(body);
         }
     }
 
-    /// Starts a backend server that has crashed again, under its name.
-    pub fn start_again(&self, index: usize) {
+    /// Restarts a crashed backend server under the same name.
+    pub fn restart_server(&self, index: usize) {
         self.workers[index].revive(&format!("i-{index}")).unwrap();
         self.register(index, "ready");
     }
 
-    /// Crashes of all backend servers.
+    /// Number of crashes of all backend servers.
     pub fn crashes(&self) -> u64 {
         self.workers.iter().map(Worker::crashes).sum()
     }
 
-    /// Starts the backend servers that have crashed again, under their names, and waits until the instance knows it.
-    pub fn revive(&self) {
+    /// Restarts all crashed backend servers under the same names and waits until the instance lists their new
+    /// incarnations.
+    pub fn restart_crashed_servers(&self) {
         for (index, worker) in self.workers.iter().enumerate() {
             if !worker.has_crashed() {
                 continue;
             }
-            assert!(wait_until(|| worker.is_down()), "i-{index} never ended");
-            self.start_again(index);
+            assert!(wait_until(|| worker.is_down()), "i-{index} did not stop");
+            self.restart_server(index);
             let id = format!("i-{index}");
             let born = sample::BORN + worker.revivals();
             let gateway = self.daemon.as_ref().unwrap().gateway();
@@ -214,11 +216,11 @@
                 let mut entries = state.registry.entries();
                 entries.any(|entry| *entry.id == *id && entry.born == Some(born))
             };
-            assert!(wait_until(is_back), "{id} was never listed again");
+            assert!(wait_until(is_back), "{id} was not listed after its restart");
         }
     }
 
-    /// The process ends without a word.
+    /// Stops the instance without a graceful shutdown.
     pub fn kill(&mut self) {
         self.daemon = None;
     }
@@ -226,7 +228,7 @@
     pub fn wait_ready(&self) {
         assert!(
             wait_until(|| self.readiness() == 200),
-            "the instance never became ready"
+            "the instance did not become ready"
         );
         let listed = || {
             let gateway = self.daemon.as_ref().unwrap().gateway();
@@ -234,38 +236,44 @@
             let state = gateway.state();
             state.registry.ready("pool", now_ms).count() == self.workers.len()
         };
-        assert!(wait_until(listed), "the backend servers were never listed");
+        assert!(wait_until(listed), "the backend servers were not listed");
     }
 
-    /// Waits until a backend server is listed and takes requests, or not.
+    /// Waits until a backend server is listed and accepts requests, or, with `is_ready` false, until it is not.
     pub fn wait_server(&self, id: &str, is_ready: bool) {
         let gateway = self.daemon.as_ref().unwrap().gateway();
-        let is_so = || {
+        let is_reached = || {
             let now_ms = gateway.now_ms();
             gateway.state().registry.is_ready(id, now_ms) == is_ready
         };
-        assert!(wait_until(is_so), "{id} never became ready={is_ready}");
+        assert!(
+            wait_until(is_reached),
+            "{id} did not become ready={is_ready}"
+        );
     }
 
-    /// Waits until the instance is ready and a backend server is listed, whether or not it takes requests.
+    /// Waits until the instance is ready and a backend server is listed, whether or not the server accepts requests.
     pub fn wait_listed(&self, id: &str) {
         let daemon = self.daemon.as_ref().unwrap();
         let is_listed = || daemon.gateway().state().registry.is_known(id);
-        assert!(wait_until(is_listed), "{id} was never listed");
+        assert!(wait_until(is_listed), "{id} was not listed");
         assert!(
             wait_until(|| self.readiness() == 200),
-            "the instance never became ready"
+            "the instance did not become ready"
         );
     }
 
-    /// Waits until callers are sent to the instance.
-    pub fn wait_named(&self) {
+    /// Waits until the directory returns the address of the instance to callers.
+    pub fn wait_in_directory(&self) {
         let daemon = self.daemon.as_ref().unwrap();
         let is_named = || daemon.gateway().state().directory.is_named(self.name);
-        assert!(wait_until(is_named), "the instance is never named");
+        assert!(
+            wait_until(is_named),
+            "the directory does not return the instance"
+        );
     }
 
-    /// Waits until a backend server is not listed any more.
+    /// Waits until a backend server is no longer listed.
     pub fn wait_server_gone(&self, id: &str) {
         let daemon = self.daemon.as_ref().unwrap();
         let is_gone = || !daemon.gateway().state().registry.is_known(id);
@@ -276,7 +284,7 @@
         status(self.ready, wire::READY_PATH).unwrap_or_default()
     }
 
-    /// Status of an address answer.
+    /// Status of an address lookup, if there is a response.
     pub fn directory_status(&self) -> Option<u16> {
         status(self.directory, &wire::directory_path("x"))
     }
@@ -284,8 +292,8 @@
     pub fn addresses(&self) -> Vec<String> {
         let path = wire::directory_path(HOST);
         assert!(wait_until(|| status(self.directory, &path) == Some(200)));
-        let answer = get(self.directory, &path).unwrap();
-        let body: Value = serde_json::from_slice(&answer.body).unwrap();
+        let response = get(self.directory, &path).unwrap();
+        let body: Value = serde_json::from_slice(&response.body).unwrap();
         let addresses = body["addresses"].as_array().unwrap();
         addresses
             .iter()
@@ -293,23 +301,23 @@
             .collect()
     }
 
-    /// Waits until the metrics page shows so many quarantined requests.
+    /// Waits until the metrics report `count` quarantined requests.
     pub fn wait_quarantined(&self, count: u64) {
         self.wait_gauge("quarantined", count);
     }
 
-    /// Waits until the metrics page shows so many requests under which a server crashed.
+    /// Waits until the metrics report `count` requests that are suspected of a server crash.
     pub fn wait_suspects(&self, count: u64) {
         self.wait_gauge("suspects", count);
     }
 
     fn wait_gauge(&self, name: &str, value: u64) {
         let line = format!("of=\"{name}\",otel_scope_name=\"fescuewell\"}} {value}\n");
-        let is_so = || self.metrics().contains(&line);
-        assert!(wait_until(is_so), "{name} was never {value}");
+        let is_reached = || self.metrics().contains(&line);
+        assert!(wait_until(is_reached), "{name} did not become {value}");
     }
 
-    /// Present incarnation of a listed backend server.
+    /// Current incarnation of a listed backend server.
     pub fn incarnation(&self, id: &str) -> Incarnation {
         let state = self.daemon.as_ref().unwrap().gateway().state();
         let mut entries = state.registry.entries();
@@ -319,49 +327,55 @@
             .incarnation()
     }
 
-    /// Waits until a backend server is not suspected of a crash any more.
-    pub fn wait_settled(&self, incarnation: Incarnation) {
+    /// Waits until an incarnation of a backend server is no longer suspected of a crash.
+    pub fn wait_not_suspected(&self, incarnation: Incarnation) {
         let gateway = self.daemon.as_ref().unwrap().gateway();
-        let is_so = || !gateway.state().crashes.is_suspected(incarnation);
-        assert!(wait_until(is_so), "the server stays suspected");
+        let is_reached = || !gateway.state().crashes.is_suspected(incarnation);
+        assert!(wait_until(is_reached), "the server is still suspected");
     }
 
-    /// Waits until no request is open.
+    /// Waits until no request is in progress.
     pub fn wait_idle(&self) {
         let gateway = self.daemon.as_ref().unwrap().gateway();
-        let is_so = || gateway.open().load(Ordering::Acquire) == 0;
-        assert!(wait_until(is_so), "a request stayed open");
+        let is_reached = || gateway.open().load(Ordering::Acquire) == 0;
+        assert!(wait_until(is_reached), "a request is still in progress");
     }
 
-    /// Waits until a quarantine stands in the store.
-    pub fn wait_recorded(&self) {
-        let is_so = || !self.store.table("quarantine").is_empty();
-        assert!(wait_until(is_so), "the store never has the quarantine");
+    /// Waits until the store holds a quarantine.
+    pub fn wait_quarantine_stored(&self) {
+        let is_reached = || !self.store.table("quarantine").is_empty();
+        assert!(
+            wait_until(is_reached),
+            "the store does not hold the quarantine"
+        );
     }
 
-    /// Waits until two instances know and believe each other.
-    pub fn wait_acquainted(&self, other: &Self) {
+    /// Waits until two instances have the fleet key and know each other.
+    pub fn wait_discovered(&self, other: &Self) {
         let both = [self, other].map(|fixture| fixture.daemon.as_ref().unwrap().gateway());
-        let is_so = || {
+        let is_reached = || {
             both.iter().all(|gateway| {
                 gateway.fleet_key().is_some() && gateway.state().directory.count() == both.len()
             })
         };
-        assert!(wait_until(is_so), "the instances never knew each other");
+        assert!(
+            wait_until(is_reached),
+            "the instances did not discover each other"
+        );
     }
 
-    /// The metrics page.
+    /// Text of the metrics endpoint.
     pub fn metrics(&self) -> String {
         get(self.metrics, "/metrics").unwrap().text()
     }
 
-    /// Version of the configuration in force.
+    /// Version of the active configuration, or 0 if there is none.
     pub fn version(&self) -> u64 {
         let table = self.daemon.as_ref().unwrap().gateway().table();
         table.map_or(0, |table| table.configuration().version)
     }
 
-    /// Tokens that the account has consumed, by the instance's own count.
+    /// Tokens that the account has consumed, as counted by the instance.
     pub fn consumed(&self) -> u64 {
         let state = self.daemon.as_ref().unwrap().gateway().state();
         state
@@ -370,7 +384,7 @@
             .map_or(0, |account| account.consumed())
     }
 
-    /// Runs of one request at all backend servers.
+    /// Number of times that backend servers ran a request.
     pub fn runs(&self, id: &str) -> usize {
         let all = self.workers.iter().flat_map(Worker::runs);
         all.filter(|run| &*run.id == id).count()
@@ -380,19 +394,19 @@
         connect(self.front)
     }
 
-    pub fn send(&self, request: &Request) -> Answer {
-        send(self.front, request).expect("an answer")
+    pub fn send(&self, request: &Request) -> Response {
+        send(self.front, request).expect("no response")
     }
 }
 
 fn connect(address: SocketAddr) -> TcpStream {
     let connection = TcpStream::connect(address).unwrap();
-    let patience = Duration::from_secs(20);
-    connection.set_read_timeout(Some(patience)).unwrap();
+    let timeout = Duration::from_secs(20);
+    connection.set_read_timeout(Some(timeout)).unwrap();
     connection
 }
 
-/// A caller's request.
+/// An HTTP request of a caller.
 pub struct Request {
     line: String,
     headers: Vec<(String, String)>,
@@ -413,7 +427,7 @@
             .with(wire::KEY, KEY)
     }
 
-    /// Replaces or adds a header; an empty value removes it.
+    /// Sets a header; an empty value removes it.
     pub fn with(mut self, name: &str, value: &str) -> Self {
         self.headers.retain(|(known, _)| known != name);
         if !value.is_empty() {
@@ -445,17 +459,17 @@
     }
 }
 
-/// An answer as a caller sees it.
+/// An HTTP response as a caller receives it.
 #[derive(Debug, Clone)]
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
-    /// Whether the body ended as its framing says.
-    pub whole: bool,
+    /// Whether the body was received up to the end that its framing declares.
+    pub is_complete: bool,
 }
 
-impl Answer {
+impl Response {
     pub fn header(&self, name: &str) -> Option<&str> {
         let found = self
             .headers
@@ -468,7 +482,7 @@
         String::from_utf8_lossy(&self.body).into_owned()
     }
 
-    /// Numbers of the events in the body.
+    /// Ids of the stream events in the body.
     pub fn events(&self) -> Vec<u64> {
         let text = self.text();
         let lines = text.lines().filter_map(|line| line.strip_prefix("id: "));
@@ -476,29 +490,29 @@
     }
 }
 
-/// Sends a request on a new connection; nothing when that gives no answer.
-pub fn send(address: SocketAddr, request: &Request) -> Option<Answer> {
+/// Sends a request on a new connection; `None` if there is no response.
+pub fn send(address: SocketAddr, request: &Request) -> Option<Response> {
     let mut connection = TcpStream::connect(address).ok()?;
     connection
         .set_read_timeout(Some(Duration::from_secs(20)))
         .ok()?;
     connection.write_all(&request.bytes()).ok()?;
-    read_answer(&mut connection)
+    read_response(&mut connection)
 }
 
-/// Status of a small question; nothing when that gives no answer.
+/// Status of a GET request; `None` if there is no response.
 pub fn status(address: SocketAddr, path: &str) -> Option<u16> {
-    get(address, path).map(|answer| answer.status)
+    get(address, path).map(|response| response.status)
 }
 
-pub fn get(address: SocketAddr, path: &str) -> Option<Answer> {
+pub fn get(address: SocketAddr, path: &str) -> Option<Response> {
     let mut connection = TcpStream::connect(address).ok()?;
     connection
         .set_read_timeout(Some(Duration::from_secs(20)))
         .ok()?;
     let request = format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n");
     connection.write_all(request.as_bytes()).ok()?;
-    read_answer(&mut connection)
+    read_response(&mut connection)
 }
 
 fn read_line(connection: &mut TcpStream) -> Option<String> {
@@ -514,8 +528,8 @@
     String::from_utf8(line).ok()
 }
 
-/// Reads one answer; nothing when the connection ends before its head.
-pub fn read_answer(connection: &mut TcpStream) -> Option<Answer> {
+/// Reads one response; `None` if the connection ends before the end of its head.
+pub fn read_response(connection: &mut TcpStream) -> Option<Response> {
     let line = read_line(connection)?;
     let status = line.split(' ').nth(1)?.parse().ok()?;
     let mut headers = Vec::new();
@@ -527,17 +541,17 @@
         let (name, value) = line.split_once(": ")?;
         headers.push((name.to_owned(), value.to_owned()));
     }
-    let mut answer = Answer {
+    let mut response = Response {
         status,
         headers,
         body: Vec::new(),
-        whole: false,
+        is_complete: false,
     };
-    if let Some(length) = answer.header("content-length") {
+    if let Some(length) = response.header("content-length") {
         let mut body = vec![0; length.parse().ok()?];
-        answer.whole = connection.read_exact(&mut body).is_ok();
-        answer.body = body;
-        return Some(answer);
+        response.is_complete = connection.read_exact(&mut body).is_ok();
+        response.body = body;
+        return Some(response);
     }
     while let Some(line) = read_line(connection) {
         let size = usize::from_str_radix(&line, 16).ok()?;
@@ -546,10 +560,10 @@
             break;
         }
         if size == 0 {
-            answer.whole = true;
+            response.is_complete = true;
             break;
         }
-        answer.body.extend_from_slice(&chunk[..size]);
+        response.body.extend_from_slice(&chunk[..size]);
     }
-    Some(answer)
+    Some(response)
 }
--- a/tests/forward/money.rs
+++ b/tests/forward/money.rs
@@ -1,4 +1,4 @@
-//! Prepaid tokens through the whole path.
+//! Tests of prepaid tokens through the whole forwarding path.
 
 use std::io::{Read, Write};
 
@@ -17,9 +17,9 @@
 fn a_request_costs_its_prompt_and_what_was_delivered() {
     let fixture = Fixture::ready(1, 100_000);
 
-    let answer = fixture.send(&stream("r-1", 1_000, 5_000));
+    let response = fixture.send(&stream("r-1", 1_000, 5_000));
 
-    assert_eq!(answer.status, 200);
+    assert_eq!(response.status, 200);
     assert!(wait_until(|| fixture.consumed() == 1_000 + EVENTS * 7));
 }
 
@@ -29,14 +29,14 @@
     fixture.send(&stream("r-1", 1_000, 5_000));
     fixture.send(&stream("r-2", 900_000, 5_000));
 
-    let shown = || {
+    let has_metrics = || {
         let text = fixture.metrics();
         text.contains("outcome=\"whole\"")
             && text.contains("outcome=\"BudgetExhausted\"")
             && text.contains("fescuewell_tokens{account=\"group\",kind=\"prepaid\"")
     };
 
-    assert!(wait_until(shown), "{}", fixture.metrics());
+    assert!(wait_until(has_metrics), "{}", fixture.metrics());
 }
 
 #[test]
@@ -44,13 +44,14 @@
     let fixture = Fixture::ready(1, 100_000);
     fixture.workers[0].next(&[Behaviour::TurnAway]);
 
-    let answer = fixture.send(&stream("r-1", 1_000, 5_000));
+    let response = fixture.send(&stream("r-1", 1_000, 5_000));
 
-    assert_eq!(answer.status, 503);
+    assert_eq!(response.status, 503);
     assert!(wait_until(|| fixture.consumed() == 0));
 }
 
-/// What a caller got before it left is charged with its prompt, and what is held beyond that is free again.
+/// A caller that disconnects is charged for its prompt and the events it received; the rest of the reservation is
+/// released.
 #[test]
 fn a_caller_that_leaves_after_some_events_pays_for_these() {
     let fixture = Fixture::ready(1, 100_000);
@@ -60,19 +61,19 @@
     connection
         .write_all(&stream("r-1", 1_000, 5_000).bytes())
         .unwrap();
-    let mut seen = Vec::new();
-    while !String::from_utf8_lossy(&seen).contains("id: 2") {
+    let mut received = Vec::new();
+    while !String::from_utf8_lossy(&received).contains("id: 2") {
         let mut bytes = [0; 256];
-        let count = connection.read(&mut bytes).unwrap();
-        assert!(count > 0, "the stream ended");
-        seen.extend_from_slice(&bytes[..count]);
+        let length = connection.read(&mut bytes).unwrap();
+        assert!(length > 0, "the stream ended");
+        received.extend_from_slice(&bytes[..length]);
     }
     drop(connection);
 
     assert!(wait_until(|| fixture.consumed() == 1_000 + 2 * 7));
 }
 
-/// A request runs from its first token on: one whose caller leaves before that has cost nothing.
+/// A request is charged from its first output token on, so a caller that disconnects before that pays nothing.
 #[test]
 fn a_caller_that_leaves_before_the_first_event_pays_nothing() {
     let fixture = Fixture::ready(1, 100_000);
@@ -114,8 +115,8 @@
         == 200));
 }
 
-/// Symptom: an account got its total twice. Sequence: the process is killed with most of the total spent, and starts
-/// again. Cause: what was spent lay in the process's memory only.
+/// Guards against an account that gets its total twice: the process is killed with most of it spent and started again,
+/// and the count of spent tokens is kept only in memory.
 #[test]
 fn a_restart_remembers_what_was_spent() {
     let mut fixture = Fixture::ready(1, 10_000);
@@ -129,8 +130,8 @@
     assert_eq!(fixture.runs("r-2"), 0);
 }
 
-/// Symptom: an account got more than its total. Sequence: replies of the store are lost for a while. Cause: a grant whose
-/// reply was lost was drawn a second time.
+/// Guards against an account that gets more than its total, because a grant is drawn again after the store's reply is
+/// lost.
 #[test]
 fn lost_replies_do_not_double_a_grant() {
     let fixture = Fixture::ready(1, 30_000);
@@ -144,8 +145,8 @@
     assert!(wait_until(first));
     let mut served = 0;
     for number in 0..60 {
-        let answer = fixture.send(&stream(&format!("s-{number}"), 1_000, 10));
-        served += u64::from(answer.status == 200);
+        let response = fixture.send(&stream(&format!("s-{number}"), 1_000, 10));
+        served += u64::from(response.status == 200);
     }
 
     assert!(served > 10, "{served}");
--- a/tests/forward/pressure.rs
+++ b/tests/forward/pressure.rs
@@ -1,4 +1,4 @@
-//! An instance whose link is too narrow for what its callers send.
+//! Tests of an instance whose link is overloaded by its callers.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -6,17 +6,17 @@
 use fescuewell::forward::directory::Member;
 use fescuewell::standin::worker::wait_until;
 
-use crate::fixture::{Fixture, Request, read_answer};
+use crate::fixture::{Fixture, Request, read_response};
 
-/// Link of the instance under test, in Mbit/s: one large request fills it.
+/// Link bandwidth of the instance under test in Mbit/s; one large request saturates it.
 const NARROW_MBPS: f64 = 0.1;
 
-/// Strong instances beside the one under test.
-const STRONG: u16 = 2;
+/// Number of other instances, with enough bandwidth.
+const STRONG_INSTANCES: u16 = 2;
 
-/// Writes the signs of strong instances, which never lapse.
+/// Writes the member rows of the other instances; they never expire.
 fn add_strong_instances(fixture: &Fixture) {
-    for index in 0..STRONG {
+    for index in 0..STRONG_INSTANCES {
         let member = Member {
             address: ([127, 0, 0, 1], 1 + index).into(),
             peer: None,
@@ -35,60 +35,60 @@
     }
 }
 
-fn knows_the_fleet(fixture: &Fixture) -> bool {
+fn has_all_members(fixture: &Fixture) -> bool {
     let state = fixture.daemon.as_ref().unwrap().gateway().state();
-    state.directory.count() > usize::from(STRONG)
+    state.directory.count() > usize::from(STRONG_INSTANCES)
 }
 
-/// The mark in the instance's own row that callers were sent away.
-fn is_written(fixture: &Fixture) -> bool {
+/// Whether the instance's member row records that it is sending callers away.
+fn is_overload_recorded(fixture: &Fixture) -> bool {
     let row = fixture.store.get("member", "fleet", "entry-1");
     let member: Option<Member> = row.and_then(|row| postcard::from_bytes(&row).ok());
     member.is_some_and(|member| member.out_until_ms > 0)
 }
 
-/// Symptom: callers came back to an overloaded instance as soon as it was restarted. Sequence: its link is full, it says
-/// that it is not ready, callers go elsewhere, its process is replaced. Cause: the next process did not know why.
+/// Guards against callers that return to an overloaded instance as soon as it is restarted: it is not ready because its
+/// link is saturated, and the next process does not know this.
 #[test]
 fn a_pressed_instance_sends_callers_away_and_serves_open_connections() {
-    let mut fixture = Fixture::empty(1);
+    let mut fixture = Fixture::without_configuration(1);
     fixture.configure(&crate::fixture::configuration(1, 1_000_000));
     add_strong_instances(&fixture);
     fixture.link_mbps = NARROW_MBPS;
     fixture.start();
     fixture.wait_ready();
-    assert!(wait_until(|| knows_the_fleet(&fixture)));
+    assert!(wait_until(|| has_all_members(&fixture)));
 
     let large = Request::new("POST /unsafe/x", "r-1").with_body(&[b'x'; 20_000]);
     let mut open = fixture.connect();
     open.write_all(&large.bytes()).unwrap();
-    let served = read_answer(&mut open).expect("an answer").status;
+    let served = read_response(&mut open).expect("no response").status;
 
     assert_eq!(served, 200);
-    // It leaves once it has kept new connections out for most of three seconds.
-    let presses_on = || {
+    // It becomes not ready once it has refused new connections for most of three seconds.
+    let becomes_not_ready = || {
         let mut open = open.try_clone().unwrap();
         open.write_all(&large.bytes()).unwrap();
-        read_answer(&mut open).expect("an answer");
+        read_response(&mut open).expect("no response");
         fixture.readiness() == 503
     };
-    assert!(wait_until(presses_on));
+    assert!(wait_until(becomes_not_ready));
     let small = Request::new("GET /safe/x", "r-2");
     assert!(wait_until(|| TcpStream::connect(fixture.front).is_err()));
     open.write_all(&small.bytes()).unwrap();
-    assert_eq!(read_answer(&mut open).expect("an answer").status, 200);
+    assert_eq!(read_response(&mut open).expect("no response").status, 200);
 
-    assert!(wait_until(|| is_written(&fixture)));
+    assert!(wait_until(|| is_overload_recorded(&fixture)));
     fixture.kill();
     fixture.start();
-    let takes = || fixture.daemon.as_ref().unwrap().gateway().is_ready();
-    assert!(wait_until(takes));
+    let is_ready = || fixture.daemon.as_ref().unwrap().gateway().is_ready();
+    assert!(wait_until(is_ready));
     assert_eq!(fixture.readiness(), 503);
 }
 
 #[test]
 fn an_instance_alone_stays_ready() {
-    let mut fixture = Fixture::empty(1);
+    let mut fixture = Fixture::without_configuration(1);
     fixture.configure(&crate::fixture::configuration(1, 1_000_000));
     fixture.link_mbps = NARROW_MBPS;
     fixture.start();
--- a/tests/forward/refusals.rs
+++ b/tests/forward/refusals.rs
@@ -1,22 +1,22 @@
-//! Refusals: at once, true, and clear.
+//! Tests of refused requests: the status is correct and sent at once, and nothing runs.
 
 use std::io::Write;
 
 use fescuewell::standin::sample;
 use proptest::prelude::*;
 
-use crate::fixture::{Fixture, Request, read_answer};
+use crate::fixture::{Fixture, Request, read_response};
 use crate::wire;
 
 #[test]
 fn without_a_configuration_everything_is_refused_for_now_only() {
-    let mut fixture = Fixture::empty(1);
+    let mut fixture = Fixture::without_configuration(1);
     fixture.start();
 
-    let answer = fixture.send(&Request::new("GET /safe/x", "r-1").with(wire::KEY, "wrong"));
+    let response = fixture.send(&Request::new("GET /safe/x", "r-1").with(wire::KEY, "wrong"));
 
-    assert_eq!(answer.status, 503);
-    assert!(answer.header("retry-after").is_some());
+    assert_eq!(response.status, 503);
+    assert!(response.header("retry-after").is_some());
     assert_ne!(fixture.readiness(), 200);
 }
 
@@ -41,22 +41,22 @@
     assert_eq!(fixture.consumed(), 0);
 }
 
-/// Symptom: a server ran a request that no caller had sent. Sequence: a second request stands inside the body of the
-/// first, whose length is given twice. Cause: the two ends of a connection read different lengths.
+/// Guards against request smuggling: a server runs a request from the body of another one, whose length is given both
+/// by `Content-Length` and by `Transfer-Encoding`, because instance and server use different lengths.
 #[test]
 fn a_smuggled_request_does_not_run() {
     let fixture = Fixture::ready(1, 1_000_000);
-    let inner = Request::new("GET /safe/inner", "r-inner").bytes();
+    let smuggled = Request::new("GET /safe/inner", "r-inner").bytes();
     let outer = Request::new("POST /unsafe/x", "r-1")
         .with("Content-Length", "0")
         .with("Transfer-Encoding", "chunked");
     let mut connection = fixture.connect();
     connection.write_all(&outer.bytes()).unwrap();
-    connection.write_all(&inner).unwrap();
+    connection.write_all(&smuggled).unwrap();
 
-    let answer = read_answer(&mut connection);
+    let response = read_response(&mut connection);
 
-    assert!(answer.is_none_or(|answer| answer.status == 400));
+    assert!(response.is_none_or(|response| response.status == 400));
     assert_eq!(fixture.runs("r-inner"), 0);
 }
 
@@ -71,9 +71,9 @@
     fixture.wait_server("i-gone", true);
     fixture.wait_server_gone("i-0");
 
-    let answer = fixture.send(&Request::new("POST /unsafe/x", "r-1").with_body(b""));
+    let response = fixture.send(&Request::new("POST /unsafe/x", "r-1").with_body(b""));
 
-    assert_eq!(answer.status, 503);
+    assert_eq!(response.status, 503);
     assert_eq!(fixture.runs("r-1"), 0);
 }
 
--- a/tests/forward/wire.rs
+++ b/tests/forward/wire.rs
@@ -1,36 +1,36 @@
-//! What callers, backend servers and the platform's own checks write, as the tests send and read it.
+//! Header names and paths of the platform, as callers, backend servers and health checks use them.
 //!
-//! Written out here once more on purpose, not taken from the adapter: a name that the adapter has wrong must fail a test.
+//! They are not taken from the adapter on purpose, so that a wrong name in the adapter fails a test.
 
-/// Identity of a caller's attempt.
+/// Id of one attempt of a caller.
 pub const REQUEST_ID: &str = "X-Fescuewell-Request-Id";
-/// Milliseconds that the caller waits.
+/// Time that the caller waits, in milliseconds.
 pub const DEADLINE: &str = "X-Fescuewell-Deadline-Ms";
-/// Key of a client account, from callers only.
+/// Key of the client account; sent by callers only.
 pub const KEY: &str = "X-Fescuewell-Key";
-/// Name of the client account, to backend servers only.
+/// Name of the client account; sent to backend servers only.
 pub const ACCOUNT: &str = "X-Fescuewell-Tenant";
-/// Incarnation of a backend server that alone may run the request.
+/// The only incarnation of a backend server that may run the request.
 pub const EXPECTED_SERVER: &str = "X-Fescuewell-Expect-Instance";
-/// Tokens of the prompt and most tokens of the answer.
+/// Prompt tokens and maximum output tokens.
 pub const TOKENS: &str = "X-Fescuewell-Token-Counts";
-/// Model that is asked for.
+/// Requested model.
 pub const MODEL: &str = "X-Fescuewell-Model";
-/// A backend server's mark on its answer.
+/// Identifies the backend server and the request that a response belongs to.
 pub const SEAL: &str = "X-Fescuewell-Response-Seal";
-/// Memory that a backend server reserves.
+/// Memory reservation on a backend server.
 pub const HOLD: &str = "X-Fescuewell-Hold";
-/// Milliseconds for which a backend server keeps a prompt.
+/// Time for which a backend server keeps a prompt, in milliseconds.
 pub const KEEP: &str = "X-Fescuewell-Pin-Ms";
-/// Where a backend server copies its memory to.
+/// Address to which a backend server copies its KV cache.
 pub const COPY_TO: &str = "X-Fescuewell-Kv-Backup";
-/// Where a backend server copies its memory from.
+/// Address from which a backend server copies its KV cache.
 pub const COPY_FROM: &str = "Kv-From";
 
-/// Question after readiness.
+/// Path of the readiness check.
 pub const READY_PATH: &str = "/-/readyz";
 
-/// Question after addresses.
+/// Path of an address lookup for a host.
 pub fn directory_path(host: &str) -> String {
     format!("/-/resolve?name={host}&region=r&zone=a")
 }
--- a/tests/forward/zones.rs
+++ b/tests/forward/zones.rs
@@ -1,70 +1,70 @@
-//! Evacuated availability zones and cold backend servers, through the whole path.
+//! Tests of evacuated availability zones and of server warm-up, through the whole forwarding path.
 
 use fescuewell::standin::sample;
 use serde_json::json;
 
 use crate::fixture::{Fixture, Request};
 
-/// Row by which the operator evacuates the sample's availability zone.
-const EVACUATION: &str = "evacuate/a";
+/// Key of the row that evacuates the availability zone of the sample servers.
+const EVACUATION_KEY: &str = "evacuate/a";
 
-fn safe(id: &str) -> Request {
+fn safe_request(id: &str) -> Request {
     Request::new("GET /safe/x", id)
 }
 
-/// Symptom: requests reached servers of a zone that had been evacuated, 470 of them later than the bound. Sequence: the operator writes
-/// the order; nothing else happens. Cause: the instance did not read it.
+/// Guards against sending requests to servers of an evacuated zone, because the instance does not read the evacuation
+/// when nothing else changes: 470 of them were sent later than the time limit.
 #[test]
 fn an_evacuated_zone_gets_no_request_until_it_is_taken_back() {
     let fixture = Fixture::ready(1, 1_000_000);
 
-    fixture.store.put("op", "", EVACUATION, b"{}");
+    fixture.store.put("op", "", EVACUATION_KEY, b"{}");
     fixture.wait_server("i-0", false);
-    let refused = fixture.send(&safe("r-1"));
-    fixture.store.remove("op", "", EVACUATION);
+    let refused = fixture.send(&safe_request("r-1"));
+    fixture.store.remove("op", "", EVACUATION_KEY);
     fixture.wait_server("i-0", true);
-    let answered = fixture.send(&safe("r-2"));
+    let served = fixture.send(&safe_request("r-2"));
 
     assert_eq!(refused.status, 503);
     assert!(refused.header("retry-after").is_some());
     assert_eq!(fixture.runs("r-1"), 0);
-    assert_eq!(answered.status, 200);
+    assert_eq!(served.status, 200);
 }
 
-/// Symptom looked for: an instance that starts during an evacuation sends to the zone until the next change.
+/// Guards against an instance that starts during an evacuation and sends requests to the zone until the next change.
 #[test]
 fn an_evacuation_outlives_a_restart() {
     let mut fixture = Fixture::ready(1, 1_000_000);
-    fixture.store.put("op", "", EVACUATION, b"{}");
+    fixture.store.put("op", "", EVACUATION_KEY, b"{}");
     fixture.wait_server("i-0", false);
 
     fixture.kill();
     fixture.start();
     fixture.wait_listed("i-0");
 
-    assert_eq!(fixture.send(&safe("r-1")).status, 503);
+    assert_eq!(fixture.send(&safe_request("r-1")).status, 503);
     assert_eq!(fixture.runs("r-1"), 0);
 }
 
-/// Symptom looked for: requests that cannot be served wait for tokens first. With all zones evacuated the answer is known at once.
+/// Guards against waiting for tokens before refusing a request that no server can run because all zones are evacuated.
 #[test]
 fn a_request_without_any_server_is_refused_before_it_waits_for_tokens() {
     let fixture = Fixture::ready(1, 10_000);
-    fixture.store.put("op", "", EVACUATION, b"{}");
+    fixture.store.put("op", "", EVACUATION_KEY, b"{}");
     fixture.wait_server("i-0", false);
 
     let request = Request::new("POST /stream/x", "r-1").with_tokens(900_000, 100);
-    let answer = fixture.send(&request.with_body(b""));
+    let response = fixture.send(&request.with_body(b""));
 
-    assert_eq!(answer.status, 503);
+    assert_eq!(response.status, 503);
     assert_eq!(fixture.consumed(), 0);
 }
 
-/// Symptom: a server that had just started fell over under the requests of all instances. Cause: what it said of being cold was
-/// thrown away.
+/// Guards against overloading a server that has just started with the requests of all instances, because the warm-up
+/// time in its entry is ignored.
 #[test]
 fn a_cold_server_gets_few_requests_at_a_time() {
-    let fixture = Fixture::platform(1, 1_000_000);
+    let fixture = Fixture::without_instance(1, 1_000_000);
     let mut configuration = sample::configuration(2, 1_000_000);
     configuration["services"][0]["coldStartS"] = json!(600.0);
     configuration["services"][0]["coldPerS"] = json!(0.01);
@@ -76,11 +76,11 @@
     fixture.store.put("servers", "", "i-0", row.as_bytes());
     fixture.start();
     fixture.wait_ready();
-    // Only an instance that callers are sent to introduces cold servers.
-    fixture.wait_named();
+    // Only an instance that the directory returns to callers sends requests to cold servers.
+    fixture.wait_in_directory();
 
-    let first = fixture.send(&safe("r-1"));
-    let second = fixture.send(&safe("r-2"));
+    let first = fixture.send(&safe_request("r-1"));
+    let second = fixture.send(&safe_request("r-2"));
 
     assert_eq!(first.status, 200);
     assert_eq!(second.status, 503);
