--- a/crates/fescuewell_demo/src/forward.rs
+++ b/crates/fescuewell_demo/src/forward.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fescuewell_adapter::dialect::PlatformProtocol;
-use fescuewell_adapter::rows::StoreClient;
-use fescuewell_adapter::source::StoreSource;
+use fescuewell_adapter::dialect::Platform;
+use fescuewell_adapter::rows::Client;
+use fescuewell_adapter::source::Reader;
 use fescuewell_gateway::daemon::{self, Daemon};
 use fescuewell_gateway::settings::Settings;
 use fescuewell_http::listener;
@@ -81,14 +81,9 @@
             settings.zone = format!("zone-{index}").into();
             settings.grace = GRACE;
             settings.directory = (index == 0).then_some(directory);
-            let rows = Arc::new(StoreClient::new(store.address()));
-            let source = Arc::new(StoreSource::new(rows.clone()));
-            let daemon = Daemon::start(
-                settings,
-                Arc::new(PlatformProtocol::default()),
-                rows,
-                source,
-            );
+            let rows = Arc::new(Client::new(store.address()));
+            let source = Arc::new(Reader::new(rows.clone()));
+            let daemon = Daemon::start(settings, Arc::new(Platform::default()), rows, source);
             daemons.push(daemon.context(InstanceSnafu)?);
         }
         Ok(Self {
--- a/src/command/entry.rs
+++ b/src/command/entry.rs
@@ -4,10 +4,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fescuewell::adapter::dialect::PlatformProtocol;
-use fescuewell::adapter::rows::StoreClient;
-use fescuewell::adapter::settings::{self, ProcessSettings};
-use fescuewell::adapter::source::StoreSource;
+use fescuewell::adapter::dialect::Platform;
+use fescuewell::adapter::rows::Client;
+use fescuewell::adapter::settings::{self, Process};
+use fescuewell::adapter::source::Reader;
 use fescuewell::core::event::Event;
 use fescuewell::core::log_event;
 use fescuewell::gateway::daemon::Daemon;
@@ -40,7 +40,7 @@
     let boot = read(&path)?;
     let _logger = log::start(&options)?;
     let signals = stop::Listener::start()?.into_channel()?;
-    let rows = Arc::new(StoreClient::new(boot.store));
+    let rows = Arc::new(Client::new(boot.store));
     let daemon = start(boot.clone(), rows.clone())?;
     let mut file = Watched { path, boot };
     loop {
@@ -59,13 +59,13 @@
 /// The settings file and what it said last.
 struct Watched {
     path: PathBuf,
-    boot: ProcessSettings,
+    boot: Process,
 }
 
 impl Watched {
     /// Takes up a changed address of the store; other changes need a restart. A file that cannot be used changes
     /// nothing.
-    fn look(&mut self, rows: &StoreClient) {
+    fn look(&mut self, rows: &Client) {
         let boot = match read(&self.path) {
             Ok(boot) => boot,
             Err(error) => {
@@ -100,7 +100,7 @@
     })
 }
 
-fn read(path: &PathBuf) -> Result<ProcessSettings, Error> {
+fn read(path: &PathBuf) -> Result<Process, Error> {
     let file = path.to_string_lossy();
     let text = std::fs::read_to_string(path)
         .map_err(|error| Error::failed(format_args!("{file}: {error}")))?;
@@ -110,8 +110,8 @@
 }
 
 /// The subsystems of an instance: the platform's store serves rows and lists, its dialect the rest.
-fn start(boot: ProcessSettings, rows: Arc<StoreClient>) -> Result<Daemon, Error> {
-    let source = Arc::new(StoreSource::new(rows.clone()));
-    let dialect = Arc::new(PlatformProtocol::default());
+fn start(boot: Process, rows: Arc<Client>) -> Result<Daemon, Error> {
+    let source = Arc::new(Reader::new(rows.clone()));
+    let dialect = Arc::new(Platform::default());
     Daemon::start(boot.instance, dialect, rows, source).map_err(Error::failed)
 }
--- a/tests/forward/fixture.rs
+++ b/tests/forward/fixture.rs
@@ -6,10 +6,10 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use fescuewell::adapter::dialect::PlatformProtocol;
-use fescuewell::adapter::rows::StoreClient;
+use fescuewell::adapter::dialect::Platform;
+use fescuewell::adapter::rows::Client;
 use fescuewell::adapter::settings;
-use fescuewell::adapter::source::StoreSource;
+use fescuewell::adapter::source::Reader;
 use fescuewell::forward::server::Incarnation;
 use fescuewell::gateway::daemon::Daemon;
 use fescuewell::standin::rows::Rows;
@@ -170,11 +170,11 @@
             process_settings.instance.retry.ratio = 0.0;
         }
         process_settings.instance.retry.slack = self.retry_slack;
-        let client = Arc::new(StoreClient::new(process_settings.store));
-        let source = Arc::new(StoreSource::new(client.clone()));
+        let client = Arc::new(Client::new(process_settings.store));
+        let source = Arc::new(Reader::new(client.clone()));
         let daemon = Daemon::start(
             process_settings.instance,
-            Arc::new(PlatformProtocol::default()),
+            Arc::new(Platform::default()),
             client,
             source,
         );
--- a/tests/soak/caller.rs
+++ b/tests/soak/caller.rs
@@ -10,7 +10,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use crate::fixture::{Answer, Request, read_answer};
+use crate::fixture::{Request, Response, read_response};
 
 /// Tokens of a prompt.
 pub const PROMPT: u64 = 500;
@@ -33,7 +33,7 @@
 pub struct Note {
     pub id: String,
     pub kind: Kind,
-    pub answer: Option<Answer>,
+    pub answer: Option<Response>,
 }
 
 /// A thread that goes on until it is told to stop.
@@ -76,7 +76,7 @@
         };
         let answer = ask(&mut connection, kind, &id);
         if let Some(answer) = &answer
-            && answer.whole
+            && answer.is_complete
             && answer.header("connection") != Some("close")
         {
             kept[at] = Some(connection);
@@ -107,7 +107,7 @@
     request.with_body(b"prompt")
 }
 
-fn ask(connection: &mut TcpStream, kind: Kind, id: &str) -> Option<Answer> {
+fn ask(connection: &mut TcpStream, kind: Kind, id: &str) -> Option<Response> {
     connection.write_all(&request(kind, id).bytes()).ok()?;
-    read_answer(connection)
+    read_response(connection)
 }
--- a/tests/soak/poison.rs
+++ b/tests/soak/poison.rs
@@ -10,7 +10,7 @@
 use rand::{Rng, SeedableRng};
 
 use crate::caller::{MOST_OUTPUT, PROMPT};
-use crate::fixture::{Answer, Request, send};
+use crate::fixture::{Request, Response, send};
 
 /// Body that crashes a server.
 pub const BODY: &[u8] = b"a prompt that crashes engines";
@@ -23,7 +23,7 @@
     request.with_body(BODY)
 }
 
-pub fn is_quarantined(answer: &Answer) -> bool {
+pub fn is_quarantined(answer: &Response) -> bool {
     answer.status == 502 && answer.text().starts_with(QUARANTINED)
 }
 
--- a/tests/soak/verdict.rs
+++ b/tests/soak/verdict.rs
@@ -66,16 +66,16 @@
     if matches!(note.kind, Kind::Stream | Kind::StreamOnce) {
         let events = answer.events();
         let expected: Vec<u64> = (1..=events.len() as u64).collect();
-        let is_cut = answer.whole && events.len() as u64 != EVENTS;
+        let is_cut = answer.is_complete && events.len() as u64 != EVENTS;
         let wrong = events != expected || is_cut;
         return wrong.then(|| {
             format!(
                 "{} got the events {events:?}, whole {}",
-                note.id, answer.whole
+                note.id, answer.is_complete
             )
         });
     }
-    let wrong = answer.whole && answer.text() != format!("{} ran", note.id);
+    let wrong = answer.is_complete && answer.text() != format!("{} ran", note.id);
     wrong.then(|| format!("{} got {:?}", note.id, answer.text()))
 }
 
--- a/tests/soak/world.rs
+++ b/tests/soak/world.rs
@@ -49,7 +49,7 @@
 
 impl World {
     pub fn start(seed: u64) -> Self {
-        let platform = Fixture::platform(WORKERS, PREPAID);
+        let platform = Fixture::without_instance(WORKERS, PREPAID);
         let store = platform.store.address();
         let mut instances: Vec<Instance> = (0..INSTANCES)
             .map(|index| Instance::new(index, seed, store))
@@ -162,7 +162,7 @@
     fn revive(&self) {
         for (index, worker) in self.platform.workers.iter().enumerate() {
             if worker.has_crashed() && wait_until(|| worker.is_down()) {
-                self.platform.start_again(index);
+                self.platform.restart_server(index);
             }
         }
     }
