--- a/tests/forward/answers.rs
+++ b/tests/forward/answers.rs
@@ -235,7 +235,7 @@
 }
 
 /// Configuration of a route that considers a server silent after 200 ms and has a timeout of 20 s.
-fn with_short_silence_timeout() -> serde_json::Value {
+fn with_short_silence() -> serde_json::Value {
     let mut configuration = configuration(1, 1_000_000);
     configuration["routes"][0]["targetLatencyMs"] = 50.into();
     configuration["routes"][0]["timeoutMs"] = 20_000.into();
@@ -248,7 +248,7 @@
 #[test]
 fn a_send_is_not_given_up_without_a_repeat() {
     let mut fixture = Fixture::without_configuration(2);
-    fixture.configure(&with_short_silence_timeout());
+    fixture.configure(&with_short_silence());
     fixture.retry_slack = 0.0;
     fixture.start();
     fixture.wait_ready();
@@ -272,7 +272,7 @@
 #[test]
 fn with_a_repeat_in_hand_a_silent_server_is_given_up() {
     let mut fixture = Fixture::without_configuration(2);
-    fixture.configure(&with_short_silence_timeout());
+    fixture.configure(&with_short_silence());
     fixture.start();
     fixture.wait_ready();
     let front = fixture.front;
--- a/tests/forward/crashes.rs
+++ b/tests/forward/crashes.rs
@@ -30,7 +30,7 @@
     for number in 0..6 {
         let response = fixture.send(&stream(&format!("r-{number}"), CRASHING_PROMPT));
         assert_eq!(response.status, 502);
-        fixture.restart_crashed_servers();
+        fixture.restart_crashed();
     }
 
     assert_eq!(fixture.crashes(), 3);
@@ -53,7 +53,7 @@
 
     for number in 0..2 {
         fixture.send(&stream(&format!("r-{number}"), CRASHING_PROMPT));
-        fixture.restart_crashed_servers();
+        fixture.restart_crashed();
     }
     other.wait_quarantined(1);
     let response = other.send(&stream("r-other", CRASHING_PROMPT));
@@ -69,11 +69,11 @@
     let mut fixture = fixture();
     for number in 0..2 {
         fixture.send(&stream(&format!("r-{number}"), CRASHING_PROMPT));
-        fixture.restart_crashed_servers();
+        fixture.restart_crashed();
     }
     fixture.wait_quarantined(1);
 
-    fixture.wait_quarantine_stored();
+    fixture.wait_persisted();
     fixture.kill();
     fixture.start();
     fixture.wait_ready();
@@ -88,7 +88,7 @@
 fn a_failure_does_not_clear_a_request_that_crashes_servers() {
     let fixture = fixture();
     fixture.send(&stream("r-0", CRASHING_PROMPT));
-    fixture.restart_crashed_servers();
+    fixture.restart_crashed();
     for worker in &fixture.workers {
         worker.next(&[Behaviour::Fail]);
     }
@@ -96,7 +96,7 @@
     let failed = fixture.send(&stream("r-1", CRASHING_PROMPT));
     for number in 2..6 {
         fixture.send(&stream(&format!("r-{number}"), CRASHING_PROMPT));
-        fixture.restart_crashed_servers();
+        fixture.restart_crashed();
     }
 
     assert_eq!(failed.status, 500);
@@ -151,6 +151,6 @@
     fixture.store.remove("servers", "", &id);
     fixture.wait_server_gone(&id);
 
-    fixture.wait_not_suspected(incarnation);
+    fixture.wait_cleared(incarnation);
     fixture.wait_suspects(0);
 }
--- a/tests/forward/eras.rs
+++ b/tests/forward/eras.rs
@@ -1,4 +1,4 @@
-//! Tests of a store that is restored from a backup some seconds old, through the whole forwarding path.
+//! Tests of a store that is restored from a snapshot some seconds old, through the whole forwarding path.
 
 use fescuewell::standin::rows::{Copy, Fault};
 use fescuewell::standin::worker::wait_until;
@@ -11,10 +11,10 @@
         .with_body(b"")
 }
 
-/// Makes the store unavailable and restores it from a backup.
-fn restore_from_backup(fixture: &Fixture, backup: &Copy) {
+/// Makes the store unavailable and restores it from a snapshot.
+fn restore(fixture: &Fixture, snapshot: &Copy) {
     fixture.store.set_fault(Fault::Reset);
-    fixture.store.restore(backup);
+    fixture.store.restore(snapshot);
     fixture.store.set_fault(Fault::None);
 }
 
@@ -31,14 +31,14 @@
     gateway.state().quota.era()
 }
 
-/// Guards against spending tokens twice: most of them are spent, the store is restored from an earlier backup, and the
-/// restarted instance reads the rows and the journal of that backup.
+/// Guards against spending tokens twice: most of them are spent, the store is restored from an earlier snapshot, and the
+/// restarted instance reads the rows and the journal of that snapshot.
 #[test]
 fn tokens_spent_since_the_copy_are_not_spent_again() {
     let mut fixture = Fixture::ready(1, 10_000);
-    let backup = fixture.store.copy();
+    let snapshot = fixture.store.copy();
     assert_eq!(fixture.send(&stream("r-1", 8_000)).status, 200);
-    restore_from_backup(&fixture, &backup);
+    restore(&fixture, &snapshot);
 
     fixture.kill();
     fixture.start();
@@ -53,10 +53,10 @@
 #[test]
 fn an_instance_goes_on_in_the_new_era() {
     let fixture = Fixture::ready(1, 100_000);
-    let backup = fixture.store.copy();
+    let snapshot = fixture.store.copy();
     assert_eq!(fixture.send(&stream("r-1", 8_000)).status, 200);
 
-    restore_from_backup(&fixture, &backup);
+    restore(&fixture, &snapshot);
 
     assert!(wait_until(|| era(&fixture) == 1));
     let is_served = || fixture.send(&stream("r-2", 60_000)).status == 200;
@@ -69,16 +69,16 @@
     );
 }
 
-/// Guards against serving an older configuration again when the store is restored from a backup that lacks the active
+/// Guards against serving an older configuration again when the store is restored from a snapshot that lacks the active
 /// one and the operator writes it again only later.
 #[test]
 fn a_configuration_does_not_revert_with_the_store() {
     let fixture = Fixture::ready(1, 100_000);
-    let backup = fixture.store.copy();
+    let snapshot = fixture.store.copy();
     fixture.configure(&configuration(2, 100_000));
     assert!(wait_until(|| fixture.version() == 2));
 
-    restore_from_backup(&fixture, &backup);
+    restore(&fixture, &snapshot);
     assert!(wait_until(|| era(&fixture) == 1));
     assert_eq!(fixture.version(), 2);
     fixture.configure(&configuration(3, 100_000));
@@ -86,16 +86,16 @@
     assert!(wait_until(|| fixture.version() == 3));
 }
 
-/// Guards against sending requests to a draining server whose update is lost by a restore: the backup lists it as ready
+/// Guards against sending requests to a draining server whose update is lost by a restore: the snapshot lists it as ready
 /// until it writes its entry again.
 #[test]
 fn a_server_that_leaves_gets_no_work_from_a_copy_of_the_list() {
     let fixture = Fixture::ready(2, 100_000);
-    let backup = fixture.store.copy();
+    let snapshot = fixture.store.copy();
     fixture.register(0, "draining");
     fixture.wait_server("i-0", false);
 
-    restore_from_backup(&fixture, &backup);
+    restore(&fixture, &snapshot);
     assert!(wait_until(|| era(&fixture) == 1));
     fixture.register(1, "ready");
     for number in 0..20 {
@@ -111,12 +111,12 @@
 #[test]
 fn a_server_that_leaves_in_the_new_era_is_noticed() {
     let fixture = Fixture::ready(2, 100_000);
-    let backup = fixture.store.copy();
+    let snapshot = fixture.store.copy();
     for _ in 0..50 {
         fixture.register(0, "ready");
     }
 
-    restore_from_backup(&fixture, &backup);
+    restore(&fixture, &snapshot);
     fixture.register(0, "draining");
 
     fixture.wait_server("i-0", false);
@@ -127,11 +127,11 @@
 #[test]
 fn an_evacuation_outlives_the_return_of_a_copy() {
     let fixture = Fixture::ready(1, 100_000);
-    let backup = fixture.store.copy();
+    let snapshot = fixture.store.copy();
     fixture.store.put("op", "", "evacuate/a", b"{}");
     fixture.wait_server("i-0", false);
 
-    restore_from_backup(&fixture, &backup);
+    restore(&fixture, &snapshot);
     assert!(wait_until(|| era(&fixture) == 1));
     let refused = fixture.send(&Request::new("GET /safe/x", "r-1"));
     fixture.store.put("op", "", "evacuate/a", b"{}");
--- a/tests/forward/fixture.rs
+++ b/tests/forward/fixture.rs
@@ -201,7 +201,7 @@
 
     /// Restarts all crashed backend servers under the same names and waits until the instance lists their new
     /// incarnations.
-    pub fn restart_crashed_servers(&self) {
+    pub fn restart_crashed(&self) {
         for (index, worker) in self.workers.iter().enumerate() {
             if !worker.has_crashed() {
                 continue;
@@ -264,7 +264,7 @@
     }
 
     /// Waits until the directory returns the address of the instance to callers.
-    pub fn wait_in_directory(&self) {
+    pub fn wait_advertised(&self) {
         let daemon = self.daemon.as_ref().unwrap();
         let is_named = || daemon.gateway().state().directory.is_named(self.name);
         assert!(
@@ -328,7 +328,7 @@
     }
 
     /// Waits until an incarnation of a backend server is no longer suspected of a crash.
-    pub fn wait_not_suspected(&self, incarnation: Incarnation) {
+    pub fn wait_cleared(&self, incarnation: Incarnation) {
         let gateway = self.daemon.as_ref().unwrap().gateway();
         let is_reached = || !gateway.state().crashes.is_suspected(incarnation);
         assert!(wait_until(is_reached), "the server is still suspected");
@@ -342,7 +342,7 @@
     }
 
     /// Waits until the store holds a quarantine.
-    pub fn wait_quarantine_stored(&self) {
+    pub fn wait_persisted(&self) {
         let is_reached = || !self.store.table("quarantine").is_empty();
         assert!(
             wait_until(is_reached),
--- a/tests/forward/zones.rs
+++ b/tests/forward/zones.rs
@@ -77,7 +77,7 @@
     fixture.start();
     fixture.wait_ready();
     // Only an instance that the directory returns to callers sends requests to cold servers.
-    fixture.wait_in_directory();
+    fixture.wait_advertised();
 
     let first = fixture.send(&safe_request("r-1"));
     let second = fixture.send(&safe_request("r-2"));
