--- /dev/null
+++ b/crates/fescuewell_gateway/src/control/sync.rs
@@ -0,0 +1,165 @@
+//! Schedules the synchronization of grants, journal and membership with the store.
+//!
+//! There are two kinds of transactions. The *journal* of this instance and its member row are
+//! written by this instance only. The *ledgers* of the client accounts are updated by all
+//! instances, with version preconditions.
+//!
+//! Three loops run concurrently, so that none blocks another: the journal, draws for waiting
+//! requests, and the reconciliation of all accounts with the heartbeat. In a single loop, a journal
+//! that requests wait for is delayed by the conflicts of a reconciliation, and a holder with tokens
+//! refuses those requests.
+
+use std::time::Duration;
+
+use tokio::time::Instant;
+
+use super::Control;
+use super::fence::enter_era;
+use super::journal::{adopt, renew_journal};
+use super::ledger::{read_ledgers, reconcile};
+use super::lending;
+use super::members::{read_members, write_heartbeat};
+use super::overdue::is_overdue;
+use super::watch::advance_stage;
+
+/// Interval between two journals in a small fleet. After a restart, the consumption is known as of
+/// the last journal.
+const JOURNAL_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval between two journals while this instance holds no tokens.
+const IDLE_JOURNAL_INTERVAL: Duration = Duration::from_secs(4);
+/// Number of missed heartbeats after which a member counts as absent.
+const MAX_MISSED_HEARTBEATS: u32 = 4;
+/// Interval between two reconciliations in a small fleet.
+const RECONCILE_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Number of reconciliation intervals for which a ledger read from the store proves that an account
+/// is exhausted.
+const FRESHNESS_INTERVALS: f64 = 2.5;
+/// Minimum interval between two draws for waiting requests.
+const MIN_DRAW_INTERVAL: Duration = Duration::from_millis(40);
+/// Minimum interval between two journals for waiting requests.
+const MIN_JOURNAL_INTERVAL: Duration = Duration::from_millis(15);
+/// Number of minimum journal intervals whose demand a journal permits at once.
+const BURST_INTERVALS: u32 = 2;
+/// Fraction of the store's write capacity that all journals may use together.
+const WRITE_SHARE: f64 = 0.4;
+/// Fraction of one partition's write capacity that all heartbeats, and all reconciliations, may
+/// use.
+const PARTITION_SHARE: f64 = 0.3;
+
+/// Synchronizes grants, journal and membership with the store.
+pub(super) async fn run(control: &Control) {
+    adopt(control).await;
+    // Must run before the instance is ready, and before its own heartbeat overwrites the member row
+    // of its previous process.
+    read_members(control).await;
+    advance_stage(control);
+    lending::load_key(control).await;
+    tokio::join!(
+        journal_loop(control),
+        draw_loop(control),
+        reconcile_loop(control)
+    );
+}
+
+/// Renews the journal periodically, and at once when a request waits for it.
+async fn journal_loop(control: &Control) {
+    let gateway = &control.gateway;
+    let mut written_at = Instant::now();
+    let mut next = written_at;
+    loop {
+        let wanted = control.inbox.journal_requests.recv_async();
+        let is_wanted = matches!(tokio::time::timeout_at(next, wanted).await, Ok(Ok(())));
+        let min_interval = min_journal_interval(control);
+        if is_wanted && !is_overdue(control) {
+            // An overdue journal is not delayed: a kill now would be charged for all of that time.
+            tokio::time::sleep_until(written_at + min_interval).await;
+        }
+        let idle = gateway.state().quota.is_depleted();
+        let interval = if idle {
+            IDLE_JOURNAL_INTERVAL
+        } else {
+            JOURNAL_INTERVAL
+        };
+        let burst_ms = (min_interval * BURST_INTERVALS).as_millis() as u64;
+        gateway.state().quota.set_burst(burst_ms);
+        if enter_era(control).await {
+            renew_journal(control).await;
+        }
+        written_at = Instant::now();
+        next = written_at + control.jitter(interval.max(fair_journal_interval(control)));
+        gateway.notify_token_changes();
+    }
+}
+
+/// Draws tokens for waiting requests, and returns all tokens when the instance leaves.
+async fn draw_loop(control: &Control) {
+    let gateway = &control.gateway;
+    while control.inbox.plan_requests.recv_async().await.is_ok() {
+        let is_leaving = gateway.is_draining();
+        let names = match is_leaving {
+            true => gateway.state().quota.prepaid_accounts(),
+            false => gateway.state().quota.short_accounts(),
+        };
+        if enter_era(control).await {
+            reconcile(control, &names).await;
+        }
+        if is_leaving {
+            renew_journal(control).await;
+        }
+        gateway.notify_token_changes();
+        tokio::time::sleep(MIN_DRAW_INTERVAL).await;
+    }
+}
+
+/// Writes the heartbeat, reads the members, and reconciles all grants.
+async fn reconcile_loop(control: &Control) {
+    let gateway = &control.gateway;
+    for round in 0.. {
+        let interval = control.jitter(RECONCILE_INTERVAL.max(fair_partition_interval(control)));
+        let next = Instant::now() + interval;
+        write_heartbeat(control).await;
+        read_members(control).await;
+        gateway.update_gate();
+        if enter_era(control).await {
+            read_ledgers(control, round).await;
+            let names = gateway.state().quota.prepaid_accounts();
+            reconcile(control, &names).await;
+        }
+        lending::load_key(control).await;
+        set_staleness(control, interval);
+        tokio::time::sleep_until(next).await;
+    }
+}
+
+/// Adapts the staleness limits to the interval at which the data is renewed.
+fn set_staleness(control: &Control, interval: Duration) {
+    let mut state = control.gateway.state();
+    let lapse = interval * MAX_MISSED_HEARTBEATS;
+    state.directory.set_lapse(lapse.as_millis() as u64);
+    let fresh = interval.mul_f64(FRESHNESS_INTERVALS);
+    state.quota.set_max_age(fresh.as_millis() as u64);
+}
+
+/// Returns the minimum interval between two journals of one instance while requests wait for them.
+fn min_journal_interval(control: &Control) -> Duration {
+    MIN_JOURNAL_INTERVAL.max(fair_journal_interval(control))
+}
+
+/// Returns the journal interval at which the whole fleet stays within its share of the store's
+/// writes. Each journal has its own partition.
+///
+/// With the limit of a single partition instead, the journals of a large fleet are seconds apart,
+/// and an outage that starts in between finds promises made for earlier demand.
+fn fair_journal_interval(control: &Control) -> Duration {
+    let gateway = &control.gateway;
+    let instances = gateway.state().directory.count() as f64;
+    Duration::from_secs_f64(instances / (gateway.settings.writes_per_s * WRITE_SHARE))
+}
+
+/// Returns the interval between writes to one partition at which the whole fleet stays within its
+/// share of that partition.
+fn fair_partition_interval(control: &Control) -> Duration {
+    let gateway = &control.gateway;
+    let instances = gateway.state().directory.count() as f64;
+    Duration::from_secs_f64(instances / (gateway.settings.partition_writes_per_s * PARTITION_SHARE))
+}
