--- a/crates/fescuewell_gateway/src/control.rs
+++ b/crates/fescuewell_gateway/src/control.rs
@@ -141,8 +141,8 @@
     /// Applies jitter to an interval, so that instances that start together do not keep calling at
     /// the same time.
     fn jitter(&self, time: Duration) -> Duration {
-        let part = self.gateway.draw() as f64 / u64::MAX as f64;
-        time.mul_f64(JITTER_MIN + (JITTER_MAX - JITTER_MIN) * part)
+        let fraction = self.gateway.draw() as f64 / u64::MAX as f64;
+        time.mul_f64(JITTER_MIN + (JITTER_MAX - JITTER_MIN) * fraction)
     }
 
     /// Logs a call that failed while the store was known to be down.
--- a/crates/fescuewell_gateway/src/control/fence.rs
+++ b/crates/fescuewell_gateway/src/control/fence.rs
@@ -53,12 +53,12 @@
     if control.store.era() == former {
         return true;
     }
-    let readings = (
+    let responses = (
         read(control, LEDGER_TABLE, LEDGER_PARTITION).await,
         read_fence(control).await,
         read_journal(control, CALL_TIMEOUT).await,
     );
-    let (Ok(ledgers), Ok(fence), Ok(journals)) = readings else {
+    let (Ok(ledgers), Ok(fence), Ok(journals)) = responses else {
         return false;
     };
     let era = version::era(journals.version);
--- a/crates/fescuewell_gateway/src/control/peers.rs
+++ b/crates/fescuewell_gateway/src/control/peers.rs
@@ -15,7 +15,8 @@
 
 /// Minimum interval between two load reports.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(10);
-/// Number of peers up to which that interval applies; it grows with more peers, so that the bandwidth stays constant.
+/// Number of peers up to which that interval applies. With more peers it grows, so that the bandwidth
+/// stays constant.
 const PEERS_AT_MIN_INTERVAL: u32 = 4;
 /// Interval after which an unchanged report is repeated, to repair losses.
 const REPEAT_INTERVAL: Duration = Duration::from_millis(500);
@@ -69,8 +70,8 @@
                 let _ = socket.try_send_to(&bytes, *peer);
             }
         }
-        let parts = peers.len() as u32 / PEERS_AT_MIN_INTERVAL;
-        tokio::time::sleep(MIN_REPORT_INTERVAL * parts.max(1)).await;
+        let factor = peers.len() as u32 / PEERS_AT_MIN_INTERVAL;
+        tokio::time::sleep(MIN_REPORT_INTERVAL * factor.max(1)).await;
     }
 }
 
--- a/crates/fescuewell_gateway/src/control/sync.rs
+++ b/crates/fescuewell_gateway/src/control/sync.rs
@@ -149,7 +149,7 @@
 /// writes. Each journal has its own partition.
 ///
 /// With the limit of a single partition instead, the journals of a large fleet are seconds apart,
-/// and an outage that starts in between finds promises made for earlier demand.
+/// and an outage that starts in between leaves the limits that fitted earlier demand.
 fn fair_journal_interval(control: &Control) -> Duration {
     let gateway = &control.gateway;
     let instances = gateway.state().directory.count() as f64;
