--- a/crates/fescuewell_demo/src/forward.rs
+++ b/crates/fescuewell_demo/src/forward.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fescuewell_adapter::dialect::Wire;
-use fescuewell_adapter::rows::Rows as Client;
-use fescuewell_adapter::source::Registry;
+use fescuewell_adapter::dialect::Platform;
+use fescuewell_adapter::rows::Client;
+use fescuewell_adapter::source::Reader;
 use fescuewell_gateway::daemon::{self, Daemon};
 use fescuewell_gateway::settings::Settings;
 use fescuewell_http::listener;
@@ -82,8 +82,8 @@
             settings.grace_period = GRACE;
             settings.directory = (index == 0).then_some(directory);
             let rows = Arc::new(Client::new(store.address()));
-            let source = Arc::new(Registry::new(rows.clone()));
-            let daemon = Daemon::start(settings, Arc::new(Wire::default()), rows, source);
+            let source = Arc::new(Reader::new(rows.clone()));
+            let daemon = Daemon::start(settings, Arc::new(Platform::default()), rows, source);
             daemons.push(daemon.context(InstanceSnafu)?);
         }
         Ok(Self {
--- a/crates/fescuewell_gateway/src/control/fence.rs
+++ b/crates/fescuewell_gateway/src/control/fence.rs
@@ -34,7 +34,7 @@
             continue;
         }
         if let Some(fence) = decode_fence(row) {
-            quota.learn_fence(row.version, fence);
+            quota.observe_fence(row.version, fence);
         }
     }
 }
@@ -78,7 +78,7 @@
         .and_then(|row| Some((row.version, decode_journal(row)?)));
     let now_ms = gateway.now_ms();
     let mut state = gateway.state();
-    state.quota.restore(era, journal, rows, now_ms);
+    state.quota.resync(era, journal, rows, now_ms);
     apply_fence(&mut state.quota, &fence);
     log_event!(Event::StoreRestored, "era={era} before={former}");
     true
@@ -104,7 +104,7 @@
     let mut state = control.gateway.state();
     match outcome {
         Ok(Outcome::Committed { version, .. }) => {
-            if let Some(missed) = &fence.missed {
+            if let Some(missed) = &fence.unconfirmed {
                 log_event!(
                     Event::EraSettled,
                     "era={} missed={}",
@@ -112,7 +112,7 @@
                     missed.join(",")
                 );
             }
-            state.quota.learn_fence(version, fence);
+            state.quota.observe_fence(version, fence);
         }
         Ok(Outcome::Conflict(response)) => apply_fence(&mut state.quota, &response),
         // `call` has recorded the failure; the next reconciliation retries.
--- a/crates/fescuewell_gateway/src/control/journal.rs
+++ b/crates/fescuewell_gateway/src/control/journal.rs
@@ -81,7 +81,7 @@
     }
     let journal = {
         let quota = &mut gateway.state().quota;
-        quota.set_first(gateway.settings.is_first_start);
+        quota.set_first_start(gateway.settings.is_first_start);
         quota.begin_era(era, now_ms);
         apply_fence(quota, &fence);
         quota.adopt(known.as_ref(), version, rows, ended_ms, now_ms)
@@ -106,7 +106,10 @@
         let Some(before) = known.and_then(|known| known.entry(&entry.account)) else {
             continue;
         };
-        let granted = state.quota.view(&entry.account).map_or(0, Account::granted);
+        let granted = state
+            .quota
+            .account(&entry.account)
+            .map_or(0, Account::granted);
         log_event!(
             Event::AllowanceReclaimed,
             "account={} recorded={} charged={} granted={granted}",
@@ -129,7 +132,7 @@
     let now_ms = control.gateway.now_ms();
     let before = control.gateway.state().quota.exposure(now_ms);
     // A journal whose reply was lost is resent unchanged, with the time of the first attempt.
-    let is_resend = control.gateway.state().quota.is_journal_unanswered();
+    let is_resend = control.gateway.state().quota.is_journal_pending();
     if !write_current(control).await {
         return;
     }
@@ -150,7 +153,7 @@
 
 async fn write_current(control: &Control) -> bool {
     let now_ms = control.gateway.now_ms();
-    let journal = control.gateway.state().quota.journal(now_ms);
+    let journal = control.gateway.state().quota.next_journal(now_ms);
     write_journal(control, &journal).await
 }
 
@@ -171,7 +174,7 @@
             version,
             now_ms: store_ms,
         }) => {
-            state.quota.clock(store_ms, now_ms);
+            state.quota.observe_clock(store_ms, now_ms);
             state.quota.journal_written(journal, version);
             true
         }
@@ -183,14 +186,14 @@
                     continue;
                 };
                 let was_adopted = state.quota.is_adopted();
-                if !state.quota.journal_found(&found, row.version) && was_adopted {
+                if !state.quota.resolve_conflict(&found, row.version) && was_adopted {
                     log_event!(Event::JournalLost, "incarnation={}", found.incarnation);
                 }
             }
             state.quota.is_adopted()
         }
         Err(Error::NotApplied { .. }) => {
-            state.quota.journal_dropped();
+            state.quota.journal_rejected();
             false
         }
         Err(_) => {
--- a/crates/fescuewell_gateway/src/control/ledger.rs
+++ b/crates/fescuewell_gateway/src/control/ledger.rs
@@ -44,7 +44,7 @@
             continue;
         };
         let name = row.id.key.clone();
-        quota.learn(&name, row.version, ledger, response.now_ms);
+        quota.observe_ledger(&name, row.version, ledger, response.now_ms);
     }
 }
 
@@ -55,7 +55,7 @@
 pub(super) async fn read_ledgers(control: &Control, round: u64) {
     let names = {
         let now_ms = control.gateway.now_ms();
-        control.gateway.state().quota.names_in_use(now_ms)
+        control.gateway.state().quota.active_accounts(now_ms)
     };
     if names.len() > MAX_SINGLE_READS || round.is_multiple_of(FULL_READ_PERIOD) {
         let Ok(response) = read(control, LEDGER_TABLE, LEDGER_PARTITION).await else {
@@ -138,18 +138,18 @@
             version,
             now_ms: store_ms,
         }) => {
-            state.quota.clock(store_ms, now_ms);
+            state.quota.observe_clock(store_ms, now_ms);
             for update in updates {
                 log_change(&state.quota, &update.account, &update.ledger);
                 let ledger = update.ledger.clone();
                 state
                     .quota
-                    .learn(&update.account, version, ledger, store_ms);
+                    .observe_ledger(&update.account, version, ledger, store_ms);
             }
             Some(true)
         }
         Ok(Outcome::Conflict(response)) => {
-            state.quota.clock(response.now_ms, now_ms);
+            state.quota.observe_clock(response.now_ms, now_ms);
             apply_rows(&mut state.quota, &response);
             Some(false)
         }
@@ -159,7 +159,7 @@
 
 /// Logs a change of this instance's grant.
 fn log_change(quota: &Quota, name: &str, ledger: &Ledger) {
-    let Some(account) = quota.view(name) else {
+    let Some(account) = quota.account(name) else {
         return;
     };
     let before = account.granted();
--- a/crates/fescuewell_gateway/src/control/lending.rs
+++ b/crates/fescuewell_gateway/src/control/lending.rs
@@ -8,7 +8,7 @@
 
 use fescuewell_core::log_event;
 use fescuewell_core::prelude::*;
-use fescuewell_forward::loan::{Answer, Ask, Borrower, Lender};
+use fescuewell_forward::loan::{self, Borrower, Lender};
 use fescuewell_forward::message::{Key, Message};
 use fescuewell_forward::version;
 use rand::TryRngCore;
@@ -19,7 +19,7 @@
 
 use super::Control;
 use super::rows::{log_unreadable, read, row_id};
-use crate::gateway::Shortage;
+use crate::gateway::BorrowRequest;
 use crate::store::{Outcome, Row, Transaction};
 
 /// Table of the fleet key.
@@ -107,7 +107,7 @@
 /// A request whose tokens are being borrowed.
 #[derive(Debug)]
 struct PendingLoan {
-    shortage: Shortage,
+    shortage: BorrowRequest,
     lenders: VecDeque<Arc<str>>,
     /// The lender that was asked last, and the deadline for its reply.
     lender: Arc<str>,
@@ -124,7 +124,7 @@
     pending: RefCell<HashMap<u64, PendingLoan>>,
     request_sent: Notify,
     /// Loan requests that wait for a journal, with their senders.
-    deferred: RefCell<Vec<(Ask, SocketAddr)>>,
+    deferred: RefCell<Vec<(loan::Request, SocketAddr)>>,
     deferred_added: Notify,
 }
 
@@ -152,7 +152,7 @@
     }
 
     async fn handle_shortages(&self) {
-        while let Ok(shortage) = self.control.inbox.shortages.recv_async().await {
+        while let Ok(shortage) = self.control.inbox.borrow_requests.recv_async().await {
             let now_ms = self.control.gateway.now_ms();
             let lenders = {
                 let state = self.control.gateway.state();
@@ -165,7 +165,7 @@
     }
 
     /// Sends a loan request to the next lender, or fails the shortage if there is none.
-    fn request_next(&self, shortage: Shortage, mut lenders: VecDeque<Arc<str>>) {
+    fn request_next(&self, shortage: BorrowRequest, mut lenders: VecDeque<Arc<str>>) {
         let gateway = &self.control.gateway;
         let Some(key) = gateway.fleet_key() else {
             return complete(shortage, false);
@@ -177,13 +177,13 @@
         }
         let prefetch = self.prefetch(&shortage, now_ms);
         while let Some(lender) = lenders.pop_front() {
-            let id = gateway.draw();
+            let id = gateway.random_u64();
             let state = gateway.state();
             let Some(address) = state.directory.peer(&lender) else {
                 continue;
             };
             let mut borrower = self.borrower.borrow_mut();
-            let ask = borrower.ask(
+            let ask = borrower.request(
                 &state.quota,
                 &shortage.account,
                 (missing, prefetch),
@@ -245,7 +245,9 @@
         let now_ms = gateway.now_ms();
         let account = &request.shortage.account;
         let mut state = gateway.state();
-        state.quota.lender_said(account, &request.lender, 0, now_ms);
+        state
+            .quota
+            .record_report(account, &request.lender, 0, now_ms);
     }
 
     fn try_next(&self, request: PendingLoan) {
@@ -255,7 +257,7 @@
     /// Returns the tokens to request beyond the shortage, so that the next requests need no loan.
     /// During an outage lenders can give only what their journals cover, and that is left to
     /// requests that need it now.
-    fn prefetch(&self, shortage: &Shortage, now_ms: u64) -> u64 {
+    fn prefetch(&self, shortage: &BorrowRequest, now_ms: u64) -> u64 {
         let gateway = &self.control.gateway;
         let requests = self.pending.borrow();
         let mut others = requests.values();
@@ -263,20 +265,23 @@
         {
             return 0;
         }
-        let demand = gateway.state().quota.demand(&shortage.account, now_ms);
+        let demand = gateway
+            .state()
+            .quota
+            .demand_per_s(&shortage.account, now_ms);
         demand * PREFETCH_MS / 1_000
     }
 
     /// Handles a loan request, either at once or after a journal that raises the limit for it.
-    pub(super) fn handle_request(&self, key: &Key, ask: Ask, from: SocketAddr) {
+    pub(super) fn handle_request(&self, key: &Key, ask: loan::Request, from: SocketAddr) {
         let gateway = &self.control.gateway;
         let now_ms = gateway.now_ms();
-        if gateway.is_store_up() && gateway.state().quota.make_room(&ask, now_ms) {
+        if gateway.is_store_up() && gateway.state().quota.admit_loan(&ask, now_ms) {
             let mut deferred = self.deferred.borrow_mut();
             if deferred.len() < MAX_DEFERRED {
                 deferred.push((ask, from));
                 self.deferred_added.notify_one();
-                gateway.want_journal();
+                gateway.request_journal();
                 return;
             }
         }
@@ -286,7 +291,7 @@
     /// Replies to the loan requests that wait for a journal.
     async fn reply_deferred(&self) {
         let gateway = &self.control.gateway;
-        let mut plans = gateway.plans();
+        let mut plans = gateway.token_changes();
         loop {
             self.deferred_added.notified().await;
             plans.mark_unchanged();
@@ -303,11 +308,11 @@
         }
     }
 
-    fn send_reply(&self, key: &Key, ask: &Ask, from: SocketAddr, now_ms: u64) {
+    fn send_reply(&self, key: &Key, ask: &loan::Request, from: SocketAddr, now_ms: u64) {
         let answer = {
             let mut state = self.control.gateway.state();
             let mut lender = self.lender.borrow_mut();
-            lender.answer(&mut state.quota, ask, now_ms)
+            lender.respond(&mut state.quota, ask, now_ms)
         };
         let Some(answer) = answer else { return };
         log_event!(
@@ -315,8 +320,8 @@
             "account={} tokens={} wanted={} left={}",
             ask.account,
             answer.tokens,
-            ask.tokens,
-            answer.left
+            ask.wanted_tokens,
+            answer.remaining
         );
         let bytes = key.seal(&Message::Answer(answer));
         // If the reply is lost, its tokens count as consumed although nobody spends them.
@@ -324,16 +329,16 @@
     }
 
     /// Handles a lender's reply.
-    pub(super) fn handle_reply(&self, answer: &Answer) {
+    pub(super) fn handle_reply(&self, answer: &loan::Response) {
         let now_ms = self.control.gateway.now_ms();
         {
             let mut state = self.control.gateway.state();
             let mut borrower = self.borrower.borrow_mut();
-            borrower.take(&mut state.quota, answer, now_ms);
+            borrower.accept(&mut state.quota, answer, now_ms);
         }
         // Other requests of the account may be waiting for the same tokens, also after a late
         // reply.
-        self.control.gateway.notify_planned();
+        self.control.gateway.notify_token_changes();
         let request = self.pending.borrow_mut().remove(&answer.id);
         let Some(request) = request else { return };
         match self.missing(&request.shortage, now_ms) {
@@ -342,14 +347,14 @@
         }
     }
 
-    fn missing(&self, shortage: &Shortage, now_ms: u64) -> u64 {
+    fn missing(&self, shortage: &BorrowRequest, now_ms: u64) -> u64 {
         let state = self.control.gateway.state();
         let quota = &state.quota;
-        quota.missing(&shortage.account, shortage.tokens, now_ms)
+        quota.shortfall(&shortage.account, shortage.tokens, now_ms)
     }
 }
 
-fn complete(shortage: Shortage, has_tokens: bool) {
+fn complete(shortage: BorrowRequest, has_tokens: bool) {
     // The request may be gone; its tokens stay with the account.
     let _ = shortage.reply.send(has_tokens);
 }
--- a/crates/fescuewell_gateway/src/control/members.rs
+++ b/crates/fescuewell_gateway/src/control/members.rs
@@ -10,7 +10,7 @@
 
 use super::rows::{FLEET_PARTITION, log_unreadable, read, row_id};
 use super::{CALL_TIMEOUT, Control};
-use crate::gateway::{ARRIVALS_S, Gateway, State};
+use crate::gateway::{ARRIVAL_WINDOW_S, Gateway, State};
 use crate::settings::Settings;
 use crate::store::Transaction;
 
@@ -29,7 +29,7 @@
     let mut transaction = Transaction::default();
     // Keep the row if callers were sent away: the next process reads it and stays unready, or they
     // would come back at once.
-    if gateway.is_leaving() && member.out_until_ms == 0 {
+    if gateway.is_draining() && member.out_until_ms == 0 {
         transaction.deletes.push(id);
     } else {
         transaction.puts.push((id, member.encode()));
@@ -45,17 +45,17 @@
     let now_ms = gateway.now_ms();
     let mut state = gateway.state();
     let store_ms = state.quota.store_time(now_ms);
-    let heartbeat = state.quota.sign();
+    let heartbeat = state.quota.status();
     Member {
         address: settings.front,
         peer: settings.peer,
         zone: settings.zone.clone(),
         weight: weight(settings),
-        requests: state.arrivals.sum(now_ms) as u32 / ARRIVALS_S,
+        requests: state.arrivals.sum(now_ms) as u32 / ARRIVAL_WINDOW_S,
         usage: state.quota.usage(now_ms),
         era: heartbeat.era,
-        is_certain: heartbeat.is_certain,
-        at_ms: if gateway.is_leaving() { 0 } else { store_ms },
+        is_certain: heartbeat.knows_grants,
+        at_ms: if gateway.is_draining() { 0 } else { store_ms },
         out_until_ms: match state.admission.unready_left_ms(now_ms) {
             0 => 0,
             left_ms => store_ms + left_ms,
@@ -96,7 +96,7 @@
     state.directory.replace_in(era, members, response.now_ms);
     let signs = state.directory.signs();
     let lapse_ms = state.directory.lapse_ms();
-    state.quota.hear(signs, lapse_ms);
+    state.quota.set_statuses(signs, lapse_ms);
     update_admission(&mut state, &control.gateway.settings.name, now_ms);
     let after: Vec<Arc<str>> = state
         .directory
--- a/crates/fescuewell_gateway/src/control/rows.rs
+++ b/crates/fescuewell_gateway/src/control/rows.rs
@@ -34,7 +34,11 @@
     let call = control.store.read_row(id);
     let response = control.call(&id.table, CALL_TIMEOUT, call).await?;
     let now_ms = control.gateway.now_ms();
-    control.gateway.state().quota.clock(response.now_ms, now_ms);
+    control
+        .gateway
+        .state()
+        .quota
+        .observe_clock(response.now_ms, now_ms);
     Ok(response)
 }
 
@@ -48,7 +52,11 @@
     let call = control.store.read(table, partition);
     let response = control.call(table, limit, call).await?;
     let now_ms = control.gateway.now_ms();
-    control.gateway.state().quota.clock(response.now_ms, now_ms);
+    control
+        .gateway
+        .state()
+        .quota
+        .observe_clock(response.now_ms, now_ms);
     Ok(response)
 }
 
--- a/crates/fescuewell_gateway/src/control/sync.rs
+++ b/crates/fescuewell_gateway/src/control/sync.rs
@@ -67,14 +67,14 @@
     let mut written_at = Instant::now();
     let mut next = written_at;
     loop {
-        let wanted = control.inbox.journals.recv_async();
+        let wanted = control.inbox.journal_requests.recv_async();
         let is_wanted = matches!(tokio::time::timeout_at(next, wanted).await, Ok(Ok(())));
         let min_interval = min_journal_interval(control);
         if is_wanted && !is_overdue(control) {
             // An overdue journal is not delayed: a kill now would be charged for all of that time.
             tokio::time::sleep_until(written_at + min_interval).await;
         }
-        let idle = gateway.state().quota.is_idle();
+        let idle = gateway.state().quota.is_depleted();
         let interval = if idle {
             IDLE_JOURNAL_INTERVAL
         } else {
@@ -87,18 +87,18 @@
         }
         written_at = Instant::now();
         next = written_at + control.jitter(interval.max(fair_journal_interval(control)));
-        gateway.notify_planned();
+        gateway.notify_token_changes();
     }
 }
 
 /// Draws tokens for waiting requests, and returns all tokens when the instance leaves.
 async fn draw_loop(control: &Control) {
     let gateway = &control.gateway;
-    while control.inbox.plans.recv_async().await.is_ok() {
-        let is_leaving = gateway.is_leaving();
+    while control.inbox.plan_requests.recv_async().await.is_ok() {
+        let is_leaving = gateway.is_draining();
         let names = match is_leaving {
-            true => gateway.state().quota.names(),
-            false => gateway.state().quota.short_names(),
+            true => gateway.state().quota.prepaid_accounts(),
+            false => gateway.state().quota.short_accounts(),
         };
         if enter_era(control).await {
             reconcile(control, &names).await;
@@ -106,7 +106,7 @@
         if is_leaving {
             renew_journal(control).await;
         }
-        gateway.notify_planned();
+        gateway.notify_token_changes();
         tokio::time::sleep(MIN_DRAW_INTERVAL).await;
     }
 }
@@ -119,10 +119,10 @@
         let next = Instant::now() + interval;
         write_heartbeat(control).await;
         read_members(control).await;
-        gateway.tend_gate();
+        gateway.update_gate();
         if enter_era(control).await {
             read_ledgers(control, round).await;
-            let names = gateway.state().quota.names();
+            let names = gateway.state().quota.prepaid_accounts();
             reconcile(control, &names).await;
         }
         lending::load_key(control).await;
@@ -137,7 +137,7 @@
     let lapse = interval * MAX_MISSED_HEARTBEATS;
     state.directory.set_lapse(lapse.as_millis() as u64);
     let fresh = interval.mul_f64(FRESHNESS_INTERVALS);
-    state.quota.set_fresh(fresh.as_millis() as u64);
+    state.quota.set_max_age(fresh.as_millis() as u64);
 }
 
 /// Returns the minimum interval between two journals of one instance while requests wait for them.
--- a/crates/fescuewell_gateway/src/control/watch.rs
+++ b/crates/fescuewell_gateway/src/control/watch.rs
@@ -158,7 +158,7 @@
 fn apply_configuration(control: &Control, store_ms: u64, configuration: Option<Configuration>) {
     let gateway = &control.gateway;
     let now_ms = gateway.now_ms();
-    gateway.state().quota.clock(store_ms, now_ms);
+    gateway.state().quota.observe_clock(store_ms, now_ms);
     let Some(configuration) = configuration else {
         return;
     };
@@ -179,14 +179,14 @@
     {
         let mut state = gateway.state();
         for tenant in &configuration.tenants {
-            state.quota.prepaid(&tenant.name, tenant.prepaid);
+            state.quota.set_prepaid(&tenant.name, tenant.prepaid);
         }
         let services = configuration.services.iter();
         let warmups = services.filter_map(|service| Some((service.name.clone(), service.warmup?)));
         state.registry.set_warmups(warmups);
     }
     gateway.set_table(Table::new(configuration));
-    gateway.want_tokens();
+    gateway.sync_quota();
     advance_stage(control);
 }
 
@@ -407,7 +407,7 @@
     tokio::spawn(async move {
         match upstream::reach(server.address, REACH_TIMEOUT).await {
             Reach::Accepted => gateway.state().crashes.accepted(server.incarnation()),
-            Reach::Refused | Reach::Silent => gateway.crashed(&server, Evidence::Removed),
+            Reach::Refused | Reach::Silent => gateway.record_crash(&server, Evidence::Removed),
         }
     });
 }
@@ -421,9 +421,9 @@
     for (server, evidence) in ended {
         match evidence {
             Some(Evidence::Removed) => confirm_removed(control, server),
-            Some(evidence) => control.gateway.crashed(&server, evidence),
+            Some(evidence) => control.gateway.record_crash(&server, evidence),
             None => {}
         }
     }
-    control.gateway.notify_ended();
+    control.gateway.notify_server_exits();
 }
--- a/crates/fescuewell_gateway/tests/duties.rs
+++ b/crates/fescuewell_gateway/tests/duties.rs
@@ -20,14 +20,17 @@
             for _ in 0..40 {
                 tokio::time::sleep(Duration::from_millis(100)).await;
                 let now_ms = gateway.now_ms();
-                gateway.state().quota.ask(&ACCOUNT.into(), 5_000, now_ms);
+                gateway
+                    .state()
+                    .quota
+                    .record_demand(&ACCOUNT.into(), 5_000, now_ms);
             }
             store.delay_ledgers(Duration::from_millis(1_000));
             // Some point during a reconciliation.
             tokio::time::sleep(Duration::from_millis(2_000 + step * 90)).await;
             let asked_ms = store.now_ms();
 
-            gateway.want_journal();
+            gateway.request_journal();
             tokio::time::sleep(WRITTEN_WITHIN).await;
 
             store.journal().at_ms >= asked_ms
--- a/crates/fescuewell_gateway/tests/lending.rs
+++ b/crates/fescuewell_gateway/tests/lending.rs
@@ -28,7 +28,7 @@
 
 fn spare(gateway: &Gateway) -> u64 {
     let now_ms = gateway.now_ms();
-    gateway.state().quota.spare(ACCOUNT, now_ms)
+    gateway.state().quota.available(ACCOUNT, now_ms)
 }
 
 /// Waits until only the lender can spend, the borrower knows the lender, and both have the fleet
@@ -66,7 +66,7 @@
             wait_ready(&lender, &borrower).await;
             store.set_behaviour(Behaviour::Silent);
             // A datagram may be lost, so the loan is retried.
-            while !borrower.borrow(&ACCOUNT.into(), TOKENS).await {}
+            while !borrower.borrow_tokens(&ACCOUNT.into(), TOKENS).await {}
         };
 
         tokio::select! {
@@ -76,9 +76,9 @@
         }
 
         let now_ms = borrower.now_ms();
-        let missing = borrower.state().quota.missing(ACCOUNT, TOKENS, now_ms);
+        let missing = borrower.state().quota.shortfall(ACCOUNT, TOKENS, now_ms);
         assert_eq!(missing, 0);
-        assert!(lender.state().quota.view(ACCOUNT).unwrap().consumed() >= TOKENS);
+        assert!(lender.state().quota.account(ACCOUNT).unwrap().consumed() >= TOKENS);
     });
 }
 
@@ -88,7 +88,7 @@
 fn an_instance_without_peers_borrows_nothing() {
     let borrowed = common::run_scenario(10_000, 1, async |gateway, store| {
         store.set_behaviour(Behaviour::Silent);
-        gateway.borrow(&ACCOUNT.into(), 20_000).await
+        gateway.borrow_tokens(&ACCOUNT.into(), 20_000).await
     });
 
     assert!(!borrowed);
