--- a/crates/fescuewell_gateway/src/control.rs
+++ b/crates/fescuewell_gateway/src/control.rs
@@ -42,7 +42,7 @@
     digests: (flume::Sender<Digest>, flume::Receiver<Digest>),
 }
 
-/// Timeout of one store call. The store normally replies within milliseconds; the timeout still
+/// Timeout of one store call. The store normally responds within milliseconds; the timeout still
 /// allows for a store that is fifty times slower, and bounds the cost of a dead connection.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// Lower bound of the jitter factor applied to intervals.
@@ -53,7 +53,7 @@
 /// milliseconds. It shows when calls were tried and bounds the log volume at any call rate.
 const SILENT_LOG_INTERVAL_MS: u64 = 500;
 /// Timeout, from the start of the call, of a call that was sent during an outage, once another call
-/// has got a reply. A reply takes a few milliseconds.
+/// has got a response. A response takes a few milliseconds.
 ///
 /// Without it, each task first waits up to [`CALL_TIMEOUT`] for its own lost call, one after the
 /// other. The journal stays as old as the outage for that long, and a power loss is charged for all
@@ -128,7 +128,7 @@
     }
 
     /// Completes when the store is reachable again and a call sent before that has had time to get
-    /// its reply.
+    /// its response.
     async fn wait_superseded(&self, started: Instant) {
         let mut returns = self.gateway.store_recoveries();
         if returns.changed().await.is_err() {
@@ -178,10 +178,10 @@
                 // A call that was sent during the outage says nothing about the store's current
                 // state.
                 self.gateway.metrics.count_store_call(name, "overtaken");
-                return Err(no_reply("superseded by another call"));
+                return Err(no_response("superseded by another call"));
             }
         };
-        let result = result.unwrap_or_else(|_| Err(no_reply("timed out")));
+        let result = result.unwrap_or_else(|_| Err(no_response("timed out")));
         let outcome = match &result {
             Ok(_) => "answered",
             Err(Error::NotApplied { .. }) => "not_done",
@@ -194,7 +194,7 @@
     }
 }
 
-fn no_reply(reason: &str) -> Error {
+fn no_response(reason: &str) -> Error {
     Error::Unknown {
         reason: reason.into(),
     }
--- a/crates/fescuewell_gateway/src/control/crashes.rs
+++ b/crates/fescuewell_gateway/src/control/crashes.rs
@@ -183,7 +183,8 @@
     MIN_READ_INTERVAL.max(Duration::from_secs_f64(share))
 }
 
-/// Merges the table, writes missing records and removes expired ones. Returns `false` if the table could not be read.
+/// Merges the table, writes missing records and removes expired ones. Returns `false` if the table
+/// could not be read.
 async fn reconcile(control: &Control) -> bool {
     let Ok(response) = read(control, TABLE, FLEET_PARTITION).await else {
         return false;
--- a/crates/fescuewell_gateway/src/control/fence.rs
+++ b/crates/fescuewell_gateway/src/control/fence.rs
@@ -104,12 +104,12 @@
     let mut state = control.gateway.state();
     match outcome {
         Ok(Outcome::Committed { version, .. }) => {
-            if let Some(missed) = &fence.unconfirmed {
+            if let Some(unconfirmed) = &fence.unconfirmed {
                 log_event!(
                     Event::EraSettled,
                     "era={} missed={}",
                     fence.era,
-                    missed.join(",")
+                    unconfirmed.join(",")
                 );
             }
             state.quota.observe_fence(version, fence);
--- a/crates/fescuewell_gateway/src/control/journal.rs
+++ b/crates/fescuewell_gateway/src/control/journal.rs
@@ -131,7 +131,7 @@
     }
     let now_ms = control.gateway.now_ms();
     let before = control.gateway.state().quota.exposure(now_ms);
-    // A journal whose reply was lost is resent unchanged, with the time of the first attempt.
+    // A journal whose response was lost is resent unchanged, with the time of the first attempt.
     let is_resend = control.gateway.state().quota.is_journal_pending();
     if !write_current(control).await {
         return;
@@ -179,8 +179,8 @@
             true
         }
         Ok(Outcome::Conflict(response)) => {
-            // Either an earlier write of this process was applied although its reply was lost, or
-            // another process now writes this journal.
+            // Either an earlier write of this process was applied although its response was lost,
+            // or another process now writes this journal.
             for row in &response.rows {
                 let Some(found) = decode_journal(row) else {
                     continue;
--- a/crates/fescuewell_gateway/src/control/ledger.rs
+++ b/crates/fescuewell_gateway/src/control/ledger.rs
@@ -53,17 +53,17 @@
 /// accounts, because during a store outage the ledger of any account shows which instances can
 /// lend.
 pub(super) async fn read_ledgers(control: &Control, round: u64) {
-    let names = {
+    let accounts = {
         let now_ms = control.gateway.now_ms();
         control.gateway.state().quota.active_accounts(now_ms)
     };
-    if names.len() > MAX_SINGLE_READS || round.is_multiple_of(FULL_READ_PERIOD) {
+    if accounts.len() > MAX_SINGLE_READS || round.is_multiple_of(FULL_READ_PERIOD) {
         let Ok(response) = read(control, LEDGER_TABLE, LEDGER_PARTITION).await else {
             return;
         };
         return apply_rows(&mut control.gateway.state().quota, &response);
     }
-    for name in names {
+    for name in accounts {
         let id = row_id(LEDGER_TABLE, LEDGER_PARTITION, &name);
         let Ok(response) = read_row(control, &id).await else {
             return;
@@ -73,10 +73,10 @@
 }
 
 /// Updates the ledgers of the accounts as planned, and retries on conflicts with other instances.
-pub(super) async fn reconcile(control: &Control, names: &[Arc<str>]) {
+pub(super) async fn reconcile(control: &Control, accounts: &[Arc<str>]) {
     for _ in 0..MAX_ATTEMPTS {
         renew_fence(control).await;
-        let updates = plan_updates(control, names);
+        let updates = plan_updates(control, accounts);
         if updates.is_empty() {
             return;
         }
@@ -101,11 +101,11 @@
     ledger: Ledger,
 }
 
-fn plan_updates(control: &Control, names: &[Arc<str>]) -> Vec<LedgerUpdate> {
+fn plan_updates(control: &Control, accounts: &[Arc<str>]) -> Vec<LedgerUpdate> {
     let now_ms = control.gateway.now_ms();
     let mut state = control.gateway.state();
     let mut updates = Vec::new();
-    for account in names {
+    for account in accounts {
         let Some((version, ledger)) = state.quota.plan(account, now_ms) else {
             continue;
         };
--- a/crates/fescuewell_gateway/src/control/lending.rs
+++ b/crates/fescuewell_gateway/src/control/lending.rs
@@ -29,9 +29,9 @@
 /// Maximum number of lenders tried for one request, one after the other. During a store outage the
 /// journal of each lender permits few tokens, so a large request needs several lenders.
 const MAX_LENDERS: usize = 8;
-/// Timeout for a lender's reply: a few milliseconds between availability zones, plus scheduling
+/// Timeout for a lender's response: a few milliseconds between availability zones, plus scheduling
 /// delay on a small processor.
-const REPLY_TIMEOUT: Duration = Duration::from_millis(30);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(30);
 
 /// Reads the fleet key, or generates it if there is none. Without the key nothing is lent or
 /// borrowed, and loading it is retried later.
@@ -100,16 +100,16 @@
 /// Maximum time a loan request waits for the lender's journal: one transaction plus the wait for
 /// its turn.
 const DEFER_TIMEOUT: Duration = Duration::from_millis(60);
-/// Maximum number of loan requests that wait for a journal. Further ones get an immediate reply
+/// Maximum number of loan requests that wait for a journal. Further ones get an immediate response
 /// with the tokens available.
 const MAX_DEFERRED: usize = 64;
 
 /// A request whose tokens are being borrowed.
 #[derive(Debug)]
 struct PendingLoan {
-    shortage: BorrowRequest,
+    request: BorrowRequest,
     lenders: VecDeque<Arc<str>>,
-    /// The lender that was asked last, and the deadline for its reply.
+    /// The lender that was asked last, and the deadline for its response.
     lender: Arc<str>,
     deadline: Instant,
 }
@@ -142,40 +142,40 @@
         }
     }
 
-    /// Processes shortages and loan requests until the future is dropped.
+    /// Processes borrow requests and loan requests until the future is dropped.
     pub(super) async fn run(&self) {
         tokio::join!(
-            self.handle_shortages(),
+            self.receive_requests(),
             self.expire_requests(),
-            self.reply_deferred()
+            self.serve_deferred()
         );
     }
 
-    async fn handle_shortages(&self) {
-        while let Ok(shortage) = self.control.inbox.borrow_requests.recv_async().await {
+    async fn receive_requests(&self) {
+        while let Ok(request) = self.control.inbox.borrow_requests.recv_async().await {
             let now_ms = self.control.gateway.now_ms();
             let lenders = {
                 let state = self.control.gateway.state();
-                let candidates = state.quota.candidates(&shortage.account, now_ms);
+                let candidates = state.quota.candidates(&request.account, now_ms);
                 let holders = candidates.into_iter().map(|candidate| candidate.holder);
                 holders.take(MAX_LENDERS).collect()
             };
-            self.request_next(shortage, lenders);
+            self.request_next(request, lenders);
         }
     }
 
-    /// Sends a loan request to the next lender, or fails the shortage if there is none.
-    fn request_next(&self, shortage: BorrowRequest, mut lenders: VecDeque<Arc<str>>) {
+    /// Sends a loan request to the next lender, or fails the borrow request if there is none.
+    fn request_next(&self, request: BorrowRequest, mut lenders: VecDeque<Arc<str>>) {
         let gateway = &self.control.gateway;
         let Some(key) = gateway.fleet_key() else {
-            return complete(shortage, false);
+            return complete(request, false);
         };
         let now_ms = gateway.now_ms();
-        let missing = self.missing(&shortage, now_ms);
-        if missing == 0 {
-            return complete(shortage, true);
+        let shortfall = self.shortfall(&request, now_ms);
+        if shortfall == 0 {
+            return complete(request, true);
         }
-        let prefetch = self.prefetch(&shortage, now_ms);
+        let prefetch = self.prefetch(&request, now_ms);
         while let Some(lender) = lenders.pop_front() {
             let id = gateway.random_u64();
             let state = gateway.state();
@@ -183,38 +183,38 @@
                 continue;
             };
             let mut borrower = self.borrower.borrow_mut();
-            let ask = borrower.request(
+            let loan_request = borrower.request(
                 &state.quota,
-                &shortage.account,
-                (missing, prefetch),
+                &request.account,
+                (shortfall, prefetch),
                 id,
                 now_ms,
             );
             drop(state);
-            let bytes = key.seal(&Message::Ask(ask));
+            let bytes = key.seal(&Message::Ask(loan_request));
             // A send failure is handled like a lost datagram.
             let _ = self.socket.try_send_to(&bytes, address);
-            let request = PendingLoan {
-                shortage,
+            let pending = PendingLoan {
+                request,
                 lenders,
                 lender,
-                deadline: Instant::now() + REPLY_TIMEOUT,
+                deadline: Instant::now() + RESPONSE_TIMEOUT,
             };
-            self.pending.borrow_mut().insert(id, request);
+            self.pending.borrow_mut().insert(id, pending);
             self.request_sent.notify_one();
             return;
         }
-        complete(shortage, false);
+        complete(request, false);
     }
 
-    /// Moves on to the next lender when a reply times out.
+    /// Moves on to the next lender when a response times out.
     async fn expire_requests(&self) {
         loop {
             let next = self
                 .pending
                 .borrow()
                 .values()
-                .map(|request| request.deadline)
+                .map(|pending| pending.deadline)
                 .min();
             let Some(next) = next else {
                 self.request_sent.notified().await;
@@ -226,135 +226,137 @@
                 let requests = self.pending.borrow();
                 let late = requests
                     .iter()
-                    .filter(|(_, request)| request.deadline <= now);
+                    .filter(|(_, pending)| pending.deadline <= now);
                 late.map(|(id, _)| *id).collect()
             };
             for id in late {
-                let Some(request) = self.pending.borrow_mut().remove(&id) else {
+                let Some(pending) = self.pending.borrow_mut().remove(&id) else {
                     continue;
                 };
-                self.record_silence(&request);
-                self.try_next(request);
+                self.record_silence(&pending);
+                self.try_next(pending);
             }
         }
     }
 
-    /// Treats a lender that does not reply as having no tokens for a short time.
-    fn record_silence(&self, request: &PendingLoan) {
+    /// Treats a lender that does not respond as having no tokens for a short time.
+    fn record_silence(&self, pending: &PendingLoan) {
         let gateway = &self.control.gateway;
         let now_ms = gateway.now_ms();
-        let account = &request.shortage.account;
+        let account = &pending.request.account;
         let mut state = gateway.state();
         state
             .quota
-            .record_report(account, &request.lender, 0, now_ms);
+            .record_report(account, &pending.lender, 0, now_ms);
     }
 
-    fn try_next(&self, request: PendingLoan) {
-        self.request_next(request.shortage, request.lenders);
+    fn try_next(&self, pending: PendingLoan) {
+        self.request_next(pending.request, pending.lenders);
     }
 
-    /// Returns the tokens to request beyond the shortage, so that the next requests need no loan.
+    /// Returns the tokens to borrow beyond the shortfall, so that the next requests need no loan.
     /// During an outage lenders can give only what their journals cover, and that is left to
     /// requests that need it now.
-    fn prefetch(&self, shortage: &BorrowRequest, now_ms: u64) -> u64 {
+    fn prefetch(&self, request: &BorrowRequest, now_ms: u64) -> u64 {
         let gateway = &self.control.gateway;
         let requests = self.pending.borrow();
         let mut others = requests.values();
-        if !gateway.is_store_up() || others.any(|other| other.shortage.account == shortage.account)
-        {
+        if !gateway.is_store_up() || others.any(|other| other.request.account == request.account) {
             return 0;
         }
-        let demand = gateway
-            .state()
-            .quota
-            .demand_per_s(&shortage.account, now_ms);
+        let demand = gateway.state().quota.demand_per_s(&request.account, now_ms);
         demand * PREFETCH_MS / 1_000
     }
 
     /// Handles a loan request, either at once or after a journal that raises the limit for it.
-    pub(super) fn handle_request(&self, key: &Key, ask: loan::Request, from: SocketAddr) {
+    pub(super) fn handle_request(&self, key: &Key, loan_request: loan::Request, from: SocketAddr) {
         let gateway = &self.control.gateway;
         let now_ms = gateway.now_ms();
-        if gateway.is_store_up() && gateway.state().quota.admit_loan(&ask, now_ms) {
+        if gateway.is_store_up() && gateway.state().quota.admit_loan(&loan_request, now_ms) {
             let mut deferred = self.deferred.borrow_mut();
             if deferred.len() < MAX_DEFERRED {
-                deferred.push((ask, from));
+                deferred.push((loan_request, from));
                 self.deferred_added.notify_one();
                 gateway.request_journal();
                 return;
             }
         }
-        self.send_reply(key, &ask, from, now_ms);
+        self.send_response(key, &loan_request, from, now_ms);
     }
 
-    /// Replies to the loan requests that wait for a journal.
-    async fn reply_deferred(&self) {
+    /// Responds to the loan requests that wait for a journal.
+    async fn serve_deferred(&self) {
         let gateway = &self.control.gateway;
-        let mut plans = gateway.token_changes();
+        let mut token_changes = gateway.token_changes();
         loop {
             self.deferred_added.notified().await;
-            plans.mark_unchanged();
-            // Reply after the journal or the timeout, with the tokens available by then.
-            let _ = tokio::time::timeout(DEFER_TIMEOUT, plans.changed()).await;
+            token_changes.mark_unchanged();
+            // Respond after the journal or the timeout, with the tokens available by then.
+            let _ = tokio::time::timeout(DEFER_TIMEOUT, token_changes.changed()).await;
             let Some(key) = gateway.fleet_key() else {
                 continue;
             };
             let deferred = std::mem::take(&mut *self.deferred.borrow_mut());
             let now_ms = gateway.now_ms();
-            for (ask, from) in deferred {
-                self.send_reply(&key, &ask, from, now_ms);
+            for (loan_request, from) in deferred {
+                self.send_response(&key, &loan_request, from, now_ms);
             }
         }
     }
 
-    fn send_reply(&self, key: &Key, ask: &loan::Request, from: SocketAddr, now_ms: u64) {
-        let answer = {
+    fn send_response(
+        &self,
+        key: &Key,
+        loan_request: &loan::Request,
+        from: SocketAddr,
+        now_ms: u64,
+    ) {
+        let response = {
             let mut state = self.control.gateway.state();
             let mut lender = self.lender.borrow_mut();
-            lender.respond(&mut state.quota, ask, now_ms)
+            lender.respond(&mut state.quota, loan_request, now_ms)
         };
-        let Some(answer) = answer else { return };
+        let Some(response) = response else { return };
         log_event!(
             Event::TokensLent,
             "account={} tokens={} wanted={} left={}",
-            ask.account,
-            answer.tokens,
-            ask.wanted_tokens,
-            answer.remaining
+            loan_request.account,
+            response.tokens,
+            loan_request.wanted_tokens,
+            response.remaining
         );
-        let bytes = key.seal(&Message::Answer(answer));
-        // If the reply is lost, its tokens count as consumed although nobody spends them.
+        let bytes = key.seal(&Message::Answer(response));
+        // If the response is lost, its tokens count as consumed although nobody spends them.
         let _ = self.socket.try_send_to(&bytes, from);
     }
 
-    /// Handles a lender's reply.
-    pub(super) fn handle_reply(&self, answer: &loan::Response) {
+    /// Handles a lender's response.
+    pub(super) fn handle_response(&self, response: &loan::Response) {
         let now_ms = self.control.gateway.now_ms();
         {
             let mut state = self.control.gateway.state();
             let mut borrower = self.borrower.borrow_mut();
-            borrower.accept(&mut state.quota, answer, now_ms);
+            borrower.accept(&mut state.quota, response, now_ms);
         }
         // Other requests of the account may be waiting for the same tokens, also after a late
-        // reply.
+        // response.
         self.control.gateway.notify_token_changes();
-        let request = self.pending.borrow_mut().remove(&answer.id);
-        let Some(request) = request else { return };
-        match self.missing(&request.shortage, now_ms) {
-            0 => complete(request.shortage, true),
-            _ => self.try_next(request),
+        let pending = self.pending.borrow_mut().remove(&response.id);
+        let Some(pending) = pending else { return };
+        match self.shortfall(&pending.request, now_ms) {
+            0 => complete(pending.request, true),
+            _ => self.try_next(pending),
         }
     }
 
-    fn missing(&self, shortage: &BorrowRequest, now_ms: u64) -> u64 {
+    fn shortfall(&self, request: &BorrowRequest, now_ms: u64) -> u64 {
         let state = self.control.gateway.state();
         let quota = &state.quota;
-        quota.shortfall(&shortage.account, shortage.tokens, now_ms)
+        quota.shortfall(&request.account, request.tokens, now_ms)
     }
 }
 
-fn complete(shortage: BorrowRequest, has_tokens: bool) {
+fn complete(request: BorrowRequest, has_tokens: bool) {
     // The request may be gone; its tokens stay with the account.
-    let _ = shortage.reply.send(has_tokens);
+    let _ = request.reply.send(has_tokens);
 }
--- a/crates/fescuewell_gateway/src/control/members.rs
+++ b/crates/fescuewell_gateway/src/control/members.rs
@@ -45,7 +45,7 @@
     let now_ms = gateway.now_ms();
     let mut state = gateway.state();
     let store_ms = state.quota.store_time(now_ms);
-    let heartbeat = state.quota.status();
+    let status = state.quota.status();
     Member {
         address: settings.front,
         peer: settings.peer,
@@ -53,8 +53,8 @@
         weight: weight(settings),
         requests: state.arrivals.sum(now_ms) as u32 / ARRIVAL_WINDOW_S,
         usage: state.quota.usage(now_ms),
-        era: heartbeat.era,
-        is_certain: heartbeat.knows_grants,
+        era: status.era,
+        is_certain: status.knows_grants,
         at_ms: if gateway.is_draining() { 0 } else { store_ms },
         out_until_ms: match state.admission.unready_left_ms(now_ms) {
             0 => 0,
@@ -94,9 +94,9 @@
     let advertised_before = advertised_names(&state.directory);
     let era = version::era(response.version);
     state.directory.replace_in(era, members, response.now_ms);
-    let signs = state.directory.signs();
+    let statuses = state.directory.signs();
     let lapse_ms = state.directory.lapse_ms();
-    state.quota.set_statuses(signs, lapse_ms);
+    state.quota.set_statuses(statuses, lapse_ms);
     update_admission(&mut state, &control.gateway.settings.name, now_ms);
     let after: Vec<Arc<str>> = state
         .directory
@@ -151,6 +151,6 @@
     state.admission.set_spare(now_ms + spared_ms);
     let has_capacity = state.directory.has_capacity_beside(name);
     state.admission.set_fleet_has_capacity(has_capacity);
-    let is_needed = state.directory.is_named(name);
-    state.admission.set_required(now_ms, is_needed);
+    let is_advertised = state.directory.is_named(name);
+    state.admission.set_required(now_ms, is_advertised);
 }
--- a/crates/fescuewell_gateway/src/control/peers.rs
+++ b/crates/fescuewell_gateway/src/control/peers.rs
@@ -15,8 +15,8 @@
 
 /// Minimum interval between two load reports.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(10);
-/// Number of peers up to which that interval applies. With more peers it grows, so that the bandwidth
-/// stays constant.
+/// Number of peers up to which that interval applies. With more peers it grows, so that the
+/// bandwidth stays constant.
 const PEERS_AT_MIN_INTERVAL: u32 = 4;
 /// Interval after which an unchanged report is repeated, to repair losses.
 const REPEAT_INTERVAL: Duration = Duration::from_millis(500);
@@ -85,8 +85,8 @@
         .load
         .report(gateway.settings.name.clone(), number, now_ms);
     let own = gateway.settings.peer;
-    let named = state.directory.named();
-    let peers = named.iter().filter_map(|(_, member)| member.peer);
+    let advertised = state.directory.named();
+    let peers = advertised.iter().filter_map(|(_, member)| member.peer);
     let peers = peers.filter(|peer| Some(*peer) != own).collect();
     (report, peers)
 }
@@ -129,8 +129,8 @@
         gateway.record_peer_message();
     }
     match message {
-        Some(Message::Ask(ask)) => lending.handle_request(&key, ask, from),
-        Some(Message::Answer(answer)) => lending.handle_reply(&answer),
+        Some(Message::Ask(request)) => lending.handle_request(&key, request, from),
+        Some(Message::Answer(response)) => lending.handle_response(&response),
         Some(Message::Digest(digest)) => watch::receive_digest(control, digest),
         Some(Message::Crashes(updates)) => crashes::receive(control, updates, from),
         Some(Message::CrashesWanted) => crashes::send_records(control, socket, from),
--- a/crates/fescuewell_gateway/src/control/probe.rs
+++ b/crates/fescuewell_gateway/src/control/probe.rs
@@ -1,9 +1,9 @@
 //! Probes the store during an outage to detect its recovery.
 //!
 //! Other store calls wait for up to about a second, because a slow store is better than none.
-//! During an outage, this task repeats a small read with a short timeout. The first reply wakes all
-//! other tasks, so that urgent work, above all the journal, does not wait for calls that were sent
-//! during the outage.
+//! During an outage, this task repeats a small read with a short timeout. The first response wakes
+//! all other tasks, so that urgent work, above all the journal, does not wait for calls that were
+//! sent during the outage.
 
 use std::time::Duration;
 
@@ -15,13 +15,13 @@
 /// Fraction of the store's read capacity that the probes of the whole fleet may use.
 const READ_SHARE: f64 = 0.25;
 
-/// Probes the store while it does not reply, until the future is dropped.
+/// Probes the store while it does not respond, until the future is dropped.
 pub(super) async fn run(control: &Control) {
     loop {
         let interval = control.jitter(probe_interval(control));
         let next = tokio::time::Instant::now() + interval;
         if !control.gateway.is_store_up() {
-            // The result is not needed; `call` notifies the other tasks of a reply.
+            // The result is not needed; `call` notifies the other tasks of a response.
             let _ = read_journal(control, PROBE_INTERVAL).await;
         }
         tokio::time::sleep_until(next).await;
--- a/crates/fescuewell_gateway/src/control/sync.rs
+++ b/crates/fescuewell_gateway/src/control/sync.rs
@@ -67,15 +67,15 @@
     let mut written_at = Instant::now();
     let mut next = written_at;
     loop {
-        let wanted = control.inbox.journal_requests.recv_async();
-        let is_wanted = matches!(tokio::time::timeout_at(next, wanted).await, Ok(Ok(())));
+        let requested = control.inbox.journal_requests.recv_async();
+        let is_requested = matches!(tokio::time::timeout_at(next, requested).await, Ok(Ok(())));
         let min_interval = min_journal_interval(control);
-        if is_wanted && !is_overdue(control) {
+        if is_requested && !is_overdue(control) {
             // An overdue journal is not delayed: a kill now would be charged for all of that time.
             tokio::time::sleep_until(written_at + min_interval).await;
         }
-        let idle = gateway.state().quota.is_depleted();
-        let interval = if idle {
+        let is_depleted = gateway.state().quota.is_depleted();
+        let interval = if is_depleted {
             IDLE_JOURNAL_INTERVAL
         } else {
             JOURNAL_INTERVAL
@@ -91,19 +91,19 @@
     }
 }
 
-/// Draws tokens for waiting requests, and returns all tokens when the instance leaves.
+/// Draws tokens for waiting requests, and returns all tokens when the instance drains.
 async fn draw_loop(control: &Control) {
     let gateway = &control.gateway;
     while control.inbox.plan_requests.recv_async().await.is_ok() {
-        let is_leaving = gateway.is_draining();
-        let names = match is_leaving {
+        let is_draining = gateway.is_draining();
+        let accounts = match is_draining {
             true => gateway.state().quota.prepaid_accounts(),
             false => gateway.state().quota.short_accounts(),
         };
         if enter_era(control).await {
-            reconcile(control, &names).await;
+            reconcile(control, &accounts).await;
         }
-        if is_leaving {
+        if is_draining {
             renew_journal(control).await;
         }
         gateway.notify_token_changes();
@@ -122,8 +122,8 @@
         gateway.update_gate();
         if enter_era(control).await {
             read_ledgers(control, round).await;
-            let names = gateway.state().quota.prepaid_accounts();
-            reconcile(control, &names).await;
+            let accounts = gateway.state().quota.prepaid_accounts();
+            reconcile(control, &accounts).await;
         }
         lending::load_key(control).await;
         set_staleness(control, interval);
--- a/crates/fescuewell_gateway/src/control/watch.rs
+++ b/crates/fescuewell_gateway/src/control/watch.rs
@@ -24,7 +24,7 @@
 use crate::store::Error;
 
 /// Maximum time a long poll waits for changes. It is short because a dead connection is noticed
-/// only when the reply is overdue, and a change must take effect within two seconds.
+/// only when the response is overdue, and a change must take effect within two seconds.
 const WATCH_WAIT: Duration = Duration::from_millis(700);
 /// Timeout of a long poll.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(1_100);
--- a/crates/fescuewell_gateway/src/daemon.rs
+++ b/crates/fescuewell_gateway/src/daemon.rs
@@ -149,10 +149,10 @@
     /// Waits until the tokens of requests that ended during the drain have been returned as well.
     fn wait_returned(&self) {
         let deadline = Instant::now() + SHUTDOWN_RESERVE / 3;
-        let plans = self.gateway.token_changes();
-        let seen = *plans.borrow();
+        let token_changes = self.gateway.token_changes();
+        let seen = *token_changes.borrow();
         self.gateway.sync_quota();
-        while *plans.borrow() <= seen && Instant::now() < deadline {
+        while *token_changes.borrow() <= seen && Instant::now() < deadline {
             std::thread::sleep(POLL_INTERVAL);
         }
     }
--- a/crates/fescuewell_gateway/tests/common/mod.rs
+++ b/crates/fescuewell_gateway/tests/common/mod.rs
@@ -28,15 +28,15 @@
 pub const ACCOUNT: &str = "group";
 /// Name of the instance.
 pub const INSTANCE: &str = "entry-1";
-/// Duration of one store call while the store replies.
+/// Duration of one store call while the store responds.
 const LATENCY: Duration = Duration::from_millis(4);
 
 /// How the store handles calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Behaviour {
-    /// Replies to each call.
+    /// Responds to each call.
     Answer,
-    /// Never replies to a call that arrives now, even after the store is back.
+    /// Never responds to a call that arrives now, even after the store is back.
     Silent,
     /// Rejects each call immediately.
     Refuse,
@@ -92,7 +92,7 @@
         self.content().ledger_delay = delay;
     }
 
-    /// Returns how often a partition of a table was read, including reads without a reply.
+    /// Returns how often a partition of a table was read, including reads without a response.
     pub fn read_count(&self, table: &str) -> usize {
         let content = self.content();
         content.read_counts.get(table).copied().unwrap_or_default()
--- a/crates/fescuewell_gateway/tests/duties.rs
+++ b/crates/fescuewell_gateway/tests/duties.rs
@@ -28,12 +28,12 @@
             store.delay_ledgers(Duration::from_millis(1_000));
             // Some point during a reconciliation.
             tokio::time::sleep(Duration::from_millis(2_000 + step * 90)).await;
-            let asked_ms = store.now_ms();
+            let requested_ms = store.now_ms();
 
             gateway.request_journal();
             tokio::time::sleep(WRITTEN_WITHIN).await;
 
-            store.journal().at_ms >= asked_ms
+            store.journal().at_ms >= requested_ms
         });
 
         assert!(written, "step {step}");
--- a/crates/fescuewell_gateway/tests/lending.rs
+++ b/crates/fescuewell_gateway/tests/lending.rs
@@ -26,7 +26,7 @@
     common::instance(settings, store, 1)
 }
 
-fn spare(gateway: &Gateway) -> u64 {
+fn available(gateway: &Gateway) -> u64 {
     let now_ms = gateway.now_ms();
     gateway.state().quota.available(ACCOUNT, now_ms)
 }
@@ -38,8 +38,8 @@
         let state = borrower.state();
         !state.quota.candidates(ACCOUNT, 0).is_empty()
     };
-    while spare(borrower) > 0
-        || spare(lender) < TOKENS
+    while available(borrower) > 0
+        || available(lender) < TOKENS
         || !knows_lender()
         || lender.fleet_key().is_none()
         || borrower.fleet_key().is_none()
@@ -76,14 +76,15 @@
         }
 
         let now_ms = borrower.now_ms();
-        let missing = borrower.state().quota.shortfall(ACCOUNT, TOKENS, now_ms);
-        assert_eq!(missing, 0);
+        let shortfall = borrower.state().quota.shortfall(ACCOUNT, TOKENS, now_ms);
+        assert_eq!(shortfall, 0);
         assert!(lender.state().quota.account(ACCOUNT).unwrap().consumed() >= TOKENS);
     });
 }
 
 /// Guards against requests that wait for a loan forever: an instance without a peer address has no
-/// task that handles shortages, and its requests never got a reply while the store was down.
+/// task that handles borrow requests, and its requests never got a response while the store was
+/// down.
 #[test]
 fn an_instance_without_peers_borrows_nothing() {
     let borrowed = common::run_scenario(10_000, 1, async |gateway, store| {
