--- a/crates/fescuewell_gateway/src/control/fence.rs
+++ b/crates/fescuewell_gateway/src/control/fence.rs
@@ -53,12 +53,12 @@
     if control.store.era() == former {
         return true;
     }
-    let readings = (
+    let responses = (
         read(control, LEDGER_TABLE, LEDGER_PARTITION).await,
         read_fence(control).await,
         read_journal(control, CALL_TIMEOUT).await,
     );
-    let (Ok(ledgers), Ok(fence), Ok(journals)) = readings else {
+    let (Ok(ledgers), Ok(fence), Ok(journals)) = responses else {
         return false;
     };
     let era = version::era(journals.version);
@@ -104,12 +104,12 @@
     let mut state = control.gateway.state();
     match outcome {
         Ok(Outcome::Committed { version, .. }) => {
-            if let Some(missed) = &fence.unconfirmed {
+            if let Some(unconfirmed) = &fence.unconfirmed {
                 log_event!(
                     Event::EraSettled,
                     "era={} missed={}",
                     fence.era,
-                    missed.join(",")
+                    unconfirmed.join(",")
                 );
             }
             state.quota.observe_fence(version, fence);
