--- a/crates/fescuewell_gateway/src/front.rs
+++ b/crates/fescuewell_gateway/src/front.rs
@@ -44,7 +44,8 @@
     gateway.record_arrival(request.body.len());
     match admit(gateway, request) {
         Ok(job) => {
-            // If the caller disconnects, dropping the job also cancels the request to the backend server.
+            // If the caller disconnects, dropping the job also cancels the request to the backend
+            // server.
             let id = job.id().clone();
             tokio::select! {
                 biased;
--- a/crates/fescuewell_gateway/src/gateway.rs
+++ b/crates/fescuewell_gateway/src/gateway.rs
@@ -42,12 +42,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
 pub enum Stage {
-    /// The configuration, the grants of the previous process or the quarantined requests have not been
-    /// loaded.
+    /// The configuration, the grants of the previous process or the quarantined requests have not
+    /// been loaded.
     Starting,
     /// Accepts requests.
     Ready,
-    /// Shutdown was requested: requests are still served, and callers are asked to use other instances.
+    /// Shutdown was requested: requests are still served, and callers are asked to use other
+    /// instances.
     Draining,
 }
 
@@ -83,8 +84,8 @@
 }
 
 impl State {
-    /// Returns the cold servers of a service that this instance may use, each with the number of instances
-    /// that share its request rate; see [`fescuewell_forward::warmup`].
+    /// Returns the cold servers of a service that this instance may use, each with the number of
+    /// instances that share its request rate; see [`fescuewell_forward::warmup`].
     pub fn cold_shares(
         &mut self,
         service: &str,
@@ -128,11 +129,11 @@
     pub probe_requests: flume::Receiver<ProbeRequest>,
 }
 
-/// Maximum time that a request waits for tokens from other instances. A lender that does not respond costs 30
-/// ms, one that responds a few.
+/// Maximum time that a request waits for tokens from other instances. A lender that does not
+/// respond costs 30 ms, one that responds a few.
 ///
-/// Without this limit a request would wait forever if nothing receives borrow requests, because the instance
-/// has no address for peer messages.
+/// Without this limit a request would wait forever if nothing receives borrow requests, because the
+/// instance has no address for peer messages.
 const BORROW_TIMEOUT: Duration = Duration::from_millis(150);
 /// Maximum number of pending borrow requests. More could not be served before they time out.
 const MAX_BORROW_REQUESTS: usize = 256;
@@ -173,7 +174,8 @@
 }
 
 impl Gateway {
-    /// Creates a gateway without any state, and the receivers of its requests to the control thread.
+    /// Creates a gateway without any state, and the receivers of its requests to the control
+    /// thread.
     ///
     /// # Errors
     ///
@@ -335,7 +337,8 @@
             .store(self.now_ms(), Ordering::Relaxed);
     }
 
-    /// Returns the time since the last message of another instance, or since the start before the first one.
+    /// Returns the time since the last message of another instance, or since the start before the
+    /// first one.
     pub fn time_since_peer_message(&self) -> Duration {
         let last_ms = self.last_peer_message_ms.load(Ordering::Relaxed);
         Duration::from_millis(self.now_ms().saturating_sub(last_ms))
@@ -364,8 +367,8 @@
         self.request_plan();
     }
 
-    /// Borrows the tokens that a request lacks from other instances. Returns `true` if the account now has
-    /// enough.
+    /// Borrows the tokens that a request lacks from other instances. Returns `true` if the account
+    /// now has enough.
     pub async fn borrow_tokens(&self, account: &Arc<str>, tokens: u64) -> bool {
         let (reply, response) = oneshot::channel();
         let request = BorrowRequest {
@@ -391,15 +394,15 @@
         self.fleet_key_era.load(Ordering::Relaxed)
     }
 
-    /// Sets the key, as read in an era of the store. The stored key is replaced only if the store has lost
-    /// it.
+    /// Sets the key, as read in an era of the store. The stored key is replaced only if the store
+    /// has lost it.
     pub fn set_fleet_key(&self, key: Key, era: u32) {
         self.fleet_key.store(Some(Arc::new(key)));
         self.fleet_key_era.store(era, Ordering::Relaxed);
     }
 
-    /// Notifies waiting requests that the available tokens may have changed: a journal or a plan was written,
-    /// or a loan arrived.
+    /// Notifies waiting requests that the available tokens may have changed: a journal or a plan
+    /// was written, or a loan arrived.
     pub fn notify_token_changes(&self) {
         self.token_changes.send_modify(|count| *count += 1);
     }
--- a/crates/fescuewell_gateway/src/gateway/crash.rs
+++ b/crates/fescuewell_gateway/src/gateway/crash.rs
@@ -31,7 +31,8 @@
         self.quarantine.verdict(request, self.store_ms(now_ms))
     }
 
-    /// Reports a lost exchange with a server. Returns `None` if the server is draining or no longer listed.
+    /// Reports a lost exchange with a server. Returns `None` if the server is draining or no longer
+    /// listed.
     pub fn report_loss(
         &mut self,
         server: &Entry,
--- a/crates/fescuewell_gateway/src/gateway/gate.rs
+++ b/crates/fescuewell_gateway/src/gateway/gate.rs
@@ -11,9 +11,9 @@
 use super::Gateway;
 
 impl Gateway {
-    /// Records a caller's request with a body of so many bytes. If the instance is overloaded, closes the
-    /// listener to new connections, and reports the instance unready if the fleet has capacity for its
-    /// callers. Must be called inside a listener's runtime.
+    /// Records a caller's request with a body of so many bytes. If the instance is overloaded,
+    /// closes the listener to new connections, and reports the instance unready if the fleet has
+    /// capacity for its callers. Must be called inside a listener's runtime.
     pub fn record_arrival(self: &Arc<Self>, body: usize) {
         let action = self.state().admission.admit(self.now_ms(), body);
         match action {
@@ -60,14 +60,15 @@
         !self.state().admission.is_closed(self.now_ms())
     }
 
-    /// Opens or closes the listener to new connections as the limits require. Returns `true` if that changed.
+    /// Opens or closes the listener to new connections as the limits require. Returns `true` if
+    /// that changed.
     pub fn update_gate(&self) -> bool {
         let open = self.is_accepting();
         self.gate.get().is_some_and(|gate| gate.set(open))
     }
 
-    /// Returns `true` if the readiness check succeeds: the instance accepts requests and is not shedding
-    /// callers.
+    /// Returns `true` if the readiness check succeeds: the instance accepts requests and is not
+    /// shedding callers.
     pub fn reports_ready(&self) -> bool {
         let now_ms = self.now_ms();
         self.is_ready() && self.state().admission.unready_left_ms(now_ms) == 0
--- a/crates/fescuewell_gateway/src/header.rs
+++ b/crates/fescuewell_gateway/src/header.rs
@@ -29,9 +29,11 @@
         .collect()
 }
 
-/// Returns the headers of a request to a backend server, without those that only the gateway may set.
+/// Returns the headers of a request to a backend server, without those that only the gateway may
+/// set.
 ///
-/// Otherwise a caller could set the name of another client account or use memory reserved for others.
+/// Otherwise a caller could set the name of another client account or use memory reserved for
+/// others.
 pub fn request_headers(headers: &HeaderMap, names: &HeaderNames) -> HeaderMap {
     let dropped = connection_options(headers);
     let mut kept = HeaderMap::with_capacity(headers.len() + 4);
--- a/crates/fescuewell_gateway/src/hold.rs
+++ b/crates/fescuewell_gateway/src/hold.rs
@@ -11,8 +11,8 @@
 use crate::dialect::TokenCounts;
 use crate::gateway::Gateway;
 
-/// Minimum time that a request waits for tokens that this instance does not have: two transactions with the
-/// store and their retries.
+/// Minimum time that a request waits for tokens that this instance does not have: two transactions
+/// with the store and their retries.
 const MIN_WAIT: Duration = Duration::from_millis(250);
 
 /// Retry delay during a store outage, when only the store can provide more tokens.
@@ -21,8 +21,8 @@
     Duration::from_millis(outage_left_ms(silence_ms, gateway.random_u64()))
 }
 
-/// Prepaid tokens reserved for one request. Dropping it charges the tokens that were used and releases the
-/// rest.
+/// Prepaid tokens reserved for one request. Dropping it charges the tokens that were used and
+/// releases the rest.
 pub struct Hold {
     gateway: Arc<Gateway>,
     account: Arc<str>,
@@ -39,8 +39,8 @@
     ///
     /// # Errors
     ///
-    /// [`Code::BudgetExhausted`] if the fleet does not have enough tokens, [`Code::BudgetUnknown`] if only
-    /// this instance does not.
+    /// [`Code::BudgetExhausted`] if the fleet does not have enough tokens, [`Code::BudgetUnknown`]
+    /// if only this instance does not.
     pub async fn acquire(
         gateway: &Arc<Gateway>,
         account: &Arc<str>,
@@ -67,13 +67,13 @@
         loop {
             token_changes.mark_unchanged();
             let now_ms = gateway.now_ms();
-            let verdict = gateway.state().quota.hold(account, max_cost, now_ms);
-            match verdict {
+            let outcome = gateway.state().quota.hold(account, max_cost, now_ms);
+            match outcome {
                 HoldOutcome::Held => return Ok(Self::new(gateway, account, id, tokens)),
                 HoldOutcome::Exhausted => return Err(refuse(Code::BudgetExhausted, None)),
                 HoldOutcome::InsufficientGrant | HoldOutcome::RateLimited(_) => {}
             }
-            let retry_after = match verdict {
+            let retry_after = match outcome {
                 HoldOutcome::RateLimited(wait_ms) => wait_ms.map(Duration::from_millis),
                 _ => None,
             };
@@ -85,7 +85,8 @@
                 if gateway.borrow_tokens(account, max_cost).await {
                     continue;
                 }
-                // No other instance can lend. Only the rate limit allows more tokens as time passes.
+                // No other instance can lend. Only the rate limit allows more tokens as time
+                // passes.
                 match retry_after.filter(|retry_after| *retry_after <= remaining) {
                     Some(retry_after) => tokio::time::sleep(retry_after).await,
                     None => {
@@ -95,12 +96,13 @@
                 }
                 continue;
             }
-            match verdict {
+            match outcome {
                 HoldOutcome::InsufficientGrant => gateway.request_plan(),
                 _ => gateway.request_journal(),
             }
-            // The request takes whichever comes first: tokens lent by another instance, or ungranted ones.
-            if verdict == HoldOutcome::InsufficientGrant
+            // The request takes whichever comes first: tokens lent by another instance, or
+            // ungranted ones.
+            if outcome == HoldOutcome::InsufficientGrant
                 && gateway.borrow_tokens(account, max_cost).await
             {
                 continue;
@@ -163,8 +165,8 @@
     fn drop(&mut self) {
         let held = self.tokens.prompt + self.tokens.max_output;
         let cost = self.cost();
-        // The costs in the log must add up to the ledger, and a request whose caller disconnected has no
-        // other log line with its cost.
+        // The costs in the log must add up to the ledger, and a request whose caller disconnected
+        // has no other log line with its cost.
         if !self.is_logged && cost > 0 {
             log_event!(
                 Event::TokensCharged,
--- a/crates/fescuewell_gateway/src/job.rs
+++ b/crates/fescuewell_gateway/src/job.rs
@@ -30,8 +30,8 @@
 pub(crate) use crash::classify_loss;
 pub(crate) use permit::Permit;
 
-/// Fraction of the target latency that a request waits for tokens. The rest is enough for a backend server to
-/// respond.
+/// Fraction of the target latency that a request waits for tokens. The rest is enough for a backend
+/// server to respond.
 const TOKEN_WAIT_FRACTION: f64 = 0.5;
 /// Maximum number of servers tried when the request could not be sent to any of them.
 const MAX_UNSENT_ATTEMPTS: u32 = 4;
@@ -123,7 +123,8 @@
         self
     }
 
-    /// Sets the caller's deadline, and the route deadline as the earlier of it and the route's timeout.
+    /// Sets the caller's deadline, and the route deadline as the earlier of it and the route's
+    /// timeout.
     pub fn with_deadline(mut self, deadline: Instant) -> Self {
         self.deadline = deadline;
         self.route_deadline = deadline.min(self.arrived + self.route.timeout);
@@ -298,8 +299,8 @@
         ))
     }
 
-    /// Returns `true` if the request may be sent to another backend server, in which case a retry is taken
-    /// from the fleet's retry budget.
+    /// Returns `true` if the request may be sent to another backend server, in which case a retry
+    /// is taken from the fleet's retry budget.
     pub(crate) fn may_retry(&mut self) -> bool {
         if self.is_quarantined() {
             return false;
@@ -316,8 +317,9 @@
         std::mem::take(&mut self.has_reserved_retry) || self.take_retry()
     }
 
-    /// Returns `true` if the current attempt may be abandoned for another one. Takes the retry first, because
-    /// abandoning an attempt without one would fail a request that its server may be about to answer.
+    /// Returns `true` if the current attempt may be abandoned for another one. Takes the retry
+    /// first, because abandoning an attempt without one would fail a request that its server may be
+    /// about to answer.
     pub(crate) fn may_abandon(&mut self) -> bool {
         let may_retry = self.route.kind.is_idempotent() && Instant::now() < self.route_deadline;
         self.has_reserved_retry = may_retry && self.take_retry();
--- a/crates/fescuewell_gateway/src/job/attempt.rs
+++ b/crates/fescuewell_gateway/src/job/attempt.rs
@@ -1,4 +1,5 @@
-//! A single attempt at a backend server: sending the request, timeouts and evaluation of the response.
+//! A single attempt at a backend server: sending the request, timeouts and evaluation of the
+//! response.
 
 use std::time::{Duration, Instant};
 
@@ -24,8 +25,8 @@
 const MIN_SAFE_HEDGE_DELAY: Duration = Duration::from_millis(200);
 /// Hedging delay of a resumable stream before its first event, as a multiple of its target latency.
 const STREAM_HEDGE_FACTOR: u32 = 2;
-/// Gap between events after which a resumable stream is resumed on another server, as a multiple of the
-/// route's gap objective.
+/// Gap between events after which a resumable stream is resumed on another server, as a multiple of
+/// the route's gap objective.
 const GAP_TIMEOUT_FACTOR: f64 = 1.25;
 /// Maximum size of a response body that is buffered, in bytes.
 const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
@@ -54,8 +55,8 @@
 }
 
 impl Job {
-    /// Sends the request to a backend server. `after` is the id of the last event that the caller already
-    /// received.
+    /// Sends the request to a backend server. `after` is the id of the last event that the caller
+    /// already received.
     pub(crate) async fn run_attempt(
         &mut self,
         permit: &mut Permit,
@@ -187,8 +188,8 @@
             Ok(body) => {
                 permit.settle();
                 if status.is_success() {
-                    // Only success clears the request: a server that fails some of its requests may fail this
-                    // one before it would crash.
+                    // Only success clears the request: a server that fails some of its requests may
+                    // fail this one before it would crash.
                     self.gateway
                         .record_response(&permit.server, self.fingerprint);
                 }
@@ -239,8 +240,8 @@
         Some(request)
     }
 
-    /// Returns the request's priority in the backend server's queue, 0 to 9: the account's if set, otherwise
-    /// the route's.
+    /// Returns the request's priority in the backend server's queue, 0 to 9: the account's if set,
+    /// otherwise the route's.
     fn urgency(&self) -> u16 {
         let own = self.account.as_ref().and_then(|account| account.priority);
         u16::from(own.unwrap_or(self.route.priority)).min(9)
--- a/crates/fescuewell_gateway/src/job/candidates.rs
+++ b/crates/fescuewell_gateway/src/job/candidates.rs
@@ -17,8 +17,8 @@
 }
 
 impl<'a> Candidates<'a> {
-    /// Selects the candidates for a job. `shares` maps the cold servers that this instance may use to the
-    /// number of instances that share each.
+    /// Selects the candidates for a job. `shares` maps the cold servers that this instance may use
+    /// to the number of instances that share each.
     pub(super) fn new(
         state: &'a State,
         job: &'a Job,
--- a/crates/fescuewell_gateway/src/job/crash.rs
+++ b/crates/fescuewell_gateway/src/job/crash.rs
@@ -1,5 +1,5 @@
-//! Handling of requests that crash backend servers: quarantine checks, and crash detection from lost
-//! connections.
+//! Handling of requests that crash backend servers: quarantine checks, and crash detection from
+//! lost connections.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -141,8 +141,8 @@
         }
     }
 
-    /// Reports a lost exchange and waits for the probe's result, so that a crash is counted before the
-    /// request is retried.
+    /// Reports a lost exchange and waits for the probe's result, so that a crash is counted before
+    /// the request is retried.
     pub(crate) async fn report_loss(&mut self, permit: &Permit, loss: Loss) {
         // Permission to probe covers a single attempt.
         self.is_probe = false;
@@ -164,8 +164,8 @@
         }
     }
 
-    /// Probes a server in a separate task, because the result also concerns other requests and the caller may
-    /// disconnect.
+    /// Probes a server in a separate task, because the result also concerns other requests and the
+    /// caller may disconnect.
     fn probe_server(&self, permit: &Permit) {
         let gateway = self.gateway.clone();
         let server = permit.server.clone();
--- a/crates/fescuewell_gateway/src/job/permit.rs
+++ b/crates/fescuewell_gateway/src/job/permit.rs
@@ -40,8 +40,9 @@
         }
     }
 
-    /// Marks the request's outcome at the server as known. An attempt that ends without a known outcome,
-    /// because the caller disconnected or another server was tried, may still crash the server.
+    /// Marks the request's outcome at the server as known. An attempt that ends without a known
+    /// outcome, because the caller disconnected or another server was tried, may still crash the
+    /// server.
     pub(crate) fn settle(&self) {
         self.is_settled.store(true, Ordering::Relaxed);
     }
@@ -56,9 +57,9 @@
         self.gateway.notify_load_changed();
     }
 
-    /// Waits until the server restarts. The new process knows nothing of the request, so a response that has
-    /// not arrived never will. Without this check, the request would wait on a silent connection until its
-    /// deadline.
+    /// Waits until the server restarts. The new process knows nothing of the request, so a response
+    /// that has not arrived never will. Without this check, the request would wait on a silent
+    /// connection until its deadline.
     pub(crate) fn server_exit(&self) -> impl Future<Output = ()> + use<> {
         let gateway = self.gateway.clone();
         let server = self.server.clone();
--- a/crates/fescuewell_gateway/src/lib.rs
+++ b/crates/fescuewell_gateway/src/lib.rs
@@ -1,8 +1,9 @@
 //! Runtime of a gateway instance: the callers' listener, requests to backend servers, and the
 //! background tasks that synchronize the instance's state with the store.
 //!
-//! The decision logic is in `fescuewell_forward`. The traits [`store::Store`], [`source::Source`] and
-//! [`dialect::Dialect`] abstract the surrounding platform, so that this crate uses none of its names.
+//! The decision logic is in `fescuewell_forward`. The traits [`store::Store`], [`source::Source`]
+//! and [`dialect::Dialect`] abstract the surrounding platform, so that this crate uses none of its
+//! names.
 //!
 //! | thread | purpose |
 //! | --- | --- |
--- a/crates/fescuewell_gateway/src/metrics.rs
+++ b/crates/fescuewell_gateway/src/metrics.rs
@@ -1,4 +1,5 @@
-//! Metrics of one instance, recorded with `opentelemetry` and exported in the Prometheus text format.
+//! Metrics of one instance, recorded with `opentelemetry` and exported in the Prometheus text
+//! format.
 
 use std::sync::{Arc, Weak};
 use std::time::Duration;
@@ -11,8 +12,8 @@
 
 use crate::gateway::Gateway;
 
-/// Maximum number of accounts with token gauges. In a larger fleet only the first accounts by name have them,
-/// which bounds the size of the page.
+/// Maximum number of accounts with token gauges. In a larger fleet only the first accounts by name
+/// have them, which bounds the size of the page.
 const MAX_ACCOUNTS: usize = 64;
 
 /// Instruments of one instance.
@@ -48,7 +49,8 @@
         })
     }
 
-    /// Registers gauges of the gateway's state: tokens by account, and sizes and ages of the local state.
+    /// Registers gauges of the gateway's state: tokens by account, and sizes and ages of the local
+    /// state.
     pub fn register_gauges(&self, gateway: &Arc<Gateway>) {
         let meter = self.page.meter();
         register_tokens(&meter, Arc::downgrade(gateway));
--- a/crates/fescuewell_gateway/src/refusal.rs
+++ b/crates/fescuewell_gateway/src/refusal.rs
@@ -12,7 +12,8 @@
 const START_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Retry delay for tokens: another instance, or this one after its next plan, may have them.
 const TOKEN_RETRY_DELAY: Duration = Duration::from_millis(150);
-/// Retry delay without a backend server: the minimum time until a lost one is replaced or found healthy.
+/// Retry delay without a backend server: the minimum time until a lost one is replaced or found
+/// healthy.
 const SERVER_RETRY_DELAY: Duration = Duration::from_millis(400);
 /// Retry delay for overloaded backend servers: by then they have processed part of their queues.
 const OVERLOAD_RETRY_DELAY: Duration = Duration::from_millis(150);
@@ -28,8 +29,8 @@
     }
 }
 
-/// Sends a refusal. `delay` overrides the default retry delay of the code; `close_connection` asks the caller
-/// to open its next connection to another instance.
+/// Sends a refusal. `delay` overrides the default retry delay of the code; `close_connection` asks
+/// the caller to open its next connection to another instance.
 pub fn send(reply: Reply, code: Code, delay: Option<Duration>, close_connection: bool) {
     let mut headers = HeaderMap::new();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
--- a/crates/fescuewell_gateway/src/stream.rs
+++ b/crates/fescuewell_gateway/src/stream.rs
@@ -1,5 +1,5 @@
-//! Streamed responses: complete events are forwarded as they arrive, and a broken stream is resumed on
-//! another server within the same response.
+//! Streamed responses: complete events are forwarded as they arrive, and a broken stream is resumed
+//! on another server within the same response.
 
 use std::time::Instant;
 
@@ -19,8 +19,9 @@
 
 /// Splits a byte stream into complete server-sent events.
 ///
-/// A server may stop in the middle of an event. A partial event must not reach the caller: the next server
-/// sends the event again from its start, and the caller would see it appended to the first part.
+/// A server may stop in the middle of an event. A partial event must not reach the caller: the next
+/// server sends the event again from its start, and the caller would see it appended to the first
+/// part.
 #[derive(Debug, Default)]
 pub struct EventFramer {
     buffer: BytesMut,
@@ -70,7 +71,8 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`FramingError`] if an event is too large or missing. Events returned earlier stay valid.
+    /// Returns a [`FramingError`] if an event is too large or missing. Events returned earlier stay
+    /// valid.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Bytes, FramingError> {
         self.buffer.extend_from_slice(bytes);
         let mut out = BytesMut::new();
@@ -167,8 +169,8 @@
             }
             framer.discard_partial();
             while current.is_none() && self.may_retry() {
-                // The previous permit is released first, so that the abandoned attempt does not count beside
-                // the new one.
+                // The previous permit is released first, so that the abandoned attempt does not
+                // count beside the new one.
                 permit.release();
                 let Ok(next) = self.pick_server().await else {
                     break;
--- a/crates/fescuewell_gateway/tests/quarantine.rs
+++ b/crates/fescuewell_gateway/tests/quarantine.rs
@@ -58,8 +58,8 @@
     gateway.state().verdict(request(), gateway.now_ms())
 }
 
-/// Guards against reading a flapping store without a pause: each failed read counted as an outage, and the
-/// next response as its end.
+/// Guards against reading a flapping store without a pause: each failed read counted as an outage,
+/// and the next response as its end.
 #[test]
 fn a_store_that_answers_now_and_then_is_read_at_the_usual_pace() {
     let reads = common::run_scenario(1_000_000, 1, async move |_, store| {
@@ -123,8 +123,8 @@
     assert!(first != second, "{first} {second}");
 }
 
-/// Guards against an unbounded number of probes: without the store, an instance does not know of the probes
-/// of others.
+/// Guards against an unbounded number of probes: without the store, an instance does not know of
+/// the probes of others.
 #[test]
 fn nobody_probes_while_the_store_is_away() {
     let may_probe = common::run_scenario(
