--- a/src/command.rs
+++ b/src/command.rs
@@ -13,8 +13,8 @@
 mod log;
 mod losses;
 mod router;
+mod signal;
 mod standin;
-mod stop;
 
 use pico_args::Arguments;
 
--- a/src/command/console.rs
+++ b/src/command/console.rs
@@ -9,7 +9,7 @@
 use pico_args::Arguments;
 use serde::Deserialize;
 
-use super::{log, stop};
+use super::{log, signal};
 use crate::cli::{Error, finish, settings_text};
 
 /// Help text.
@@ -71,7 +71,7 @@
     finish(arguments)?;
     let settings = read(&text, &path.to_string_lossy())?;
     let _logger = log::start(&options)?;
-    let mut signals = stop::Listener::start()?;
+    let mut signals = signal::Listener::start()?;
     let services = product::connect(&settings.platform).map_err(Error::failed)?;
     let own = own_settings(&settings)?;
     let mut console =
--- a/src/command/demo.rs
+++ b/src/command/demo.rs
@@ -5,7 +5,7 @@
 use fescuewell::demo::forward::Forward;
 use pico_args::Arguments;
 
-use super::{log, stop};
+use super::{log, signal};
 use crate::cli::{Error, finish};
 
 /// Help text.
@@ -38,7 +38,7 @@
     let options = log::Options::read_with(&mut arguments, "warn")?;
     finish(arguments)?;
     let _logger = log::start(&options)?;
-    let mut signals = stop::Listener::start()?;
+    let mut signals = signal::Listener::start()?;
     let settings = Settings {
         port,
         ..Settings::default()
--- a/src/command/entry.rs
+++ b/src/command/entry.rs
@@ -14,7 +14,7 @@
 use flume::RecvTimeoutError;
 use pico_args::Arguments;
 
-use super::{log, stop};
+use super::{log, signal};
 use crate::cli::{Error, finish};
 
 /// Help text.
@@ -39,14 +39,14 @@
     finish(arguments)?;
     let boot = read(&path)?;
     let _logger = log::start(&options)?;
-    let signals = stop::Listener::start()?.into_channel()?;
+    let signals = signal::Listener::start()?.into_channel()?;
     let rows = Arc::new(Client::new(boot.store));
     let daemon = start(boot.clone(), rows.clone())?;
     let mut file = Watched { path, boot };
     loop {
         match signals.recv_timeout(LOOK) {
-            Ok(stop::Asked::Stop) | Err(RecvTimeoutError::Disconnected) => break,
-            Ok(stop::Asked::Reload) | Err(RecvTimeoutError::Timeout) => file.look(&rows),
+            Ok(signal::Action::Stop) | Err(RecvTimeoutError::Disconnected) => break,
+            Ok(signal::Action::Reload) | Err(RecvTimeoutError::Timeout) => file.look(&rows),
         }
     }
     daemon.stop();
--- a/src/command/log.rs
+++ b/src/command/log.rs
@@ -1,6 +1,6 @@
 //! Sets the logger up.
 
-mod ring;
+mod stdout;
 
 use flexi_logger::{DeferredNow, FlexiLoggerError, Logger, LoggerHandle, WriteMode};
 use log::Record;
@@ -88,7 +88,7 @@
 pub fn start(options: &Options) -> Result<LoggerHandle, Error> {
     match options.target {
         Target::Error => try_start(options.form, &options.specification),
-        Target::Output => ring::start(&options.specification),
+        Target::Output => stdout::start(&options.specification),
     }
     .map_err(Error::failed)
 }
--- a/src/command/log/ring.rs
+++ b/src/command/log/stdout.rs
@@ -21,12 +21,12 @@
     Flush(flume::Sender<()>),
 }
 
-struct Ring {
+struct Writer {
     lines: flume::Sender<Item>,
     dropped: Arc<AtomicU64>,
 }
 
-impl LogWriter for Ring {
+impl LogWriter for Writer {
     fn write(&self, now: &mut DeferredNow, record: &Record) -> std::io::Result<()> {
         let time = now.now_utc_owned().format(TIME).to_string();
         let mut line = object(&time, record).to_string().into_bytes();
@@ -59,7 +59,7 @@
 pub(super) fn start(specification: &str) -> Result<LoggerHandle, FlexiLoggerError> {
     let (lines, waiting) = flume::bounded(LINES);
     let dropped = Arc::new(AtomicU64::new(0));
-    let ring = Ring {
+    let writer = Writer {
         lines,
         dropped: dropped.clone(),
     };
@@ -67,7 +67,7 @@
         .name("log".into())
         .spawn(move || drain(&waiting, &dropped))?;
     Logger::try_with_str(specification)?
-        .log_to_writer(Box::new(ring))
+        .log_to_writer(Box::new(writer))
         .start()
 }
 
--- a/src/command/router.rs
+++ b/src/command/router.rs
@@ -8,7 +8,7 @@
 use flume::RecvTimeoutError;
 use pico_args::Arguments;
 
-use super::{log, stop};
+use super::{log, signal};
 use crate::cli::{Error, finish, settings_text};
 
 /// Help text.
@@ -36,7 +36,7 @@
     let file = path.to_string_lossy().into_owned();
     let settings = read(&text, &file)?;
     let _logger = log::start(&options)?;
-    let signals = stop::Listener::start()?.into_channel()?;
+    let signals = signal::Listener::start()?.into_channel()?;
     let services = product::connect(&settings.platform).map_err(Error::failed)?;
     let router = Router::start(&settings, services).map_err(Error::failed)?;
     println!(
@@ -47,8 +47,8 @@
     );
     while !router.is_finished() {
         match signals.recv_timeout(LOOK) {
-            Ok(stop::Asked::Stop) => router.terminate(),
-            Ok(stop::Asked::Reload) => reload(&router, &file),
+            Ok(signal::Action::Stop) => router.terminate(),
+            Ok(signal::Action::Reload) => reload(&router, &file),
             Err(RecvTimeoutError::Timeout | RecvTimeoutError::Disconnected) => {}
         }
     }
--- a/src/command/stop.rs
+++ b/src/command/signal.rs
@@ -8,7 +8,7 @@
 
 /// What was asked for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Asked {
+pub enum Action {
     /// To end.
     Stop,
     /// To read the settings again.
@@ -30,10 +30,10 @@
     }
 
     /// Waits for the next signal.
-    pub fn wait(&mut self) -> Asked {
+    pub fn wait(&mut self) -> Action {
         match self.0.forever().next() {
-            Some(SIGHUP) => Asked::Reload,
-            _ => Asked::Stop,
+            Some(SIGHUP) => Action::Reload,
+            _ => Action::Stop,
         }
     }
 
@@ -42,7 +42,7 @@
     /// # Errors
     ///
     /// [`Error::Failed`] when no thread can be started.
-    pub fn into_channel(mut self) -> Result<Receiver<Asked>, Error> {
+    pub fn into_channel(mut self) -> Result<Receiver<Action>, Error> {
         let (sender, receiver) = flume::bounded(4);
         std::thread::Builder::new()
             .name("signals".into())
@@ -53,6 +53,6 @@
 
     /// Waits until the process is asked to end.
     pub fn wait_for_stop(&mut self) {
-        while self.wait() != Asked::Stop {}
+        while self.wait() != Action::Stop {}
     }
 }
--- a/src/command/standin.rs
+++ b/src/command/standin.rs
@@ -7,7 +7,7 @@
 use fescuewell::standin::service::{self, Service};
 use pico_args::Arguments;
 
-use super::stop;
+use super::signal;
 use crate::cli::{Error, finish, usage};
 
 /// Help text.
@@ -30,7 +30,7 @@
 pub fn run(mut arguments: Arguments) -> Result<(), Error> {
     let kind: String = arguments.free_from_str()?;
     let listen: SocketAddr = arguments.value_from_str("--listen")?;
-    let mut signals = stop::Listener::start()?;
+    let mut signals = signal::Listener::start()?;
     match kind.as_str() {
         "platform" => {
             let settings = platform_settings(&mut arguments)?;
