--- a/src/command/entry.rs
+++ b/src/command/entry.rs
@@ -1,4 +1,4 @@
-//! `entry`: one entry instance on the users' platform.
+//! The `entry` subcommand, which runs an entry instance on the users' platform.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -17,84 +17,85 @@
 use super::{log, signal};
 use crate::cli::{Error, finish};
 
-/// Help text.
+/// Help text of `entry`.
 pub const HELP: &str = "\
-fescuewell entry - one entry instance on the users' platform
+fescuewell entry - an entry instance on the users' platform
 
 usage: fescuewell entry [--settings FILE] [--log LEVEL]
 
-Without --settings the file is the one that the variable FESCUEWELL_SETTINGS names. Log lines are JSON on
-standard output. SIGTERM or Ctrl-C drains within the grace time of the settings. The file is looked at each second and at
-SIGHUP; a changed address of the store is taken up, anything else needs a restart.
+Without --settings, the path of the file is read from the environment variable FESCUEWELL_SETTINGS. Logs are
+written as JSON lines to standard output. SIGTERM or Ctrl-C drains within the grace period of the settings.
+The file is reread every second and on SIGHUP; a changed store address is applied, anything else needs a
+restart.
 ";
 
-/// Runs the instance.
+/// Runs the instance until the process receives a stop signal.
 ///
 /// # Errors
 ///
-/// When settings are wrong or the instance cannot start.
+/// Returns an error if the settings are invalid or the instance cannot start.
 pub fn run(mut arguments: Arguments) -> Result<(), Error> {
-    let options = log::Options::read(&mut arguments)?.on_standard_output();
-    let path = path(&mut arguments)?;
+    let options = log::Options::read(&mut arguments)?.with_json_stdout();
+    let path = settings_path(&mut arguments)?;
     finish(arguments)?;
-    let boot = read(&path)?;
+    let process = read(&path)?;
     let _logger = log::start(&options)?;
     let signals = signal::Listener::start()?.into_channel()?;
-    let rows = Arc::new(Client::new(boot.store));
-    let daemon = start(boot.clone(), rows.clone())?;
-    let mut file = Watched { path, boot };
+    let client = Arc::new(Client::new(process.store));
+    let daemon = start(process.clone(), client.clone())?;
+    let mut file = SettingsFile { path, process };
     loop {
-        match signals.recv_timeout(LOOK) {
+        match signals.recv_timeout(CHECK_INTERVAL) {
             Ok(signal::Action::Stop) | Err(RecvTimeoutError::Disconnected) => break,
-            Ok(signal::Action::Reload) | Err(RecvTimeoutError::Timeout) => file.look(&rows),
+            Ok(signal::Action::Reload) | Err(RecvTimeoutError::Timeout) => file.reload(&client),
         }
     }
     daemon.stop();
     Ok(())
 }
 
-/// Time between two looks at the settings file: it may change without a signal.
-const LOOK: Duration = Duration::from_secs(1);
+/// Interval at which the settings file is reread: it may change without a signal.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The settings file and what it said last.
-struct Watched {
+/// Settings file and the last valid content that was read from it.
+struct SettingsFile {
     path: PathBuf,
-    boot: Process,
+    process: Process,
 }
 
-impl Watched {
-    /// Takes up a changed address of the store; other changes need a restart. A file that cannot be used changes
-    /// nothing.
-    fn look(&mut self, rows: &Client) {
-        let boot = match read(&self.path) {
-            Ok(boot) => boot,
+impl SettingsFile {
+    /// Rereads the file and applies a changed store address; other changes need a restart. An unreadable or
+    /// invalid file changes nothing.
+    fn reload(&mut self, client: &Client) {
+        let process = match read(&self.path) {
+            Ok(process) => process,
             Err(error) => {
                 let reason = error.to_string().replace(' ', "_");
                 log_event!(Event::SettingsReloaded, "outcome=refused reason={reason}");
                 return;
             }
         };
-        if boot == self.boot {
+        if process == self.process {
             return;
         }
-        rows.set_address(boot.store);
+        client.set_address(process.store);
         log_event!(
             Event::SettingsReloaded,
             "outcome=changed store={}",
-            boot.store
+            process.store
         );
-        self.boot = boot;
+        self.process = process;
     }
 }
 
-fn path(arguments: &mut Arguments) -> Result<PathBuf, Error> {
+fn settings_path(arguments: &mut Arguments) -> Result<PathBuf, Error> {
     if let Some(path) = arguments.opt_value_from_str("--settings")? {
         return Ok(path);
     }
     let path = std::env::var_os(settings::PATH_VARIABLE).map(PathBuf::from);
     path.ok_or_else(|| {
         crate::cli::usage(format!(
-            "--settings or the variable {} is wanted",
+            "neither --settings nor the environment variable {} is set",
             settings::PATH_VARIABLE
         ))
     })
@@ -109,9 +110,10 @@
     })
 }
 
-/// The subsystems of an instance: the platform's store serves rows and lists, its dialect the rest.
-fn start(boot: Process, rows: Arc<Client>) -> Result<Daemon, Error> {
-    let source = Arc::new(Reader::new(rows.clone()));
+/// Starts an instance that uses the platform's store for rows, configuration and server lists, and the
+/// platform's request format.
+fn start(process: Process, client: Arc<Client>) -> Result<Daemon, Error> {
+    let source = Arc::new(Reader::new(client.clone()));
     let dialect = Arc::new(Platform::default());
-    Daemon::start(boot.instance, dialect, rows, source).map_err(Error::failed)
+    Daemon::start(process.instance, dialect, client, source).map_err(Error::failed)
 }
--- a/src/command/log.rs
+++ b/src/command/log.rs
@@ -1,4 +1,4 @@
-//! Sets the logger up.
+//! Setup of the logger.
 
 mod stdout;
 
@@ -8,150 +8,152 @@
 
 use crate::cli::Error;
 
-/// How log lines look.
+/// Format of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Form {
-    /// `time level text`.
+pub enum Format {
+    /// `time level message`.
     Plain,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// What the command line says about logging.
+/// Logging options of the command line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Options {
-    form: Form,
+    format: Format,
     specification: String,
     target: Target,
 }
 
-/// Where log lines go.
+/// Destination of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Target {
-    /// Standard error, for people.
-    Error,
-    /// Standard output through a bounded ring, for a collector.
-    Output,
+    /// Standard error, for a terminal.
+    Stderr,
+    /// Standard output through a bounded queue, for a log collector.
+    Stdout,
 }
 
-/// Level unless another one is asked for.
-const LEVEL: &str = "info";
+/// Log level without `--log`.
+const DEFAULT_LEVEL: &str = "info";
 
 impl Options {
-    /// Takes `--log` and `--json` from the arguments.
+    /// Reads `--log` and `--json` from the arguments.
     ///
     /// # Errors
     ///
-    /// [`Error::Usage`].
+    /// Returns [`Error::Usage`] if `--log` has no value.
     pub fn read(arguments: &mut Arguments) -> Result<Self, Error> {
-        Self::read_with(arguments, LEVEL)
+        Self::read_with(arguments, DEFAULT_LEVEL)
     }
 
-    /// The same with another level for when none is named.
+    /// Reads `--log` and `--json` from the arguments; without `--log` the level is `default_level`.
     ///
     /// # Errors
     ///
-    /// [`Error::Usage`].
-    pub fn read_with(arguments: &mut Arguments, level: &str) -> Result<Self, Error> {
+    /// Returns [`Error::Usage`] if `--log` has no value.
+    pub fn read_with(arguments: &mut Arguments, default_level: &str) -> Result<Self, Error> {
         let specification: Option<String> = arguments.opt_value_from_str("--log")?;
-        let form = if arguments.contains("--json") {
-            Form::Json
+        let format = if arguments.contains("--json") {
+            Format::Json
         } else {
-            Form::Plain
+            Format::Plain
         };
         Ok(Self {
-            form,
-            specification: specification.unwrap_or_else(|| level.into()),
-            target: Target::Error,
+            format,
+            specification: specification.unwrap_or_else(|| default_level.into()),
+            target: Target::Stderr,
         })
     }
 
-    /// JSON lines on standard output.
-    pub fn on_standard_output(mut self) -> Self {
-        self.form = Form::Json;
-        self.target = Target::Output;
+    /// Sets the format to JSON and the destination to standard output.
+    pub fn with_json_stdout(mut self) -> Self {
+        self.format = Format::Json;
+        self.target = Target::Stdout;
         self
     }
 }
 
-/// Lines that may wait for the writer's thread.
-const POOL: usize = 1_024;
-/// Bytes of a line that is kept for reuse.
-const LINE: usize = 512;
+/// Message buffers kept in the pool of the asynchronous writer.
+const BUFFER_POOL_SIZE: usize = 1_024;
+/// Capacity of a pooled message buffer, in bytes.
+const BUFFER_CAPACITY: usize = 512;
 
-/// Starts the logger; it lives as long as the handle. `--log` takes a level or a list of targets
-/// with levels, as `flexi_logger` reads it.
+/// Starts the logger, which runs until the handle is dropped. `--log` accepts a level or a list of
+/// targets with levels, in the syntax of `flexi_logger`.
 ///
 /// # Errors
 ///
-/// [`Error::Failed`] when the specification cannot be read.
+/// Returns [`Error::Failed`] if the specification is invalid or the logger cannot start.
 pub fn start(options: &Options) -> Result<LoggerHandle, Error> {
     match options.target {
-        Target::Error => try_start(options.form, &options.specification),
-        Target::Output => stdout::start(&options.specification),
+        Target::Stderr => start_stderr(options.format, &options.specification),
+        Target::Stdout => stdout::start(&options.specification),
     }
     .map_err(Error::failed)
 }
 
-// Writing goes through a thread of its own, so that a slow terminal or collector delays no decision.
-fn try_start(form: Form, specification: &str) -> Result<LoggerHandle, FlexiLoggerError> {
-    let format = match form {
-        Form::Plain => plain,
-        Form::Json => json,
+// Lines are written by a separate thread, so that a slow terminal or collector does not delay the caller.
+fn start_stderr(format: Format, specification: &str) -> Result<LoggerHandle, FlexiLoggerError> {
+    let formatter = match format {
+        Format::Plain => format_plain,
+        Format::Json => format_json,
     };
     Logger::try_with_str(specification)?
         .log_to_stderr()
-        .format(format)
+        .format(formatter)
         .write_mode(WriteMode::AsyncWith {
-            pool_capa: POOL,
-            message_capa: LINE,
+            pool_capa: BUFFER_POOL_SIZE,
+            message_capa: BUFFER_CAPACITY,
             flush_interval: std::time::Duration::from_millis(100),
         })
         .start()
 }
 
-const TIME: &str = "%Y-%m-%dT%H:%M:%S%.3fZ";
+/// Format of timestamps in log lines.
+const TIME_FORMAT: &str = "%Y-%m-%dT%H:%M:%S%.3fZ";
 
-fn plain(
+fn format_plain(
     out: &mut dyn std::io::Write,
     now: &mut DeferredNow,
     record: &Record,
 ) -> std::io::Result<()> {
-    let time = now.now_utc_owned().format(TIME);
+    let time = now.now_utc_owned().format(TIME_FORMAT);
     write!(out, "{time} {:5} {}", record.level(), record.args())
 }
 
-fn json(
+fn format_json(
     out: &mut dyn std::io::Write,
     now: &mut DeferredNow,
     record: &Record,
 ) -> std::io::Result<()> {
-    let time = now.now_utc_owned().format(TIME).to_string();
-    let line = object(&time, record);
+    let time = now.now_utc_owned().format(TIME_FORMAT).to_string();
+    let line = to_json(&time, record);
     write!(out, "{line}")
 }
 
-/// A line as an object: an event's `key=value` pairs become fields, other text stays as it is.
-pub(super) fn object(time: &str, record: &Record) -> serde_json::Value {
+/// Converts a log record to a JSON object. The first two words of the message are the event's number and title,
+/// `key=value` words become fields, and the remaining words are joined in the field `text`.
+pub(super) fn to_json(time: &str, record: &Record) -> serde_json::Value {
     let text = record.args().to_string();
     let mut line = serde_json::Map::new();
-    let mut put = |key: &str, value: &str| {
+    let mut insert = |key: &str, value: &str| {
         line.insert(key.into(), value.into());
     };
-    put("time", time);
-    put("level", record.level().as_str());
+    insert("time", time);
+    insert("level", record.level().as_str());
     let mut words = text.split(' ');
-    put("event", words.next().unwrap_or_default());
-    put("title", words.next().unwrap_or_default());
-    let mut rest = Vec::new();
+    insert("event", words.next().unwrap_or_default());
+    insert("title", words.next().unwrap_or_default());
+    let mut text_words = Vec::new();
     for word in words {
         match word.split_once('=') {
-            Some((key, value)) => put(key, value),
-            None => rest.push(word),
+            Some((key, value)) => insert(key, value),
+            None => text_words.push(word),
         }
     }
-    if !rest.is_empty() {
-        put("text", &rest.join(" "));
+    if !text_words.is_empty() {
+        insert("text", &text_words.join(" "));
     }
     line.into()
 }
