--- a/src/command/explain.rs
+++ b/src/command/explain.rs
@@ -1,26 +1,26 @@
-//! `explain`: the story of one request from the log files of several instances.
+//! The `explain` subcommand, which prints the log lines of one request from the files of several instances.
 
 use pico_args::Arguments;
 
 use super::lines::{self, Line};
 use crate::cli::Error;
 
-/// Help text.
+/// Help text of `explain`.
 pub const HELP: &str = "\
-fescuewell explain - the story of one request
+fescuewell explain - print the log lines of one request, with their context
 
 usage: fescuewell explain ID FILE...
 
-Prints the log lines of the request with this id from the files of several instances, in the order of time, and
-between them the lines of the same instance that changed what it believed in the seconds before: configuration,
-backend servers, tokens of the account, the store, starts and stops. ID may also be a request's fingerprint, as the
-lines name it: the story then covers all of its tries.
+Prints the log lines of the request with this id from the files of several instances, sorted by time and marked
+with '*'. Between and before them it prints the lines that report a change of the same instances' state:
+configuration, backend servers, tokens of the account, the store, starts and stops. ID may also be the fingerprint
+of a request as it appears in the logs; the output then covers all attempts of the request.
 
 example: fescuewell explain 9c41d07be2a35f68 entry-1.log entry-2.log
 ";
 
-/// Titles of lines that tell of a change of belief.
-const BELIEFS: [&str; 23] = [
+/// Titles of log lines that report a change of an instance's state and are printed as context.
+const CONTEXT_TITLES: [&str; 23] = [
     "process.started",
     "process.ready",
     "drain.started",
@@ -45,57 +45,64 @@
     "settings.reloaded",
     "log.dropped",
 ];
-/// Lines of each kind that are shown before the request: the last one decides.
-const LINES_BEFORE: usize = 1;
+/// Context lines of each kind printed from before the request. Only the last one was still in effect.
+const CONTEXT_LINES_PER_KIND: usize = 1;
 
-/// Prints the story.
+/// Prints the log lines of a request and their context.
 ///
 /// # Errors
 ///
-/// When a file cannot be read or no line tells of the request.
+/// Returns an error if a file cannot be read or no line belongs to the request.
 pub fn run(mut arguments: Arguments) -> Result<(), Error> {
     let id: String = arguments.free_from_str()?;
-    let lines = lines::from(arguments)?;
-    tell(&id, &lines)
+    let lines = lines::read_all(arguments)?;
+    print_request(&id, &lines)
 }
 
-fn tell(id: &str, lines: &[Line]) -> Result<(), Error> {
-    let own: Vec<usize> = (0..lines.len()).filter(|at| lines[*at].is_of(id)).collect();
-    let (Some(first), Some(last)) = (own.first(), own.last()) else {
-        return Err(Error::failed(format_args!("no line tells of request {id}")));
+fn print_request(id: &str, lines: &[Line]) -> Result<(), Error> {
+    let own_lines: Vec<usize> = (0..lines.len())
+        .filter(|index| lines[*index].belongs_to(id))
+        .collect();
+    let (Some(first), Some(last)) = (own_lines.first(), own_lines.last()) else {
+        return Err(Error::failed(format_args!(
+            "no log line of request {id} found"
+        )));
     };
-    let instances: Vec<&str> = own.iter().map(|at| lines[*at].instance.as_str()).collect();
-    for at in before(*first, lines, &instances) {
-        lines[at].print(' ');
+    let instances: Vec<&str> = own_lines
+        .iter()
+        .map(|index| lines[*index].instance.as_str())
+        .collect();
+    for index in preceding_context(*first, lines, &instances) {
+        lines[index].print(' ');
     }
     for line in &lines[*first..=*last] {
-        if line.is_of(id) {
+        if line.belongs_to(id) {
             line.print('*');
             continue;
         }
-        if instances.contains(&line.instance.as_str()) && BELIEFS.contains(&line.title()) {
+        if instances.contains(&line.instance.as_str()) && CONTEXT_TITLES.contains(&line.title()) {
             line.print(' ');
         }
     }
     Ok(())
 }
 
-/// The last line of each kind, instance and subject before the request began.
-fn before(first: usize, lines: &[Line], instances: &[&str]) -> Vec<usize> {
+/// Finds the last context line of each title, instance and account before the first line of the request.
+fn preceding_context(first: usize, lines: &[Line], instances: &[&str]) -> Vec<usize> {
     let mut found: Vec<usize> = Vec::new();
-    for at in (0..first).rev() {
-        let line = &lines[at];
-        if !instances.contains(&line.instance.as_str()) || !BELIEFS.contains(&line.title()) {
+    for index in (0..first).rev() {
+        let line = &lines[index];
+        if !instances.contains(&line.instance.as_str()) || !CONTEXT_TITLES.contains(&line.title()) {
             continue;
         }
-        let alike = |other: &&usize| {
+        let is_same_kind = |other: &&usize| {
             let other = &lines[**other];
             other.title() == line.title()
                 && other.instance == line.instance
                 && other.field("account") == line.field("account")
         };
-        if found.iter().filter(alike).count() < LINES_BEFORE {
-            found.push(at);
+        if found.iter().filter(is_same_kind).count() < CONTEXT_LINES_PER_KIND {
+            found.push(index);
         }
     }
     found.sort_unstable();
--- a/src/command/lines.rs
+++ b/src/command/lines.rs
@@ -1,4 +1,4 @@
-//! Lines of instances' log files.
+//! Parser of the instances' log files.
 
 use std::path::{Path, PathBuf};
 
@@ -7,18 +7,19 @@
 
 use crate::cli::{Error, finish, usage};
 
-/// One line of a log.
+/// A log line.
 pub(super) struct Line {
-    /// Who wrote it: the collector's last word before the object, else the file's name without its ending.
+    /// Instance that wrote the line: the last word that the log collector put before the JSON object, or else the
+    /// file's name without its extension.
     pub(super) instance: String,
-    /// Moment of the line, as it stands there.
+    /// Timestamp of the line, unparsed; empty if there is none.
     pub(super) time: String,
-    /// All that the line says.
+    /// Fields of the JSON object.
     pub(super) fields: Map<String, Value>,
 }
 
 impl Line {
-    /// The text of a field, empty if there is none.
+    /// Returns a field's value; empty if the field is missing or not a string.
     pub(super) fn field(&self, name: &str) -> &str {
         self.fields
             .get(name)
@@ -26,20 +27,20 @@
             .unwrap_or_default()
     }
 
-    /// What the line tells of.
+    /// Returns the title of the line's event.
     pub(super) fn title(&self) -> &str {
         self.field("title")
     }
 
-    /// Whether the line tells of the request with this id or fingerprint.
-    pub(super) fn is_of(&self, id: &str) -> bool {
-        let mut named = self.field("fingerprints").split(',');
+    /// Returns `true` if the line belongs to the request with this id or fingerprint.
+    pub(super) fn belongs_to(&self, id: &str) -> bool {
+        let mut fingerprints = self.field("fingerprints").split(',');
         self.field("request") == id
             || self.field("fingerprint") == id
-            || named.any(|name| name == id)
+            || fingerprints.any(|fingerprint| fingerprint == id)
     }
 
-    /// Prints the line behind a mark.
+    /// Prints the line, preceded by `mark`.
     pub(super) fn print(&self, mark: char) {
         let hidden = ["time", "level", "event", "title", "request"];
         let shown = self
@@ -59,19 +60,19 @@
     }
 }
 
-/// Reads the files that the arguments name, in the order of time.
+/// Reads the log files given in the arguments and sorts their lines by time.
 ///
 /// # Errors
 ///
-/// When none is named or one cannot be read.
-pub(super) fn from(mut arguments: Arguments) -> Result<Vec<Line>, Error> {
+/// Returns an error if no file is given or a file cannot be read.
+pub(super) fn read_all(mut arguments: Arguments) -> Result<Vec<Line>, Error> {
     let mut files: Vec<PathBuf> = Vec::new();
     while let Some(file) = arguments.opt_free_from_str()? {
         files.push(file);
     }
     finish(arguments)?;
     if files.is_empty() {
-        return Err(usage("at least one log file is wanted"));
+        return Err(usage("expected at least one log file"));
     }
     let mut lines = Vec::new();
     for file in &files {
@@ -86,7 +87,7 @@
         .map_err(|error| Error::failed(format_args!("{}: {error}", file.display())))?;
     let name = file.file_stem().unwrap_or_default().to_string_lossy();
     for text in text.lines() {
-        // Collectors put their own words before the object.
+        // Log collectors put their own prefix before the JSON object.
         let Some(start) = text.find('{') else {
             continue;
         };
@@ -97,9 +98,9 @@
             .get("time")
             .and_then(Value::as_str)
             .unwrap_or_default();
-        let collected = text[..start].split_whitespace().next_back();
+        let collected_name = text[..start].split_whitespace().next_back();
         lines.push(Line {
-            instance: collected.unwrap_or(&name).to_owned(),
+            instance: collected_name.unwrap_or(&name).to_owned(),
             time: time.to_owned(),
             fields,
         });
--- a/src/command/losses.rs
+++ b/src/command/losses.rs
@@ -1,4 +1,4 @@
-//! `losses`: which requests were not served, when and why, from log files alone.
+//! The `losses` subcommand, which counts the requests that were not served, by cause and time, from log files.
 
 mod accounts;
 mod crashes;
@@ -10,28 +10,31 @@
 use super::lines::{self, Line};
 use crate::cli::{Error, usage};
 
-/// Help text.
+/// Help text of `losses`.
 pub const HELP: &str = "\
-fescuewell losses - which requests were not served, when and why
+fescuewell losses - count the requests that were not served, by cause and time
 
 usage: fescuewell losses [--span SECONDS] [--accounts COUNT] FILE...
 
-Counts the requests that were refused, failed or left by their callers, by cause and in spans of time (4 seconds unless told
-otherwise) from the first line on, with the client account that each cause met most. What answers cost, what requests cost that
-got none, what restarts charged without a record of its use, and the requests that were running when backend
-servers crashed stand below. With --accounts the client accounts that were refused most follow, with what was prepaid,
-granted and used by the last line, and whether the missing tokens were used up, stood at other instances, or at none.
+Counts the requests that were refused, that failed or whose callers disconnected, by cause and time span (4 seconds
+by default) from the first line on, with the client account that each cause affected most. Below, it prints the
+tokens charged for answered and for unanswered requests, the tokens charged at restarts and how many of them were
+recorded as used, and the requests that were running when backend servers crashed. With --accounts, it also prints
+the client accounts with the most refusals: the tokens prepaid, granted and used as of the last line, and whether
+the missing tokens were used up, granted to other instances, or granted to none.
 
 example: fescuewell losses --span 2 entry-1.log entry-2.log
 ";
 
-/// Length of a span unless the command line says another, in seconds.
-const SPAN_S: u64 = 4;
+/// Length of a time span without `--span`, in seconds.
+const DEFAULT_SPAN_S: u64 = 4;
 
 /// Requests lost for one cause.
 #[derive(Default)]
 struct Loss {
+    /// Number of requests by index of the time span.
     spans: BTreeMap<u64, u64>,
+    /// Number of requests by client account.
     accounts: HashMap<String, u64>,
 }
 
@@ -46,12 +49,16 @@
     }
 
     fn print(&self, cause: &str, span_s: u64) {
-        let most = self
+        let top_account = self
             .accounts
             .iter()
             .max_by_key(|(name, count)| (**count, (*name).clone()));
-        let (account, of_it) = most.map_or(("-", 0), |(name, count)| (name.as_str(), *count));
-        println!("{cause:24} {:7}  account {account} {of_it}", self.count());
+        let (account, account_count) =
+            top_account.map_or(("-", 0), |(name, count)| (name.as_str(), *count));
+        println!(
+            "{cause:24} {:7}  account {account} {account_count}",
+            self.count()
+        );
         let spans = self.spans.iter();
         let spans: Vec<String> = spans
             .map(|(span, count)| format!("{}s:{count}", span * span_s))
@@ -60,67 +67,74 @@
     }
 }
 
-/// Prints the table.
+/// Prints the losses in the log files.
 ///
 /// # Errors
 ///
-/// When the span is 0, or a file cannot be read.
+/// Returns an error if the span is 0 or a file cannot be read.
 pub fn run(mut arguments: Arguments) -> Result<(), Error> {
-    let span_s = arguments.opt_value_from_str("--span")?.unwrap_or(SPAN_S);
+    let span_s = arguments
+        .opt_value_from_str("--span")?
+        .unwrap_or(DEFAULT_SPAN_S);
     if span_s == 0 {
-        return Err(usage("--span: a whole number of seconds above 0 is wanted"));
+        return Err(usage(
+            "--span: must be a whole number of seconds greater than 0",
+        ));
     }
-    let most = arguments.opt_value_from_str("--accounts")?;
-    let lines = lines::from(arguments)?;
+    let max_accounts = arguments.opt_value_from_str("--accounts")?;
+    let lines = lines::read_all(arguments)?;
     let start_ms = lines
         .iter()
-        .find_map(|line| moment(&line.time))
+        .find_map(|line| parse_time_ms(&line.time))
         .unwrap_or_default();
     let mut losses: BTreeMap<String, Loss> = BTreeMap::new();
-    let mut accounts: HashMap<&str, &str> = HashMap::new();
-    let (mut served, mut recorded, mut charged) = (0, 0, 0);
-    let (mut answered, mut unanswered) = (0, 0);
+    let mut account_by_request: HashMap<&str, &str> = HashMap::new();
+    let (mut served_requests, mut recorded_tokens, mut charged_tokens) = (0, 0, 0);
+    let (mut answered_tokens, mut unanswered_tokens) = (0, 0);
     for line in &lines {
         if line.title() == "route.chosen" {
-            accounts.insert(line.field("request"), line.field("account"));
+            account_by_request.insert(line.field("request"), line.field("account"));
         }
         if line.title() == "allowance.reclaimed" {
-            recorded += number(line, "recorded");
-            charged += number(line, "charged");
+            recorded_tokens += number_field(line, "recorded");
+            charged_tokens += number_field(line, "charged");
         }
         match line.title() {
-            "request.done" => answered += number(line, "tokens"),
-            "tokens.charged" => unanswered += number(line, "tokens"),
+            "request.done" => answered_tokens += number_field(line, "tokens"),
+            "tokens.charged" => unanswered_tokens += number_field(line, "tokens"),
             _ => {}
         }
         let Some(cause) = cause(line) else {
-            served += u64::from(line.title() == "request.done");
+            served_requests += u64::from(line.title() == "request.done");
             continue;
         };
         let account = match line.field("account") {
-            "" => accounts.get(line.field("request")).copied().unwrap_or("-"),
-            named => named,
+            "" => account_by_request
+                .get(line.field("request"))
+                .copied()
+                .unwrap_or("-"),
+            name => name,
         };
-        let at_ms = moment(&line.time).unwrap_or(start_ms);
-        let span = at_ms.saturating_sub(start_ms) / 1_000 / span_s;
+        let time_ms = parse_time_ms(&line.time).unwrap_or(start_ms);
+        let span = time_ms.saturating_sub(start_ms) / 1_000 / span_s;
         losses.entry(cause).or_default().add(span, account);
     }
     let mut ranked: Vec<(&String, &Loss)> = losses.iter().collect();
     ranked.sort_by_key(|(_, loss)| std::cmp::Reverse(loss.count()));
-    println!("{:24} {served:7}", "answered");
+    println!("{:24} {served_requests:7}", "answered");
     for (cause, loss) in ranked {
         loss.print(cause, span_s);
     }
-    println!("tokens of answers {answered}, of requests without one {unanswered}");
-    println!("tokens charged at restarts {charged}, of them recorded {recorded}");
+    println!("tokens of answers {answered_tokens}, of requests without one {unanswered_tokens}");
+    println!("tokens charged at restarts {charged_tokens}, of them recorded {recorded_tokens}");
     crashes::print(&lines);
-    if let Some(most) = most {
-        accounts::print(&lines, most);
+    if let Some(max_accounts) = max_accounts {
+        accounts::print(&lines, max_accounts);
     }
     Ok(())
 }
 
-/// Why a request was not served; nothing for a line that tells of none.
+/// Returns why a request was not served, or `None` if the line reports no such request.
 fn cause(line: &Line) -> Option<String> {
     match (line.title(), line.field("outcome")) {
         ("route.refused", _) => Some(line.field("cause").to_owned()),
@@ -131,15 +145,15 @@
     }
 }
 
-fn number(line: &Line, field: &str) -> u64 {
-    // A line without the figure counts as none: it was cut short by the collector.
+fn number_field(line: &Line, field: &str) -> u64 {
+    // A missing number counts as 0: the collector truncated the line.
     line.field(field).parse().unwrap_or_default()
 }
 
-/// Milliseconds of the day of a time like `2026-05-30T10:35:34.944Z`.
-fn moment(time: &str) -> Option<u64> {
-    let clock = time.split('T').nth(1)?.trim_end_matches('Z');
-    let mut parts = clock.split(':');
+/// Parses a time such as `2026-05-30T10:35:34.944Z` into milliseconds since midnight.
+fn parse_time_ms(time: &str) -> Option<u64> {
+    let time_of_day = time.split('T').nth(1)?.trim_end_matches('Z');
+    let mut parts = time_of_day.split(':');
     let hours: u64 = parts.next()?.parse().ok()?;
     let minutes: u64 = parts.next()?.parse().ok()?;
     let seconds: f64 = parts.next()?.parse().ok()?;
--- a/src/command/losses/accounts.rs
+++ b/src/command/losses/accounts.rs
@@ -1,21 +1,25 @@
-//! Refusals for want of tokens, account by account: whether the account was at its end, or its tokens stood elsewhere.
+//! Refusals for lack of tokens by client account, and whether the account was exhausted or its tokens were granted
+//! to other instances.
 
 use std::collections::{BTreeMap, HashMap};
 
 use super::super::lines::Line;
-use super::number;
+use super::number_field;
 
-/// Part of the prepaid total, in percent, from which an account counts as at its end: the last requests no longer fit.
-const END_PERCENT: u64 = 94;
+/// Share of the prepaid tokens, in percent, from which an account counts as exhausted: what is left is too little for
+/// its last requests.
+const EXHAUSTED_PERCENT: u64 = 94;
 
-/// What the lines tell of one account.
+/// Figures of one account from the log lines.
 #[derive(Default)]
 struct Account {
+    /// Requests refused with `BudgetUnknown`.
     unknown: u64,
+    /// Requests refused with `BudgetExhausted`.
     exhausted: u64,
     prepaid: u64,
     used: u64,
-    /// The last grant of each holder.
+    /// Last known grant of each instance.
     granted: HashMap<String, u64>,
     lent: u64,
 }
@@ -25,32 +29,32 @@
         self.granted.values().sum()
     }
 
-    /// Where the tokens were that its refused requests missed, as of the last line.
-    fn verdict(&self) -> &'static str {
-        let share = self.used.saturating_mul(100);
+    /// Describes where the tokens were that the refused requests lacked, as of the last line.
+    fn shortage(&self) -> &'static str {
+        let used_hundredfold = self.used.saturating_mul(100);
         if self.prepaid == 0 {
             return "total not seen";
         }
-        if share >= self.prepaid.saturating_mul(END_PERCENT) {
+        if used_hundredfold >= self.prepaid.saturating_mul(EXHAUSTED_PERCENT) {
             return "exhausted";
         }
-        let free = self.prepaid.saturating_sub(self.granted());
-        let held = self.granted().saturating_sub(self.used);
-        match free > held {
+        let unallocated = self.prepaid.saturating_sub(self.granted());
+        let unused = self.granted().saturating_sub(self.used);
+        match unallocated > unused {
             true => "nobody held them",
             false => "stood elsewhere",
         }
     }
 }
 
-/// Prints the accounts that were refused most.
-pub(super) fn print(lines: &[Line], most: usize) {
+/// Prints the `limit` accounts with the most refusals.
+pub(super) fn print(lines: &[Line], limit: usize) {
     let accounts = collect(lines);
     let mut ranked: Vec<(&String, &Account)> = accounts.iter().collect();
     ranked.retain(|(_, account)| account.unknown + account.exhausted > 0);
     ranked.sort_by_key(|(_, account)| std::cmp::Reverse(account.unknown + account.exhausted));
     println!("account unknown exhausted prepaid granted used lent holders tokens");
-    for (name, account) in ranked.into_iter().take(most) {
+    for (name, account) in ranked.into_iter().take(limit) {
         let holders = account.granted.values().filter(|granted| **granted > 0);
         println!(
             "{name} {} {} {} {} {} {} {} {}",
@@ -61,26 +65,26 @@
             account.used,
             account.lent,
             holders.count(),
-            account.verdict()
+            account.shortage()
         );
     }
 }
 
 fn collect(lines: &[Line]) -> BTreeMap<String, Account> {
     let mut accounts: BTreeMap<String, Account> = BTreeMap::new();
-    let mut of_request: HashMap<&str, &str> = HashMap::new();
+    let mut account_by_request: HashMap<&str, &str> = HashMap::new();
     for line in lines {
         let name = line.field("account");
         match line.title() {
             "route.chosen" => {
-                of_request.insert(line.field("request"), name);
+                account_by_request.insert(line.field("request"), name);
             }
             "request.done" => {
-                let Some(name) = of_request.get(line.field("request")) else {
+                let Some(name) = account_by_request.get(line.field("request")) else {
                     continue;
                 };
                 let account = accounts.entry((*name).to_owned()).or_default();
-                account.used += number(line, "tokens");
+                account.used += number_field(line, "tokens");
             }
             "route.refused" => {
                 let account = accounts.entry(name.to_owned()).or_default();
@@ -92,13 +96,13 @@
             }
             "allowance.drawn" | "allowance.returned" => {
                 let account = accounts.entry(name.to_owned()).or_default();
-                account.prepaid = number(line, "prepaid");
-                let granted = number(line, "granted");
+                account.prepaid = number_field(line, "prepaid");
+                let granted = number_field(line, "granted");
                 account.granted.insert(line.instance.clone(), granted);
             }
             "tokens.lent" => {
                 let account = accounts.entry(name.to_owned()).or_default();
-                account.lent += number(line, "tokens");
+                account.lent += number_field(line, "tokens");
             }
             _ => {}
         }
