--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: which subcommand, its options, help texts and exit codes.
+//! The command line interface: subcommand dispatch, help texts, errors and exit codes.
 
 use std::ffi::OsString;
 use std::path::PathBuf;
@@ -9,11 +9,11 @@
 
 use crate::command;
 
-/// Exit code when the command itself failed.
+/// Exit code of a command that failed while it ran.
 const EXIT_FAILED: u8 = 1;
-/// Exit code for a command line that cannot be understood.
+/// Exit code for an invalid command line.
 const EXIT_USAGE: u8 = 2;
-/// Exit code for settings or a document that do not pass their checks.
+/// Exit code for settings or a document that fail validation.
 const EXIT_INVALID: u8 = 3;
 
 const HELP: &str = "\
@@ -22,52 +22,52 @@
 usage: fescuewell COMMAND [options]
 
 commands
-  entry [--settings FILE]      one entry instance on the users' platform
-  router --settings FILE       one entry instance with the product's own interface
-  console --settings FILE      the operators' console
-  explain ID FILE...           the story of one request from log files
-  losses FILE...               which requests were not served, when and why, from log files
+  entry [--settings FILE]      run an entry instance on the users' platform
+  router --settings FILE       run an entry instance with the product's own interface
+  console --settings FILE      run the operators' console
+  explain ID FILE...           print the log lines of one request, with their context
+  losses FILE...               count the requests that were not served, by cause and time
   check FILE                   check a settings file or a configuration document
   config get|check|apply ...   read, check or replace the document through the console
-  hash-key                     read a key from standard input, print the hash that documents keep
-  hash-password                read an operator's password, print the hash that console settings keep
-  issue-certificates           an authority and a certificate for each instance
-  demo [--port N]              the whole system in one process, on embedded stand-ins
-  bench NAME [options]         the load tool; 'bench --help' lists what it measures
-  stand-in KIND [options]      one stand-in: platform, engine or service
+  hash-key                     read a key from standard input, print its hash for the document
+  hash-password                read an operator's password, print its hash for the console settings
+  issue-certificates           issue a certificate authority and a certificate for each instance
+  demo [--port N]              run the whole system in one process, on embedded stand-ins
+  bench NAME [options]         run a benchmark; 'bench --help' lists them
+  stand-in KIND [options]      run a stand-in for the platform, an engine or a service
 
 options
-  --help, -h                   this text; after a command, that command's text
-  --version, -V                the version
+  --help, -h                   print this text, or after a command, the help of that command
+  --version, -V                print the version
 
-exit codes: 0 done, 1 failed, 2 the command line is wrong, 3 settings or document are invalid
+exit codes: 0 success, 1 failure, 2 invalid command line, 3 invalid settings or document
 ";
 
-/// Why a command ended badly.
+/// Error of a command; its variant determines the exit code.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The command line is wrong.
+    /// The command line is invalid.
     #[snafu(display("{message}\n(see 'fescuewell --help')"))]
     Usage {
-        /// What is wrong with it.
+        /// Description of the error.
         message: String,
     },
-    /// Settings or a document do not pass.
+    /// Settings or a document are invalid.
     #[snafu(display("{message}"))]
     Invalid {
-        /// The faults, a line each.
+        /// The validation errors, one per line.
         message: String,
     },
     /// The command failed.
     #[snafu(display("{message}"))]
     Failed {
-        /// Why.
+        /// Description of the error.
         message: String,
     },
 }
 
 impl Error {
-    /// Wraps anything that can be printed as a failure of the command.
+    /// Converts any displayable error into [`Error::Failed`].
     pub fn failed<Reason>(reason: Reason) -> Self
     where
         Reason: std::fmt::Display,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The process's exit code.
+    /// Returns the exit code of the process.
     pub fn exit_code(&self) -> ExitCode {
         let code = match self {
             Self::Usage { .. } => EXIT_USAGE,
@@ -96,11 +96,11 @@
     }
 }
 
-/// Runs the subcommand that the arguments name.
+/// Runs the subcommand given in the arguments.
 ///
 /// # Errors
 ///
-/// Whatever the subcommand reports, or [`Error::Usage`].
+/// Returns the error of the subcommand, or [`Error::Usage`] if none is given.
 pub fn run(mut arguments: Arguments) -> Result<(), Error> {
     if arguments.contains(["-V", "--version"]) {
         println!("fescuewell {}", env!("CARGO_PKG_VERSION"));
@@ -113,7 +113,7 @@
         return if wants_help {
             Ok(())
         } else {
-            Err(usage("a command is wanted"))
+            Err(usage("no command given"))
         };
     };
     if wants_help {
@@ -123,7 +123,7 @@
     command::dispatch(&command, arguments)
 }
 
-/// A [`Error::Usage`].
+/// Creates an [`Error::Usage`].
 pub fn usage<Message>(message: Message) -> Error
 where
     Message: Into<String>,
@@ -133,14 +133,14 @@
     }
 }
 
-/// Refuses arguments that nobody asked for.
+/// Rejects the arguments that are left over after parsing.
 ///
 /// # Errors
 ///
-/// [`Error::Usage`] naming the first one.
+/// Returns [`Error::Usage`] with the first argument that is left.
 pub fn finish(arguments: Arguments) -> Result<(), Error> {
-    let rest: Vec<OsString> = arguments.finish();
-    match rest.first() {
+    let remaining: Vec<OsString> = arguments.finish();
+    match remaining.first() {
         None => Ok(()),
         Some(extra) => Err(usage(format!(
             "unexpected argument {}",
@@ -149,12 +149,12 @@
     }
 }
 
-/// Reads the file named by `--settings`.
+/// Reads the file given by `--settings` and returns its path and content.
 ///
 /// # Errors
 ///
-/// [`Error::Usage`] without the option, [`Error::Failed`] when it cannot be read.
-pub fn settings_text(arguments: &mut Arguments) -> Result<(PathBuf, String), Error> {
+/// Returns [`Error::Usage`] if the option is missing, and [`Error::Failed`] if the file cannot be read.
+pub fn read_settings_file(arguments: &mut Arguments) -> Result<(PathBuf, String), Error> {
     let path: PathBuf = arguments.value_from_str("--settings")?;
     let text = std::fs::read_to_string(&path)
         .map_err(|error| Error::failed(format_args!("{}: {error}", path.display())))?;
--- a/src/command.rs
+++ b/src/command.rs
@@ -1,4 +1,4 @@
-//! The subcommands.
+//! The subcommands of the `fescuewell` binary, one module each.
 
 mod bench;
 mod capacity;
@@ -20,7 +20,7 @@
 
 use crate::cli::{Error, finish, usage};
 
-/// The help text of a subcommand.
+/// Returns the help text of a subcommand, if it has one.
 pub fn help(command: &str) -> Option<&'static str> {
     match command {
         "bench" => Some(bench::HELP),
@@ -38,11 +38,11 @@
     }
 }
 
-/// Runs a subcommand.
+/// Runs the subcommand with the given name.
 ///
 /// # Errors
 ///
-/// What the subcommand reports, or [`Error::Usage`] when there is none of that name.
+/// Returns the error of the subcommand, or [`Error::Usage`] if no subcommand has this name.
 pub fn dispatch(command: &str, arguments: Arguments) -> Result<(), Error> {
     match command {
         "bench" => bench::run(arguments),
@@ -62,11 +62,11 @@
         "losses" => losses::run(arguments),
         "router" => router::run(arguments),
         "stand-in" => standin::run(arguments),
-        _ => Err(usage(format!("there is no command {command}"))),
+        _ => Err(usage(format!("unknown command {command}"))),
     }
 }
 
-// From standard input, since a command line is seen by every process of the machine.
+// Reads the secret from standard input: any process on the machine can read a command line.
 fn hash_secret<Hash>(arguments: Arguments, hash: Hash) -> Result<(), Error>
 where
     Hash: Fn(&str) -> Result<String, Error>,
@@ -78,7 +78,7 @@
         .map_err(Error::failed)?;
     let secret = line.trim_end_matches(['\r', '\n']);
     if secret.is_empty() {
-        return Err(usage("a key or password is wanted on standard input"));
+        return Err(usage("expected a key or password on standard input"));
     }
     println!("{}", hash(secret)?);
     Ok(())
--- a/src/command/capacity.rs
+++ b/src/command/capacity.rs
@@ -1,15 +1,15 @@
-//! `bench capacity`: what the decisions cost along each axis of size.
+//! The `bench capacity` subcommand, which measures the cost of the decision logic along each axis of size.
 
 use fescuewell::bench::capacity::{self, Options};
 use pico_args::Arguments;
 
 use crate::cli::{Error, finish};
 
-/// Runs the measurement.
+/// Runs the benchmark and prints its report.
 ///
 /// # Errors
 ///
-/// When the report cannot be written.
+/// Returns an error if the arguments are invalid or the report cannot be written.
 pub fn run(mut arguments: Arguments) -> Result<(), Error> {
     let defaults = Options::default();
     let options = Options {
--- a/src/command/check.rs
+++ b/src/command/check.rs
@@ -1,4 +1,4 @@
-//! `check`: settings files and configuration documents.
+//! The `check` subcommand, which validates settings files and configuration documents.
 
 use fescuewell::document::parse;
 use fescuewell::router::settings::Settings;
@@ -7,38 +7,39 @@
 use super::console;
 use crate::cli::{Error, finish, usage};
 
-/// Help text.
+/// Help text of `check`.
 pub const HELP: &str = "\
 fescuewell check - check a settings file or a configuration document
 
 usage: fescuewell check FILE [--as router|console|document|platform|deploy]
 
-Without --as the kind is told by the file's keys: 'peers' stands in a router's settings, 'operators'
-in a console's, 'platform.address=' in the platform's file for an entry instance, '[roles.' in a deploy
-file; anything else is a document. Prints every fault with its line; exit code 3 if there is one.
+Without --as the kind is detected from the file's content: 'peers' means the settings of a router,
+'operators' those of a console, 'platform.address=' the platform's file for an entry instance, '[roles.'
+a deploy file; anything else is a document. Prints each error with its line; exit code 3 if there is one.
 ";
 
-/// Runs the check.
+/// Checks the file given in the arguments.
 ///
 /// # Errors
 ///
-/// [`Error::Invalid`] with the faults.
+/// Returns [`Error::Invalid`] with the validation errors, [`Error::Failed`] if the file cannot be read, or
+/// [`Error::Usage`].
 pub fn run(mut arguments: Arguments) -> Result<(), Error> {
     let kind: Option<String> = arguments.opt_value_from_str("--as")?;
     let path: String = arguments.free_from_str()?;
     finish(arguments)?;
     let text = std::fs::read_to_string(&path)
         .map_err(|error| Error::failed(format_args!("{path}: {error}")))?;
-    let kind = kind.unwrap_or_else(|| guess(&text).into());
+    let kind = kind.unwrap_or_else(|| detect_kind(&text).into());
     match kind.as_str() {
         "router" => Settings::read(&text, &path).map(drop).map_err(invalid)?,
-        "console" => console::read(&text, &path).map(drop)?,
+        "console" => console::parse(&text, &path).map(drop)?,
         "document" => check_document(&text, &path)?,
         "platform" => check_platform(&text, &path)?,
         "deploy" => check_deploy(&text, &path)?,
         other => {
             return Err(usage(format!(
-                "--as {other}: one of router, console, document, platform, deploy is wanted"
+                "--as {other}: must be router, console, document, platform or deploy"
             )));
         }
     }
@@ -46,7 +47,7 @@
     Ok(())
 }
 
-fn guess(text: &str) -> &'static str {
+fn detect_kind(text: &str) -> &'static str {
     match text {
         text if text.contains("\"peers\"") => "router",
         text if text.contains("\"operators\"") => "console",
--- a/src/command/config.rs
+++ b/src/command/config.rs
@@ -1,4 +1,4 @@
-//! `config`: the document by command line, through the console.
+//! The `config` subcommand, which reads and changes the configuration document through the console.
 
 use fescuewell::console::config::Client;
 use fescuewell::core::id::Version;
@@ -6,7 +6,7 @@
 
 use crate::cli::{Error, finish, usage};
 
-/// Help text.
+/// Help text of `config`.
 pub const HELP: &str = "\
 fescuewell config - read, check or replace the document through the console
 
@@ -15,16 +15,17 @@
        fescuewell config apply --console URL --token-file FILE FILE [--base N] [--merge]
        fescuewell config state --console URL --token-file FILE
 
-'get' prints the document with a first line that names its version; 'apply' refuses a document that
-does not start from the version in force and says what was changed meanwhile. --merge applies what
-does not clash.
+'get' prints the document; its first line contains the version. 'apply' rejects a document that is not
+based on the current version and lists what changed in between. --merge applies the changes that do
+not conflict.
 ";
 
-/// Runs the command.
+/// Runs the action given in the arguments.
 ///
 /// # Errors
 ///
-/// What the console answered, or [`Error::Failed`] when it did not.
+/// Returns [`Error::Failed`] if a file cannot be read, the console rejects the request or does not respond,
+/// and [`Error::Usage`] if the arguments are invalid.
 pub fn run(mut arguments: Arguments) -> Result<(), Error> {
     let action: String = arguments.free_from_str()?;
     let console: String = arguments.value_from_str("--console")?;
@@ -51,8 +52,8 @@
                 .map_err(Error::failed)?;
             println!("accepted as version {}", accepted.version.0);
         }
-        ("check" | "apply", None) => return Err(usage("a file is wanted")),
-        _ => return Err(usage("one of get, check, apply, state is wanted")),
+        ("check" | "apply", None) => return Err(usage("no file given")),
+        _ => return Err(usage("expected get, check, apply or state")),
     }
     Ok(())
 }
--- a/src/command/issue.rs
+++ b/src/command/issue.rs
@@ -1,4 +1,4 @@
-//! `issue-certificates`: an authority and a certificate for each instance.
+//! The `issue-certificates` subcommand, which creates a certificate authority and instance certificates.
 
 use std::path::{Path, PathBuf};
 
@@ -7,22 +7,22 @@
 
 use crate::cli::{Error, usage};
 
-/// Help text.
+/// Help text of `issue-certificates`.
 pub const HELP: &str = "\
-fescuewell issue-certificates - an authority and a certificate for each instance
+fescuewell issue-certificates - issue a certificate authority and a certificate for each instance
 
 usage: fescuewell issue-certificates --out DIRECTORY NAME...
 
-Writes authority.pem and, for each name, NAME.pem and NAME.key. The authority's key is not kept: to
-rotate, issue anew, let 'authority' in every settings file hold both authorities, SIGHUP, then
-replace the certificates, SIGHUP, and at last drop the old authority.
+Writes authority.pem and, for each name, NAME.pem and NAME.key. The authority's key is not stored. To
+rotate, issue new files, put both authorities into 'authority' of every settings file, send SIGHUP,
+replace the certificates, send SIGHUP again, and finally remove the old authority.
 ";
 
-/// Runs the command.
+/// Issues the certificates and writes them to the output directory.
 ///
 /// # Errors
 ///
-/// When a file cannot be written.
+/// Returns an error if no instance is given, a certificate cannot be issued or a file cannot be written.
 pub fn run(mut arguments: Arguments) -> Result<(), Error> {
     let out: PathBuf = arguments.value_from_str("--out")?;
     let names: Vec<String> = arguments
@@ -31,7 +31,7 @@
         .map(|name| name.to_string_lossy().into_owned())
         .collect();
     if names.is_empty() {
-        return Err(usage("at least one instance's name is wanted"));
+        return Err(usage("expected at least one instance name"));
     }
     let authority = Authority::new("fescuewell").map_err(Error::failed)?;
     std::fs::create_dir_all(&out).map_err(Error::failed)?;
--- a/src/command/router.rs
+++ b/src/command/router.rs
@@ -1,4 +1,4 @@
-//! `router`: one entry instance.
+//! The `router` subcommand, which runs an entry instance with the product's own interface.
 
 use std::time::Duration;
 
@@ -9,32 +9,32 @@
 use pico_args::Arguments;
 
 use super::{log, signal};
-use crate::cli::{Error, finish, settings_text};
+use crate::cli::{Error, finish, read_settings_file};
 
-/// Help text.
+/// Help text of `router`.
 pub const HELP: &str = "\
-fescuewell router - one entry instance
+fescuewell router - an entry instance with the product's own interface
 
 usage: fescuewell router --settings FILE [--log LEVEL] [--json]
 
-SIGTERM or Ctrl-C drains: the instance stops being named to callers, finishes every stream, hands over
-bills, allowances and slots, and ends. SIGHUP reads the certificates of the settings file again.
+SIGTERM or Ctrl-C drains: the instance is no longer listed to callers, finishes every stream, hands over
+bills, allowances and slots, and exits. SIGHUP reloads the certificates given in the settings file.
 ";
 
-/// Time between two looks at whether the instance has ended by itself.
-const LOOK: Duration = Duration::from_millis(100);
+/// Interval at which the main thread checks whether the instance has stopped by itself.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Runs the instance.
+/// Runs the instance until it has drained.
 ///
 /// # Errors
 ///
-/// When settings are wrong or the instance cannot start.
+/// Returns an error if the settings are invalid or the instance cannot start.
 pub fn run(mut arguments: Arguments) -> Result<(), Error> {
     let options = log::Options::read(&mut arguments)?;
-    let (path, text) = settings_text(&mut arguments)?;
+    let (path, text) = read_settings_file(&mut arguments)?;
     finish(arguments)?;
     let file = path.to_string_lossy().into_owned();
-    let settings = read(&text, &file)?;
+    let settings = parse(&text, &file)?;
     let _logger = log::start(&options)?;
     let signals = signal::Listener::start()?.into_channel()?;
     let services = product::connect(&settings.platform).map_err(Error::failed)?;
@@ -46,7 +46,7 @@
         router.peer_address()
     );
     while !router.is_finished() {
-        match signals.recv_timeout(LOOK) {
+        match signals.recv_timeout(POLL_INTERVAL) {
             Ok(signal::Action::Stop) => router.terminate(),
             Ok(signal::Action::Reload) => reload(&router, &file),
             Err(RecvTimeoutError::Timeout | RecvTimeoutError::Disconnected) => {}
@@ -56,16 +56,16 @@
     Ok(())
 }
 
-fn read(text: &str, file: &str) -> Result<Settings, Error> {
+fn parse(text: &str, file: &str) -> Result<Settings, Error> {
     Settings::read(text, file).map_err(|error| Error::Invalid {
         message: error.to_string(),
     })
 }
 
-// A file that cannot be used changes nothing: the instance goes on with the certificates that it has.
+// If the file is unreadable or invalid, the instance keeps its current certificates.
 fn reload(router: &Router, file: &str) {
     let text = std::fs::read_to_string(file).map_err(Error::failed);
-    let settings = text.and_then(|text| read(&text, file));
+    let settings = text.and_then(|text| parse(&text, file));
     let result = settings.and_then(|settings| router.reload(&settings).map_err(Error::failed));
     if let Err(error) = result {
         eprintln!("fescuewell: settings not reloaded: {error}");
--- a/src/command/signal.rs
+++ b/src/command/signal.rs
@@ -1,4 +1,4 @@
-//! Waiting for the signals that ask a process to stop or to read its settings again.
+//! Handling of the signals that stop a process or reload its settings.
 
 use flume::Receiver;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -6,30 +6,30 @@
 
 use crate::cli::Error;
 
-/// What was asked for.
+/// Action requested by a signal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
-    /// To end.
+    /// Stop the process (`SIGINT` or `SIGTERM`).
     Stop,
-    /// To read the settings again.
+    /// Reload the settings (`SIGHUP`).
     Reload,
 }
 
-/// The signals, listened for from construction on.
+/// Receiver of signals. Signals are caught from its creation on.
 pub struct Listener(Signals);
 
 impl Listener {
-    /// Begins to listen.
+    /// Registers the signal handlers.
     ///
     /// # Errors
     ///
-    /// [`Error::Failed`] when the operating system refuses.
+    /// Returns [`Error::Failed`] if the operating system rejects them.
     pub fn start() -> Result<Self, Error> {
         let signals = Signals::new([SIGINT, SIGTERM, SIGHUP]).map_err(Error::failed)?;
         Ok(Self(signals))
     }
 
-    /// Waits for the next signal.
+    /// Blocks until the next signal.
     pub fn wait(&mut self) -> Action {
         match self.0.forever().next() {
             Some(SIGHUP) => Action::Reload,
@@ -37,11 +37,11 @@
         }
     }
 
-    /// Passes the signals to a channel, for a process that waits for something else too.
+    /// Forwards the signals to a channel, for a process that also waits for something else.
     ///
     /// # Errors
     ///
-    /// [`Error::Failed`] when no thread can be started.
+    /// Returns [`Error::Failed`] if the forwarding thread cannot be started.
     pub fn into_channel(mut self) -> Result<Receiver<Action>, Error> {
         let (sender, receiver) = flume::bounded(4);
         std::thread::Builder::new()
@@ -51,7 +51,7 @@
         Ok(receiver)
     }
 
-    /// Waits until the process is asked to end.
+    /// Blocks until a signal requests that the process stop.
     pub fn wait_for_stop(&mut self) {
         while self.wait() != Action::Stop {}
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
-//! fescuewell: a router fleet that shares prepaid model capacity among groups and keeps the sharing fair.
+//! fescuewell: a router fleet that shares prepaid model capacity fairly among groups.
 //!
-//! This crate only re-exports the focused crates of the workspace under short names.
+//! This crate re-exports the library crates of the workspace under short names.
 
 pub use fescuewell_adapter as adapter;
 pub use fescuewell_bench as bench;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The `fescuewell` program: one subcommand for each daemon and tool.
+//! The `fescuewell` binary, with one subcommand for each daemon and tool.
 
 mod cli;
 mod command;
