--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -1,7 +1,8 @@
-//! Bad input against a whole fleet in one process: each gets its numbered code, nothing is spent, nothing runs and the
-//! fleet goes on answering.
+//! Sends invalid requests to a whole fleet in one process. Each must be refused with its numbered code, spend no
+//! tokens, run nothing and leave the fleet able to respond.
 //!
-//! All bad requests come in the name of the group `handsign`; the group `teinte` shows that work goes on.
+//! All invalid requests use the key of the group `handsign`; requests of the group `teinte` check that the fleet
+//! still responds.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -20,39 +21,43 @@
 
 const CHAT: &str = "/v1/chat/completions";
 const STATUS: &str = "/v1/services/desk/status";
-/// One byte more than a router takes by default.
+/// One byte above a router's default limit for bodies.
 const BODY_ABOVE_LIMIT: usize = 4 * 1024 * 1024 + 1;
-/// More than a router's head may have by default.
+/// Size of a header above a router's default limit for heads.
 const HEAD_ABOVE_LIMIT: usize = 64 * 1024;
 
-/// The one fleet of this file.
+/// Returns the fleet that all tests of this file share.
 fn fleet() -> &'static Fleet {
     static FLEET: OnceLock<Fleet> = OnceLock::new();
     FLEET.get_or_init(|| {
-        let fleet = Fleet::start(&Settings::default()).expect("the fleet starts");
-        assert!(fleet.wait_ready(), "a router ended");
+        let fleet = Fleet::start(&Settings::default()).expect("the fleet should start");
+        assert!(fleet.wait_ready(), "a router stopped");
         fleet
     })
 }
 
-/// Sends bytes as they are and reads until the other side closes: status and body.
+/// Sends raw bytes, reads until the connection is closed, and returns status and body of the response.
 fn exchange(address: SocketAddr, bytes: &[u8]) -> (u16, Value) {
-    let mut stream = TcpStream::connect(address).expect("the listener accepts");
+    let mut stream =
+        TcpStream::connect(address).expect("the listener should accept the connection");
     stream
         .write_all(bytes)
-        .expect("the listener reads what was sent");
-    let mut answer = Vec::new();
+        .expect("the listener should read the request");
+    let mut response = Vec::new();
     stream
-        .read_to_end(&mut answer)
-        .expect("an answer and an end");
-    let text = String::from_utf8(answer).expect("the answer is text");
+        .read_to_end(&mut response)
+        .expect("the listener should respond and close the connection");
+    let text = String::from_utf8(response).expect("the response should be UTF-8");
     let status = text.split(' ').nth(1).and_then(|word| word.parse().ok());
     let body = text.split_once("\r\n\r\n").map_or("", |(_, body)| body);
     let value = serde_json::from_str(body).unwrap_or_default();
-    (status.expect("a status line"), value)
+    (
+        status.expect("the response should have a status line"),
+        value,
+    )
 }
 
-fn head(method: &str, path: &str, headers: &[(&str, &str)], length: usize) -> String {
+fn request_head(method: &str, path: &str, headers: &[(&str, &str)], length: usize) -> String {
     let mut text = format!("{method} {path} HTTP/1.1\r\nHost: fleet\r\nConnection: close\r\n");
     for (name, value) in headers {
         text += &format!("{name}: {value}\r\n");
@@ -64,11 +69,11 @@
     format!("Bearer {key}")
 }
 
-/// A request of `handsign` to the first router.
+/// Sends a request with the key of `handsign` to the first router.
 fn send(method: &str, path: &str, extra: &[(&str, &str)], body: &str) -> (u16, Value) {
     let key = bearer(HANDSIGN_KEY);
     let headers = [&[("Authorization", key.as_str())], extra].concat();
-    let bytes = head(method, path, &headers, body.len()) + body;
+    let bytes = request_head(method, path, &headers, body.len()) + body;
     exchange(fleet().addresses()[0], bytes.as_bytes())
 }
 
@@ -76,71 +81,74 @@
     json!({"model": MODEL, "max_tokens": 5, "messages": [{"role": "user", "content": "hello"}]})
 }
 
-/// A chat with one field set to another value.
+/// Returns the body of a chat request with one field changed.
 fn chat_with(field: &str, value: Value) -> String {
     let mut body = chat();
     body[field] = value;
     body.to_string()
 }
 
-/// The answer is this refusal, nothing ran, nothing was spent and the fleet goes on.
-fn assert_refused(answer: &(u16, Value), code: Code) {
-    let (status, body) = answer;
-    assert_eq!(body["error"]["code"], code.number(), "{answer:?}");
-    assert_eq!(body["error"]["run"], "not_run", "{answer:?}");
-    assert_eq!(*status, code.status(), "{answer:?}");
-    assert_nothing_happened();
+/// Asserts that the response is a refusal with this code and that the request had no side effects.
+fn assert_refused(response: &(u16, Value), code: Code) {
+    let (status, body) = response;
+    assert_eq!(body["error"]["code"], code.number(), "{response:?}");
+    assert_eq!(body["error"]["run"], "not_run", "{response:?}");
+    assert_eq!(*status, code.status(), "{response:?}");
+    assert_no_side_effects();
 }
 
-fn assert_nothing_happened() {
+/// Asserts that nothing ran, `handsign` spent no tokens and every router responds.
+fn assert_no_side_effects() {
     let fleet = fleet();
     for router in &fleet.routers {
         let (status, state) = exchange(
             router.operator_address(),
-            head("GET", "/v1/state", &[], 0).as_bytes(),
+            request_head("GET", "/v1/state", &[], 0).as_bytes(),
         );
         assert_eq!(status, 200);
         let allowances = state["allowances"]
             .as_array()
-            .expect("a list of allowances");
-        let own = allowances.iter().filter(|one| one["group"] == "handsign");
-        for one in own {
-            for part in ["held", "owed", "spent"] {
-                assert_eq!(one[part], 0, "{part} of handsign");
+            .expect("the state should list allowances");
+        let handsign = allowances
+            .iter()
+            .filter(|allowance| allowance["group"] == "handsign");
+        for allowance in handsign {
+            for field in ["held", "owed", "spent"] {
+                assert_eq!(allowance[field], 0, "{field} of handsign");
             }
         }
-        assert_answers(router.address());
+        assert_responds(router.address());
     }
     let rows = fleet.platform.content().product();
     let row = rows.iter().find(|row| &*row.key == "budget/handsign");
-    let row = row.expect("the group has a budget's row");
-    let budget: Value = serde_json::from_slice(&row.value).expect("budget rows are JSON");
+    let row = row.expect("the group should have a budget row");
+    let budget: Value = serde_json::from_slice(&row.value).expect("budget rows should be JSON");
     assert_eq!(budget["spent"], 0, "{budget}");
     for engine in &fleet.engines {
-        assert!(engine.counters().runs.is_empty(), "an engine ran something");
+        assert!(engine.counters().runs.is_empty(), "an engine ran a request");
     }
 }
 
-/// The router answers a call of the other group.
-fn assert_answers(address: SocketAddr) {
+/// Asserts that the router responds to a call of the group `teinte`.
+fn assert_responds(address: SocketAddr) {
     let key = bearer(TEINTE_KEY);
     let body = r#"{"booking":"1"}"#;
-    let bytes = head("POST", STATUS, &[("Authorization", &key)], body.len()) + body;
-    let (status, answer) = exchange(address, bytes.as_bytes());
-    assert_eq!(status, 200, "{answer}");
+    let bytes = request_head("POST", STATUS, &[("Authorization", &key)], body.len()) + body;
+    let (status, response) = exchange(address, bytes.as_bytes());
+    assert_eq!(status, 200, "{response}");
 }
 
 #[test]
 fn wrong_and_missing_keys() {
     let address = fleet().addresses()[0];
     let body = chat().to_string();
-    let wrong = head(
+    let wrong = request_head(
         "POST",
         CHAT,
         &[("Authorization", "Bearer nobody")],
         body.len(),
     ) + &body;
-    let missing = head("POST", CHAT, &[], body.len()) + &body;
+    let missing = request_head("POST", CHAT, &[], body.len()) + &body;
 
     assert_refused(&exchange(address, wrong.as_bytes()), Code::Unauthorized);
     assert_refused(&exchange(address, missing.as_bytes()), Code::Unauthorized);
@@ -150,8 +158,8 @@
 fn a_callers_key_opens_nothing_at_the_console() {
     let key = bearer(HANDSIGN_KEY);
     let address = fleet().console.address();
-    let read = head("GET", "/api/document", &[("Authorization", &key)], 0);
-    let write = head(
+    let read = request_head("GET", "/api/document", &[("Authorization", &key)], 0);
+    let write = request_head(
         "POST",
         "/api/document?base=1",
         &[("Authorization", &key)],
@@ -164,10 +172,11 @@
 
 #[test]
 fn a_callers_key_opens_nothing_at_the_operators_listener() {
-    let platform = Platform::start(loopback(), PlatformSettings::default()).expect("a platform");
+    let platform = Platform::start(loopback(), PlatformSettings::default())
+        .expect("the platform stand-in should start");
     let token = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("bad_input_token");
-    std::fs::write(&token, "operators-token").expect("the token can be written");
-    let authority = Authority::new("bad input").expect("an authority");
+    std::fs::write(&token, "operators-token").expect("the token file should be writable");
+    let authority = Authority::new("bad input").expect("the authority should be created");
     let settings = RouterSettings {
         instance: "alone".into(),
         zone: "a".into(),
@@ -177,21 +186,21 @@
         tls: None,
         peers: authority
             .settings("alone", loopback())
-            .expect("a certificate"),
+            .expect("the certificate should be issued"),
         platform: platform.client_settings(),
         fleet: 1,
         limits: Limits::default(),
         timing: Timing::default(),
     };
-    let services = product::connect(&settings.platform).expect("the settings are right");
-    let router = Router::start(&settings, services).expect("the router starts");
-    let ask = |key: &str| {
-        let bytes = head("GET", "/v1/state", &[("Authorization", &bearer(key))], 0);
+    let services = product::connect(&settings.platform).expect("the settings should be valid");
+    let router = Router::start(&settings, services).expect("the router should start");
+    let get_state = |key: &str| {
+        let bytes = request_head("GET", "/v1/state", &[("Authorization", &bearer(key))], 0);
         exchange(router.operator_address(), bytes.as_bytes())
     };
 
-    assert_refused(&ask(HANDSIGN_KEY), Code::SignInRequired);
-    assert_eq!(ask("operators-token").0, 200);
+    assert_refused(&get_state(HANDSIGN_KEY), Code::SignInRequired);
+    assert_eq!(get_state("operators-token").0, 200);
 }
 
 #[test]
@@ -233,28 +242,32 @@
 fn heads_and_bodies_above_the_limits() {
     let address = fleet().addresses()[0];
     let key = bearer(HANDSIGN_KEY);
-    let announced = head("POST", CHAT, &[("Authorization", &key)], BODY_ABOVE_LIMIT);
+    let oversized = request_head("POST", CHAT, &[("Authorization", &key)], BODY_ABOVE_LIMIT);
     let long = "x".repeat(HEAD_ABOVE_LIMIT);
 
-    assert_refused(&exchange(address, announced.as_bytes()), Code::BodyTooLarge);
+    assert_refused(&exchange(address, oversized.as_bytes()), Code::BodyTooLarge);
     assert_refused(
         &send("GET", CHAT, &[("X-Long", &long)], ""),
         Code::HeadTooLarge,
     );
 }
 
-// The caller goes away in the middle of a head or a body: no answer can reach it, and nothing may be left behind.
+// The caller disconnects in the middle of a head or a body. No response can reach it, and the request must leave
+// nothing behind.
 #[test]
 fn half_a_request_and_then_nothing() {
     let key = bearer(HANDSIGN_KEY);
     let body = chat().to_string();
-    let whole = head("POST", CHAT, &[("Authorization", &key)], body.len()) + &body;
-    for length in [10, 60, whole.len() - body.len(), whole.len() - 1] {
-        let mut stream = TcpStream::connect(fleet().addresses()[0]).expect("it accepts");
-        stream.write_all(&whole.as_bytes()[..length]).expect("sent");
+    let request = request_head("POST", CHAT, &[("Authorization", &key)], body.len()) + &body;
+    for length in [10, 60, request.len() - body.len(), request.len() - 1] {
+        let mut stream = TcpStream::connect(fleet().addresses()[0])
+            .expect("the router should accept the connection");
+        stream
+            .write_all(&request.as_bytes()[..length])
+            .expect("the partial request should be sent");
         drop(stream);
 
-        assert_nothing_happened();
+        assert_no_side_effects();
     }
 }
 
@@ -274,8 +287,8 @@
     let ids = ["", "with space", &long];
     for id in ids {
         let headers = [("Idempotency-Key", id)];
-        let answer = send("POST", CHAT, &headers, &chat().to_string());
-        assert_refused(&answer, Code::InvalidField);
+        let response = send("POST", CHAT, &headers, &chat().to_string());
+        assert_refused(&response, Code::InvalidField);
     }
     let picture = json!([{"role": "user", "content": [
         {"type": "image_url", "image_url": {"url": "http://127.0.0.1:1/picture.png"}},
@@ -292,11 +305,11 @@
     for body in bodies {
         assert_refused(&send("POST", CHAT, &[], &body), Code::InvalidField);
     }
-    let late = [("X-Deadline-Ms", "soon")];
-    let answer = send("POST", CHAT, &late, &chat().to_string());
-    assert_refused(&answer, Code::InvalidField);
+    let deadline = [("X-Deadline-Ms", "soon")];
+    let response = send("POST", CHAT, &deadline, &chat().to_string());
+    assert_refused(&response, Code::InvalidField);
 }
 
 fn loopback() -> SocketAddr {
-    "127.0.0.1:0".parse().expect("an address")
+    "127.0.0.1:0".parse().expect("the address should parse")
 }
--- a/tests/losses.rs
+++ b/tests/losses.rs
@@ -1,8 +1,9 @@
-//! What the log files tell of requests that were not served.
+//! Tests of `fescuewell losses`, which reports from log files the requests that were not served.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
+/// Log lines of served, refused and abandoned requests, with a collector's prefix and a truncated line.
 const LOG: &str = r#"  collector {"time":"2026-05-30T10:35:00.000Z","title":"process.ready"}
 {"time":"2026-05-30T10:35:01.000Z","title":"route.chosen","request":"r-1","account":"group"}
 {"time":"2026-05-30T10:35:01.100Z","title":"request.done","request":"r-1","outcome":"whole"}
@@ -14,6 +15,7 @@
 half a line {"time":
 "#;
 
+/// Runs `fescuewell losses` with a file that contains `log`.
 fn run(name: &str, arguments: &[&str], log: &str) -> Output {
     let path: PathBuf =
         std::env::temp_dir().join(format!("fescuewell-{name}-{}.log", std::process::id()));
@@ -47,8 +49,8 @@
     );
 }
 
-/// Symptom: the log lines of an account came to 13.97 million tokens, its row to 15.96 million. Cause: requests whose callers had left were
-/// charged and had no line that said so.
+/// Guards against tokens that are missing from the sums: requests whose callers disconnected were charged without a
+/// log line, so an account's log lines summed to 13.97 million tokens while its row showed 15.96 million.
 #[test]
 fn tokens_of_requests_without_an_answer_are_told() {
     let log = concat!(
@@ -71,6 +73,8 @@
     assert_eq!(output.status.code(), Some(2));
 }
 
+/// Log lines of three accounts: one whose tokens are granted to two instances (`rich`), one that is exhausted (`poor`)
+/// and one whose tokens are mostly granted to no instance (`free`).
 const TOKENS: &str = r#"1.0 entry-1 {"time":"2026-05-30T10:35:00.000Z","title":"allowance.drawn","account":"rich","granted":"400","prepaid":"1000"}
 1.0 entry-2 {"time":"2026-05-30T10:35:00.000Z","title":"allowance.drawn","account":"rich","granted":"500","prepaid":"1000"}
 1.0 entry-1 {"time":"2026-05-30T10:35:00.000Z","title":"allowance.drawn","account":"poor","granted":"100","prepaid":"100"}
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,8 +1,8 @@
-//! Scripted scenarios with real router processes; each file under `tests/scenarios` is one.
+//! Scripted scenarios with real router processes. Each file under `tests/scenarios` is one scenario.
 //!
-//! A scenario reads like an operator's notes: start routers, send, cut, kill, and state what comes out. At
-//! its end `audit` drains what still runs and compares what callers saw, what backend servers ran and
-//! what was billed. Run one with `cargo test --test scenarios NAME`.
+//! A script starts routers, sends requests, cuts connections, kills processes and states the expected results. The
+//! `audit` at its end drains the processes that still run and compares what callers received, what backend servers
+//! ran and what was billed. Run one with `cargo test --test scenarios NAME`.
 
 mod scenario;
 
@@ -14,7 +14,7 @@
             #[test]
             fn $name() {
                 let path = concat!("tests/scenarios/", stringify!($name));
-                goldenscript::run(&mut Runner::default(), path).expect("the scenario's file can be read");
+                goldenscript::run(&mut Runner::default(), path).expect("the scenario file should be readable");
             }
         )*
     };
--- a/tests/settings_change.rs
+++ b/tests/settings_change.rs
@@ -1,4 +1,4 @@
-//! A settings file that changes while an instance runs.
+//! Test of changing the settings file while an instance runs.
 
 use std::net::{IpAddr, SocketAddr, TcpListener};
 use std::path::PathBuf;
@@ -8,8 +8,8 @@
 use fescuewell::standin::sample;
 use fescuewell::standin::worker::wait_until;
 
-/// An address of this test process alone: the metrics port is the same for every instance.
-fn own_address() -> IpAddr {
+/// Returns a loopback address that only this test process uses, since every instance has the same metrics port.
+fn process_address() -> IpAddr {
     let process = std::process::id();
     IpAddr::from([
         127,
@@ -19,16 +19,17 @@
     ])
 }
 
-fn free() -> SocketAddr {
-    let probe = TcpListener::bind((own_address(), 0)).unwrap();
-    probe.local_addr().unwrap()
+/// Returns a free address.
+fn free_address() -> SocketAddr {
+    let listener = TcpListener::bind((process_address(), 0)).unwrap();
+    listener.local_addr().unwrap()
 }
 
-fn store() -> Rows {
+fn start_store() -> Rows {
     Rows::start(SocketAddr::from(([127, 0, 0, 1], 0))).unwrap()
 }
 
-/// An instance as a process of its own; killed when it is dropped.
+/// Entry instance in its own process, which is killed on drop.
 struct Instance {
     child: Child,
     settings: PathBuf,
@@ -40,7 +41,7 @@
     fn start(store: SocketAddr) -> Self {
         let name = format!("fescuewell-change-{}.conf", std::process::id());
         let settings = std::env::temp_dir().join(name);
-        let (front, ready) = (free(), free());
+        let (front, ready) = (free_address(), free_address());
         write(&settings, front, ready, store);
         let child = Command::new(env!("CARGO_BIN_EXE_fescuewell"))
             .args(["entry", "--settings"])
@@ -58,14 +59,14 @@
 
     fn is_ready(&self) -> bool {
         let path = format!("http://{}/-/readyz", self.ready);
-        let answer = attohttpc::get(path).send();
-        answer.is_ok_and(|answer| answer.is_success())
+        let response = attohttpc::get(path).send();
+        response.is_ok_and(|response| response.is_success())
     }
 }
 
 impl Drop for Instance {
     fn drop(&mut self) {
-        // It may have ended already; nothing else is left to do.
+        // Errors are ignored: the process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = std::fs::remove_file(&self.settings);
@@ -79,11 +80,11 @@
     std::fs::write(path, text).unwrap();
 }
 
-/// Symptom: an instance went on asking an address at which no store was any more. Sequence: the store moves, the settings file
-/// is written anew, and no signal tells of it. Cause: the file was read at the start and at SIGHUP only.
+/// Guards against an instance that keeps calling a former address of the store. It did so when the settings file was
+/// rewritten without a signal, because the file was read only at startup and on SIGHUP.
 #[test]
 fn a_store_that_moved_is_found_without_a_signal() {
-    let (old, new) = (store(), store());
+    let (old, new) = (start_store(), start_store());
     new.put(
         "op",
         "",
@@ -91,7 +92,7 @@
         sample::configuration(1, 1_000).to_string().as_bytes(),
     );
     let instance = Instance::start(old.address());
-    let asks_the_old_one = wait_until(|| old.calls("/-/rows-get") > 0);
+    let called_old_store = wait_until(|| old.calls("/-/rows-get") > 0);
 
     write(
         &instance.settings,
@@ -100,6 +101,6 @@
         new.address(),
     );
 
-    assert!(asks_the_old_one);
+    assert!(called_old_store);
     assert!(wait_until(|| instance.is_ready()));
 }
--- a/tests/settings_examples.rs
+++ b/tests/settings_examples.rs
@@ -1,9 +1,9 @@
-//! The settings files under `examples/settings` pass `fescuewell check`.
+//! Checks the settings files under `examples/settings` with `fescuewell check`.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-/// Exit code for settings that do not pass their checks.
+/// Exit code of `fescuewell check` for invalid settings.
 const EXIT_INVALID: i32 = 3;
 
 fn example(name: &str) -> PathBuf {
@@ -17,7 +17,7 @@
         .arg("check")
         .arg(file)
         .output()
-        .expect("the program runs")
+        .expect("the binary should run")
 }
 
 fn assert_valid(name: &str, kind: &str) {
@@ -26,8 +26,8 @@
     let output = check(&file);
 
     let text = String::from_utf8_lossy(&output.stdout);
-    let faults = String::from_utf8_lossy(&output.stderr);
-    assert!(output.status.success(), "{faults}");
+    let errors = String::from_utf8_lossy(&output.stderr);
+    assert!(output.status.success(), "{errors}");
     assert!(text.contains(&format!("a valid {kind} file")), "{text}");
 }
 
@@ -46,24 +46,24 @@
     assert_valid("document.json", "document");
 }
 
-// Symptom: an instance runs with a default although the operator set the value.
-// Sequence: a key is misspelt; the file is read all the same.
-// Cause: unknown keys that are skipped in silence.
+// Guards against silently ignored unknown keys: with a misspelt key, an instance would run with the default although
+// the operator set a value.
 #[test]
 fn a_misspelt_key_is_refused_with_its_line_and_the_nearest_name() {
-    let text = std::fs::read_to_string(example("router.json")).expect("the example is there");
+    let text =
+        std::fs::read_to_string(example("router.json")).expect("the example should be readable");
     let file = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("misspelt.json");
     let misspelt = text.replace("\"lease_ms\"", "\"leese_ms\"");
     let line = 1 + misspelt
         .lines()
         .position(|line| line.contains("leese_ms"))
-        .expect("the key was there");
-    std::fs::write(&file, &misspelt).expect("the copy is written");
+        .expect("the example should contain the key");
+    std::fs::write(&file, &misspelt).expect("the copy should be written");
 
     let output = check(&file);
 
-    let faults = String::from_utf8_lossy(&output.stderr);
-    assert_eq!(output.status.code(), Some(EXIT_INVALID), "{faults}");
-    assert!(faults.contains("lease_ms"), "{faults}");
-    assert!(faults.contains(&format!(":{line}:")), "{faults}");
+    let errors = String::from_utf8_lossy(&output.stderr);
+    assert_eq!(output.status.code(), Some(EXIT_INVALID), "{errors}");
+    assert!(errors.contains("lease_ms"), "{errors}");
+    assert!(errors.contains(&format!(":{line}:")), "{errors}");
 }
