--- a/crates/fescuewell_bench/src/capacity/budgets.rs
+++ b/crates/fescuewell_bench/src/capacity/budgets.rs
@@ -113,7 +113,7 @@
 fn row_size(options: &Options) -> Series {
     let mut bytes = Series::new("holders of a budget", "its row", "B", wanted::NODES);
     for holders in sizes(options, [6, 50, 200, 850]) {
-        let row = world::budget(holders).write();
+        let row = world::budget(holders).encode();
         bytes.add(holders as f64, row.len() as f64);
     }
     bytes
--- a/crates/fescuewell_bench/src/capacity/rig.rs
+++ b/crates/fescuewell_bench/src/capacity/rig.rs
@@ -99,7 +99,7 @@
         for group in &surroundings.document.groups {
             let budget = world::budget(surroundings.holders);
             let key = fescuewell_budget::row::key(&group.name);
-            put(&table, key, budget.write());
+            put(&table, key, budget.encode());
         }
         for index in 1..surroundings.instances {
             let row = world::member(index, 0, Version(1));
--- a/crates/fescuewell_bench/src/capacity/world.rs
+++ b/crates/fescuewell_bench/src/capacity/world.rs
@@ -182,7 +182,7 @@
     for index in 1..=holders {
         let grant = Grant {
             granted: Tokens(1_000_000),
-            draw: "00000000000000ff".into(),
+            draw_id: "00000000000000ff".into(),
             rate: 80,
             ..Grant::default()
         };
--- a/crates/fescuewell_budget/examples/footprint.rs
+++ b/crates/fescuewell_budget/examples/footprint.rs
@@ -88,7 +88,7 @@
     while let Some(step) = ledger.next_step(now) {
         ledger.reply(now, carry_out(table, &step));
     }
-    ledger.news();
+    ledger.take_notifications();
 }
 
 fn table(policies: &[Policy]) -> Memory {
@@ -98,7 +98,7 @@
         for holder in 1..HOLDERS {
             let grant = Grant {
                 granted: Tokens(100_000),
-                draw: "00000000000000ff".into(),
+                draw_id: "00000000000000ff".into(),
                 ..Grant::default()
             };
             budget
@@ -106,7 +106,7 @@
                 .insert(format!("entry-{holder}.18a5f").into(), grant);
         }
         let key = row::key(&policy.name);
-        let transaction = Transaction::default().with_put(key, budget.write());
+        let transaction = Transaction::default().with_put(key, budget.encode());
         table.commit(&transaction).expect("memory does not fail");
     }
     table
@@ -118,7 +118,7 @@
         name: format!("group-{index}").into(),
         outage: Duration::from_secs(60),
         share_percent: 10,
-        least: Tokens(2_000),
+        min_allowance: Tokens(2_000),
     }
 }
 
--- a/crates/fescuewell_budget/examples/spend/simulation.rs
+++ b/crates/fescuewell_budget/examples/spend/simulation.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fescuewell_budget::{HoldKey, Ledger, Message, News, Policy, Settings, Shortage};
+use fescuewell_budget::{HoldKey, Ledger, Message, Notification, Policy, Settings, Shortage};
 use fescuewell_core::prelude::*;
 use fescuewell_core::table::{Error, Reply, Step, carry_out};
 use rand::rngs::SmallRng;
@@ -143,7 +143,13 @@
 }
 
 impl Simulation {
-    pub fn new(load: &Load, outage: u64, share_percent: u8, least: Tokens, seed: u64) -> Self {
+    pub fn new(
+        load: &Load,
+        outage: u64,
+        share_percent: u8,
+        min_allowance: Tokens,
+        seed: u64,
+    ) -> Self {
         let table = Memory::default();
         table.top_up(NAME, load.prepaid);
         table.spend(NAME, load.spent);
@@ -152,7 +158,7 @@
             name: NAME.into(),
             outage: Duration::from_secs(outage),
             share_percent,
-            least,
+            min_allowance,
         };
         let now = Instant::from_millis(1_000);
         let nodes = (0..NODES)
@@ -338,7 +344,7 @@
             self.after(TO_TABLE, Event::AtTable(index, step));
         }
         let from = self.nodes[index].holder.clone();
-        for outgoing in self.nodes[index].ledger.outbox() {
+        for outgoing in self.nodes[index].ledger.take_outbox() {
             let to = self
                 .nodes
                 .iter()
@@ -348,14 +354,14 @@
             };
             self.after(TO_PEER, Event::Deliver(from.clone(), to, outgoing.message));
         }
-        for news in self.nodes[index].ledger.news() {
-            match news {
-                News::Funded(_) => {
+        for notification in self.nodes[index].ledger.take_notifications() {
+            match notification {
+                Notification::Funded(_) => {
                     for (arrived, amount) in std::mem::take(&mut self.nodes[index].waiting) {
                         self.hold(index, arrived, amount);
                     }
                 }
-                News::Refused(..) => {
+                Notification::Refused(..) => {
                     for (_, amount) in std::mem::take(&mut self.nodes[index].waiting) {
                         self.refuse(amount);
                     }
--- a/crates/fescuewell_budget/src/fence.rs
+++ b/crates/fescuewell_budget/src/fence.rs
@@ -26,7 +26,7 @@
     }
 
     /// The row's content as it is stored.
-    pub fn write(self) -> Arc<[u8]> {
+    pub fn encode(self) -> Arc<[u8]> {
         format!("{{\"is_closed\":{}}}", self.is_closed)
             .into_bytes()
             .into()
--- a/crates/fescuewell_budget/src/hold.rs
+++ b/crates/fescuewell_budget/src/hold.rs
@@ -13,7 +13,7 @@
     /// Why a hold could not be had.
     #[derive(Copy, Eq)]
     pub enum Shortage {
-        /// A draw is under way or due: ask again when [`crate::News::Funded`] names the group.
+        /// A draw is under way or due: ask again when [`crate::Notification::Funded`] names the group.
         Pending,
         /// What is left of the prepaid total does not cover the request and nothing under way can
         /// give anything back.
--- a/crates/fescuewell_budget/src/ledger.rs
+++ b/crates/fescuewell_budget/src/ledger.rs
@@ -18,18 +18,18 @@
 
 use crate::allowance::Allowance;
 use crate::hold::{Hold, HoldKey, Shortage};
-use crate::message::{News, Outgoing};
+use crate::message::{Notification, Outgoing};
 use crate::policy::{Policy, Settings};
 
 /// Everything that one instance knows and decides about prepaid budgets.
 ///
 /// The instance calls [`Ledger::hold`] before a request is sent and [`Ledger::settle`] when its true
 /// cost is known. After any call, and on every tick (50 ms or so), it should carry out
-/// [`Ledger::next_step`], send what is in [`Ledger::outbox`] and act on [`Ledger::news`].
+/// [`Ledger::next_step`], send what is in [`Ledger::take_outbox`] and act on [`Ledger::take_notifications`].
 ///
 /// ```
 /// use std::time::Duration;
-/// use fescuewell_budget::{Ledger, News, Policy, Settings, Shortage, row};
+/// use fescuewell_budget::{Ledger, Notification, Policy, Settings, Shortage, row};
 /// use fescuewell_core::prelude::*;
 /// use fescuewell_core::table::{Outcome, Reply, Row, Step};
 ///
@@ -41,17 +41,17 @@
 ///     name: "signwise".into(),
 ///     outage: Duration::from_secs(60),
 ///     share_percent: 10,
-///     least: Tokens(2_000),
+///     min_allowance: Tokens(2_000),
 /// }]);
 ///
 /// // Nothing is at hand yet, so the first request waits for a draw.
 /// assert_eq!(ledger.hold(now, group, Tokens(500)), Err(Shortage::Pending));
 /// let Some(Step::Read { keys }) = ledger.next_step(now) else { panic!() };
-/// let value = row::Budget::new(Tokens(1_000_000)).write();
+/// let value = row::Budget::new(Tokens(1_000_000)).encode();
 /// ledger.reply(now, Reply::Rows(vec![Row { key: keys[0].clone(), value, revision: 3 }]));
 /// let Some(Step::Commit(_)) = ledger.next_step(now) else { panic!() };
 /// ledger.reply(now, Reply::Outcome(Outcome::Committed { revision: 4 }));
-/// assert!(ledger.news().contains(&News::Funded(group)));
+/// assert!(ledger.take_notifications().contains(&Notification::Funded(group)));
 ///
 /// let hold = ledger.hold(now, group, Tokens(500)).unwrap();
 /// ledger.settle(now, hold, Tokens(120));
@@ -75,7 +75,7 @@
     state: State,
     work: work::Work,
     outbox: Vec<Outgoing>,
-    news: Vec<News>,
+    notifications: Vec<Notification>,
     is_closing: bool,
     /// Revision of this holder's fence row, once it has been written.
     fence: Option<u64>,
@@ -86,7 +86,7 @@
 fescuewell_core::message! {
     /// One group's sums, for metrics.
     #[derive(Eq)]
-    pub struct Line {
+    pub struct Balance {
         /// The group.
         pub group: GroupKey,
         /// Its name.
@@ -131,7 +131,7 @@
             state,
             work: work::Work::default(),
             outbox: Vec::new(),
-            news: Vec::new(),
+            notifications: Vec::new(),
             is_closing: false,
             fence: None,
             is_fenced: false,
@@ -171,8 +171,8 @@
     ///
     /// # Errors
     ///
-    /// See [`Shortage`]. After [`Shortage::Pending`] the request waits for [`News::Funded`] or
-    /// [`News::Refused`] of its group, and asks again only then. While the last tokens of a budget move
+    /// See [`Shortage`]. After [`Shortage::Pending`] the request waits for [`Notification::Funded`] or
+    /// [`Notification::Refused`] of its group, and asks again only then. While the last tokens of a budget move
     /// between instances it may have to ask several times, so its own deadline should bound the wait.
     pub fn hold(
         &mut self,
@@ -291,20 +291,20 @@
     }
 
     /// Takes the messages that wait to be sent.
-    pub fn outbox(&mut self) -> Vec<Outgoing> {
+    pub fn take_outbox(&mut self) -> Vec<Outgoing> {
         std::mem::take(&mut self.outbox)
     }
 
     /// Takes what has happened since the last call.
-    pub fn news(&mut self) -> Vec<News> {
-        std::mem::take(&mut self.news)
+    pub fn take_notifications(&mut self) -> Vec<Notification> {
+        std::mem::take(&mut self.notifications)
     }
 
     /// The sums of every group in use.
-    pub fn snapshot(&self) -> Vec<Line> {
+    pub fn snapshot(&self) -> Vec<Balance> {
         let lines = self.allowances.iter();
         lines
-            .map(|(&group, allowance)| Line {
+            .map(|(&group, allowance)| Balance {
                 group,
                 name: allowance.name.clone(),
                 granted: allowance.granted,
@@ -337,7 +337,7 @@
         }
         allowance.stop_waiting();
         allowance.relax(now);
-        self.news.push(News::Funded(group));
+        self.notifications.push(Notification::Funded(group));
     }
 
     fn refuse(&mut self, now: Instant, group: GroupKey, shortage: Shortage) {
@@ -345,7 +345,8 @@
             return;
         };
         if allowance.stop_waiting() {
-            self.news.push(News::Refused(group, shortage));
+            self.notifications
+                .push(Notification::Refused(group, shortage));
         }
         allowance.relax(now);
     }
@@ -359,7 +360,7 @@
 
     fn unknown(&self) -> Shortage {
         Shortage::Unknown {
-            retry_after: self.settings.backoff_most,
+            retry_after: self.settings.max_backoff,
         }
     }
 
--- a/crates/fescuewell_budget/src/ledger/attempt.rs
+++ b/crates/fescuewell_budget/src/ledger/attempt.rs
@@ -10,7 +10,7 @@
 use crate::allowance::Cached;
 use crate::fence;
 use crate::fence::Fence;
-use crate::message::News;
+use crate::message::Notification;
 use crate::row::Budget;
 
 /// A transaction whose outcome is open.
@@ -37,7 +37,7 @@
     fn is_in(&self, budget: &Budget, holder: &str) -> bool {
         match (budget.grants.get(holder), self.after) {
             (None, None) => true,
-            (Some(grant), Some(_)) => grant.draw == self.draw,
+            (Some(grant), Some(_)) => grant.draw_id == self.draw,
             _ => false,
         }
     }
@@ -56,7 +56,7 @@
             let key = self.row_key(group);
             transaction = transaction
                 .with_compare(key.clone(), change.revision)
-                .with_put(key, change.budget.write());
+                .with_put(key, change.budget.encode());
             list.push(change);
         }
         self.work.attempt = Some(Attempt {
@@ -91,7 +91,7 @@
         let transaction = Transaction::default().with_compare(key.clone(), revision);
         match self.fence {
             Some(_) => transaction,
-            None => transaction.with_put(key, Fence::default().write()),
+            None => transaction.with_put(key, Fence::default().encode()),
         }
     }
 
@@ -116,7 +116,7 @@
             Some(granted) => {
                 let grant = budget.grants.entry(holder).or_default();
                 grant.granted = granted;
-                grant.draw = draw.clone();
+                grant.draw_id = draw.clone();
                 grant.rate = allowance.rate.per_second(now).ceil() as u64;
             }
             None => {
@@ -213,7 +213,7 @@
         self.is_fenced = true;
         for (&group, allowance) in &mut self.allowances {
             allowance.lose();
-            self.news.push(News::Lost(group));
+            self.notifications.push(Notification::Lost(group));
         }
         self.refuse_all(now);
         false
@@ -222,11 +222,13 @@
     fn tell(&mut self, group: GroupKey, before: Tokens, after: Tokens) {
         if after > before {
             let amount = after.minus(before);
-            self.news.push(News::Drawn { group, amount });
+            self.notifications
+                .push(Notification::Drawn { group, amount });
         }
         if after < before {
             let amount = before.minus(after);
-            self.news.push(News::Returned { group, amount });
+            self.notifications
+                .push(Notification::Returned { group, amount });
             self.count_recalled(group, amount);
         }
     }
--- a/crates/fescuewell_budget/src/ledger/intent.rs
+++ b/crates/fescuewell_budget/src/ledger/intent.rs
@@ -124,7 +124,7 @@
         let Some(cached) = &allowance.row else {
             return Intent::Look;
         };
-        let free = cached.budget.free();
+        let free = cached.budget.unallocated();
         if allowance.idle() + free >= waiting.smallest {
             let drawn = self.sizer(now, group).draw(allowance, waiting);
             return Intent::Grant(Some(allowance.granted + drawn));
@@ -241,7 +241,7 @@
         }
         let target = self.target(allowance);
         if idle < sizing::percent(target, JOIN_PERCENT) {
-            let drawn = target.minus(idle).min(cached.budget.free());
+            let drawn = target.minus(idle).min(cached.budget.unallocated());
             if !drawn.is_zero() {
                 return Intent::Grant(Some(allowance.granted + drawn));
             }
@@ -254,7 +254,10 @@
 
     /// How much to draw for those that wait, with a reserve while there is plenty.
     fn draw(&self, allowance: &Allowance, waiting: &Waiting) -> Tokens {
-        let free = allowance.row.as_ref().map(|cached| cached.budget.free());
+        let free = allowance
+            .row
+            .as_ref()
+            .map(|cached| cached.budget.unallocated());
         let wanted = waiting.sum + self.target(allowance);
         wanted.minus(allowance.idle()).min(free.unwrap_or_default())
     }
@@ -300,7 +303,7 @@
             rate,
             others: budget.map_or(0, |budget| budget.rate_of_others(self.holder)),
             usual_hold,
-            free: budget.map(Budget::free).unwrap_or_default(),
+            unallocated: budget.map(Budget::unallocated).unwrap_or_default(),
             idle,
         }
     }
--- a/crates/fescuewell_budget/src/ledger/recall.rs
+++ b/crates/fescuewell_budget/src/ledger/recall.rs
@@ -17,7 +17,7 @@
 const FIRST_PAUSE_PART: u32 = 8;
 
 /// Most doublings of the pause.
-const MOST_DOUBLINGS: u32 = 8;
+const MAX_DOUBLINGS: u32 = 8;
 
 /// Age that the view of the row may have when a request is refused because money is in use.
 const LAST_LOOK: Duration = Duration::from_millis(20);
@@ -93,7 +93,7 @@
     /// Asks the other holders to return what lies idle with them.
     pub(super) fn start_recall(&mut self, now: Instant, group: GroupKey, need: Tokens, round: u32) {
         let pause = self.settings.in_use_ttl / FIRST_PAUSE_PART;
-        let again_at = now + pause * 2u32.pow(round.min(MOST_DOUBLINGS));
+        let again_at = now + pause * 2u32.pow(round.min(MAX_DOUBLINGS));
         let fanout = self.settings.recall_fanout;
         let deadline = now + self.settings.recall_wait;
         let scarce_until = now + self.settings.scarce_for;
@@ -103,7 +103,7 @@
         let Some(cached) = &allowance.row else {
             return;
         };
-        let free = cached.budget.free();
+        let free = cached.budget.unallocated();
         let grants = cached.budget.grants.iter();
         let asked: Vec<(Arc<str>, Tokens)> = grants
             .filter(|(holder, _)| **holder != self.holder)
@@ -195,7 +195,7 @@
     ) -> Intent {
         let round = self.allowances[&group].recall().map(|recall| recall.round);
         let prospect = self.prospect(group);
-        let is_patient = now.since(waiting.since) < self.settings.patience;
+        let is_patient = now.since(waiting.since) < self.settings.max_wait;
         if prospect == Prospect::Moving && is_patient {
             let again_at = self.allowances[&group]
                 .recall()
--- a/crates/fescuewell_budget/src/ledger/work.rs
+++ b/crates/fescuewell_budget/src/ledger/work.rs
@@ -11,7 +11,7 @@
 use super::attempt::Attempt;
 use super::intent::{Intent, ROW_KEPT};
 use crate::allowance::{Asked, Sight};
-use crate::message::News;
+use crate::message::Notification;
 use crate::row;
 
 /// Conflicts after which a renewal pauses between attempts. A conflict means that another holder got
@@ -22,7 +22,7 @@
 const CONFLICT_PAUSE: Duration = Duration::from_millis(4);
 
 /// Most doublings of a pause.
-const MOST_DOUBLINGS: u32 = 8;
+const MAX_DOUBLINGS: u32 = 8;
 
 /// Where the table work stands.
 #[derive(Debug, Default)]
@@ -91,7 +91,7 @@
         // A step that gets no answer at all is a failure as well.
         let asked = self.work.is_outstanding.then_some(self.work.asked.at);
         let since = self.work.failing_since.or(asked);
-        since.is_some_and(|since| now.since(since) >= self.settings.patience)
+        since.is_some_and(|since| now.since(since) >= self.settings.max_wait)
     }
 
     /// Whether no write is open.
@@ -114,9 +114,9 @@
         self.signal(if is_lost { "lost" } else { "failed" });
         // Without jitter every instance would come back at the same moment after an outage, and the
         // table would go down again under them.
-        let doublings = self.work.failures.min(MOST_DOUBLINGS);
-        let most = self.settings.backoff_first * 2u32.pow(doublings);
-        let pause = self.jitter(most.min(self.settings.backoff_most));
+        let doublings = self.work.failures.min(MAX_DOUBLINGS);
+        let most = self.settings.initial_backoff * 2u32.pow(doublings);
+        let pause = self.jitter(most.min(self.settings.max_backoff));
         self.work.not_before = now + pause;
         self.work.failures += 1;
         self.work.failing_since.get_or_insert(now);
@@ -267,7 +267,7 @@
         self.signal("answered");
         self.work.conflicts += 1;
         if self.work.conflicts > CONFLICTS_AT_ONCE {
-            let doublings = (self.work.conflicts - CONFLICTS_AT_ONCE).min(MOST_DOUBLINGS);
+            let doublings = (self.work.conflicts - CONFLICTS_AT_ONCE).min(MAX_DOUBLINGS);
             let pause = self.jitter(CONFLICT_PAUSE * 2u32.pow(doublings));
             self.work.not_before = now + pause;
         }
@@ -293,7 +293,7 @@
                 }
                 Sight::Gone => {
                     allowance.lose();
-                    self.news.push(News::Lost(group));
+                    self.notifications.push(Notification::Lost(group));
                     self.give_up(now, group);
                 }
             }
--- a/crates/fescuewell_budget/src/lib.rs
+++ b/crates/fescuewell_budget/src/lib.rs
@@ -24,5 +24,5 @@
 
 pub use hold::{HoldKey, Shortage};
 pub use ledger::Ledger;
-pub use message::{Message, News, Outgoing};
+pub use message::{Message, Notification, Outgoing};
 pub use policy::{Policy, Settings};
--- a/crates/fescuewell_budget/src/message.rs
+++ b/crates/fescuewell_budget/src/message.rs
@@ -42,7 +42,7 @@
 fescuewell_core::message! {
     /// What a ledger tells its instance.
     #[derive(Eq)]
-    pub enum News {
+    pub enum Notification {
         /// Requests that wait for this group should ask again.
         Funded(GroupKey),
         /// Requests that wait for this group cannot have their holds.
--- a/crates/fescuewell_budget/src/policy.rs
+++ b/crates/fescuewell_budget/src/policy.rs
@@ -15,7 +15,8 @@
         /// Most groups in one transaction.
         pub batch: usize,
         /// How long a request may wait while the table fails, before it is refused.
-        pub patience: Duration,
+        #[serde(rename = "patience")]
+        pub max_wait: Duration,
         /// How long to wait for other holders to answer a recall.
         pub recall_wait: Duration,
         /// Most holders that are asked in one recall.
@@ -31,9 +32,11 @@
         /// How long after a recall allowances are drawn without any reserve.
         pub scarce_for: Duration,
         /// Longest first pause after the table failed; doubled with each failure.
-        pub backoff_first: Duration,
+        #[serde(rename = "backoff_first")]
+        pub initial_backoff: Duration,
         /// Longest pause after the table failed.
-        pub backoff_most: Duration,
+        #[serde(rename = "backoff_most")]
+        pub max_backoff: Duration,
     }
 
     /// How the allowances of one group are sized.
@@ -47,7 +50,8 @@
         /// Most that one instance keeps idle, in percent of what is free in the row.
         pub share_percent: u8,
         /// Least that is drawn at once while much more than that is free.
-        pub least: Tokens,
+        #[serde(rename = "least")]
+        pub min_allowance: Tokens,
     }
 }
 
@@ -56,7 +60,7 @@
         Self {
             renew_interval: Duration::from_millis(200),
             batch: 32,
-            patience: Duration::from_secs(2),
+            max_wait: Duration::from_secs(2),
             recall_wait: Duration::from_millis(500),
             recall_fanout: 32,
             negative_ttl: Duration::from_secs(1),
@@ -64,8 +68,8 @@
             surplus_after: Duration::from_secs(10),
             idle_after: Duration::from_secs(300),
             scarce_for: Duration::from_secs(5),
-            backoff_first: Duration::from_millis(50),
-            backoff_most: Duration::from_secs(2),
+            initial_backoff: Duration::from_millis(50),
+            max_backoff: Duration::from_secs(2),
         }
     }
 }
--- a/crates/fescuewell_budget/src/reclaim.rs
+++ b/crates/fescuewell_budget/src/reclaim.rs
@@ -20,16 +20,16 @@
 use crate::row::{Budget, Grant};
 
 /// Rows in one page of the scan.
-pub const PAGE: u32 = 256;
+pub const PAGE_SIZE: u32 = 256;
 
-/// Longest first pause after a failure; doubled with each failure up to [`BACKOFF_MOST`].
-const BACKOFF_FIRST: Duration = Duration::from_millis(50);
+/// Longest first pause after a failure; doubled with each failure up to [`MAX_BACKOFF`].
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 
 /// Longest pause after a failure.
-const BACKOFF_MOST: Duration = Duration::from_secs(2);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 /// Most doublings of a pause.
-const MOST_DOUBLINGS: u32 = 6;
+const MAX_DOUBLINGS: u32 = 6;
 
 fescuewell_core::message! {
     /// What became of one grant.
@@ -123,7 +123,7 @@
     }
 
     /// Takes what was freed since the last call.
-    pub fn freed(&mut self) -> Vec<Freed> {
+    pub fn take_freed(&mut self) -> Vec<Freed> {
         std::mem::take(&mut self.freed)
     }
 
@@ -146,7 +146,7 @@
             Stage::Scan => Step::Scan(Range {
                 prefix: row::PREFIX.into(),
                 after: self.after.clone(),
-                limit: PAGE,
+                limit: PAGE_SIZE,
             }),
             Stage::ReadBack(row) => Step::Read {
                 keys: vec![row.key.clone()],
@@ -170,9 +170,9 @@
                 return;
             }
         };
-        let most = BACKOFF_FIRST * 2u32.pow(self.failures.min(MOST_DOUBLINGS));
+        let most = INITIAL_BACKOFF * 2u32.pow(self.failures.min(MAX_DOUBLINGS));
         let share = self.rng.random_range(0.5..1.0);
-        self.not_before = now + most.min(BACKOFF_MOST).mul_f64(share);
+        self.not_before = now + most.min(MAX_BACKOFF).mul_f64(share);
         self.failures += 1;
         if let (Error::Unknown { .. }, Stage::Commit(row)) = (error, &self.stage) {
             self.stage = Stage::ReadBack(row.clone());
@@ -211,7 +211,7 @@
 
     fn closing(&self, revision: u64) -> Step {
         let key = fence::key(&self.holder);
-        let value = Fence { is_closed: true }.write();
+        let value = Fence { is_closed: true }.encode();
         let transaction = Transaction::default()
             .with_compare(key.clone(), revision)
             .with_put(key, value);
@@ -219,7 +219,7 @@
     }
 
     fn take_page(&mut self, rows: Vec<Row>) {
-        self.is_last_page = rows.len() < PAGE as usize;
+        self.is_last_page = rows.len() < PAGE_SIZE as usize;
         self.after = rows.last().map(|row| row.key.clone()).or(self.after.take());
         for row in rows {
             self.enqueue(row);
@@ -274,7 +274,7 @@
         budget.spent += self.charged(row::group(&row.key).unwrap_or_default());
         let transaction = Transaction::default()
             .with_compare(row.key.clone(), row.revision)
-            .with_put(row.key.clone(), budget.write());
+            .with_put(row.key.clone(), budget.encode());
         Some(Step::Commit(transaction))
     }
 
--- a/crates/fescuewell_budget/src/row.rs
+++ b/crates/fescuewell_budget/src/row.rs
@@ -28,7 +28,7 @@
         /// Fields that this program does not know and passes on as they are, since instances of a
         /// newer program may work on the same row.
         #[serde(flatten)]
-        pub rest: Map<String, Value>,
+        pub extra: Map<String, Value>,
     }
 
     /// What one holder may spend.
@@ -38,14 +38,15 @@
         pub granted: Tokens,
         /// Hexadecimal id of the write that set `granted`; the holder reads back by it when the reply
         /// to that write was lost.
-        pub draw: Arc<str>,
+        #[serde(rename = "draw")]
+        pub draw_id: Arc<str>,
         /// Expected use in tokens per second when the grant was last written. The holders size their
         /// allowances by their parts of the sum, so that scarce money lies where the callers are.
         #[serde(default)]
         pub rate: u64,
         /// Fields that this program does not know.
         #[serde(flatten)]
-        pub rest: Map<String, Value>,
+        pub extra: Map<String, Value>,
     }
 }
 
@@ -82,7 +83,7 @@
     /// # Panics
     ///
     /// Never: all keys are text.
-    pub fn write(&self) -> Arc<[u8]> {
+    pub fn encode(&self) -> Arc<[u8]> {
         let text = serde_json::to_vec(self).expect("a budget has text keys only");
         text.into()
     }
@@ -93,7 +94,7 @@
     }
 
     /// What may still be granted.
-    pub fn free(&self) -> Tokens {
+    pub fn unallocated(&self) -> Tokens {
         self.prepaid.minus(self.spent + self.granted())
     }
 
@@ -129,9 +130,9 @@
             br#"{"prepaid":10,"grants":{"a.1":{"granted":4,"draw":"0f","since":7}},"note":"x"}"#;
 
         let budget = Budget::parse(text).unwrap();
-        let again: Value = serde_json::from_slice(&budget.write()).unwrap();
+        let again: Value = serde_json::from_slice(&budget.encode()).unwrap();
 
-        assert_eq!(budget.free(), Tokens(6));
+        assert_eq!(budget.unallocated(), Tokens(6));
         assert_eq!(again["note"], "x");
         assert_eq!(again["grants"]["a.1"]["since"], 7);
     }
--- a/crates/fescuewell_budget/src/sizing.rs
+++ b/crates/fescuewell_budget/src/sizing.rs
@@ -11,7 +11,7 @@
 /// While less than so many times the least draw is within reach, the least draw no longer raises a
 /// target above its share. Otherwise the last tokens lie in equal pieces on all instances, whether
 /// they have callers or not, and a request is refused although the group has money.
-pub const LEAST_FACTOR: u64 = 16;
+pub const MIN_ALLOWANCE_FACTOR: u64 = 16;
 
 /// Standard deviations of use that are drawn beyond the expected use. The deviation is taken as that of
 /// requests of the usual hold which arrive independently of each other.
@@ -31,7 +31,7 @@
     /// Average size of recent holds.
     pub usual_hold: Tokens,
     /// Free in the row, as last seen.
-    pub free: Tokens,
+    pub unallocated: Tokens,
     /// What this instance has idle already.
     pub idle: Tokens,
 }
@@ -41,11 +41,11 @@
 /// Nothing when the share would not even cover a usual hold: it would lie here and serve nobody, while each
 /// request draws exactly what it needs.
 pub fn target(policy: &Policy, view: View) -> Tokens {
-    let within_reach = view.free + view.idle;
+    let within_reach = view.unallocated + view.idle;
     let share = percent(within_reach, policy.share_percent);
-    let is_plenty = within_reach.0 >= policy.least.0.saturating_mul(LEAST_FACTOR);
+    let is_plenty = within_reach.0 >= policy.min_allowance.0.saturating_mul(MIN_ALLOWANCE_FACTOR);
     let limit = match is_plenty {
-        true => share.max(policy.least),
+        true => share.max(policy.min_allowance),
         false => share,
     };
     let limit = limit.min(fair_part(view));
@@ -65,11 +65,11 @@
 fn fair_part(view: View) -> Tokens {
     let total = view.rate + view.others as f32;
     if total <= 0.0 {
-        return view.free + view.idle;
+        return view.unallocated + view.idle;
     }
     let part = f64::from(view.rate / total);
     // `idle = part x free`, solved for what is reached by drawing from both.
-    let within_reach = (view.free + view.idle).0 as f64;
+    let within_reach = (view.unallocated + view.idle).0 as f64;
     Tokens((within_reach * part / (1.0 + part)) as u64)
 }
 
@@ -82,7 +82,7 @@
     let hold = view.usual_hold.0 as f32;
     let deviation = (expected * hold).sqrt();
     let wanted = expected + MARGIN * deviation + hold;
-    Tokens(wanted as u64).max(policy.least)
+    Tokens(wanted as u64).max(policy.min_allowance)
 }
 
 /// `percent` of an amount, rounded down.
--- a/crates/fescuewell_budget/tests/accounting.rs
+++ b/crates/fescuewell_budget/tests/accounting.rs
@@ -31,7 +31,7 @@
         rate: 10.0,
         others: 90,
         usual_hold: Tokens(100),
-        free: Tokens(free),
+        unallocated: Tokens(free),
         idle: Tokens::ZERO,
     }
 }
@@ -42,7 +42,7 @@
         name: GROUPS[0].into(),
         outage: Duration::from_secs(60),
         share_percent: 10,
-        least: Tokens(200),
+        min_allowance: Tokens(200),
     }
 }
 
@@ -121,7 +121,7 @@
     fleet.step(0, Fault::None);
     fleet.step(0, Fault::None);
 
-    assert_eq!(during.free(), Tokens(850));
+    assert_eq!(during.unallocated(), Tokens(850));
     assert!(fleet.nodes[0].ledger.is_closed());
     let after = fleet.table.budget(GROUPS[0]);
     assert_eq!((after.spent, after.grants.len()), (Tokens(150), 0));
@@ -139,7 +139,7 @@
         fleet.round();
     }
 
-    assert_eq!(fleet.table.budget(GROUPS[0]).free(), Tokens(1_000));
+    assert_eq!(fleet.table.budget(GROUPS[0]).unallocated(), Tokens(1_000));
 }
 
 #[test]
--- a/crates/fescuewell_budget/tests/common/fleet.rs
+++ b/crates/fescuewell_budget/tests/common/fleet.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use fescuewell_budget::reclaim::Reclaim;
-use fescuewell_budget::{Ledger, Message, News, Policy, Settings, Shortage};
+use fescuewell_budget::{Ledger, Message, Notification, Policy, Settings, Shortage};
 use fescuewell_core::prelude::*;
 use fescuewell_core::table::{Error, Reply, Step, Transaction, carry_out};
 
@@ -245,15 +245,17 @@
     fn hear(&mut self, index: usize) {
         let node = &mut self.nodes[index];
         let from = node.holder.clone();
-        for outgoing in node.ledger.outbox() {
+        for outgoing in node.ledger.take_outbox() {
             let message = (from.clone(), outgoing.to, outgoing.message);
             self.messages.push(message);
         }
-        for news in node.ledger.news() {
-            match news {
-                News::Funded(group) => self.ask_again(index, group.0 as usize),
-                News::Refused(group, shortage) => self.turn_away(index, group.0 as usize, shortage),
-                News::Lost(group) => panic!("{group:?} lost by a live holder"),
+        for notification in node.ledger.take_notifications() {
+            match notification {
+                Notification::Funded(group) => self.ask_again(index, group.0 as usize),
+                Notification::Refused(group, shortage) => {
+                    self.turn_away(index, group.0 as usize, shortage)
+                }
+                Notification::Lost(group) => panic!("{group:?} lost by a live holder"),
                 _ => {}
             }
         }
--- a/crates/fescuewell_budget/tests/common/memory.rs
+++ b/crates/fescuewell_budget/tests/common/memory.rs
@@ -66,7 +66,7 @@
         change(&mut budget);
         let transaction = Transaction::default()
             .with_compare(key.clone(), row.map_or(0, |row| row.revision))
-            .with_put(key, budget.write());
+            .with_put(key, budget.encode());
         let outcome = self.commit(&transaction).unwrap();
         assert!(matches!(outcome, Outcome::Committed { .. }));
     }
--- a/crates/fescuewell_budget/tests/common/node.rs
+++ b/crates/fescuewell_budget/tests/common/node.rs
@@ -72,7 +72,7 @@
             name: (*name).into(),
             outage: Duration::from_secs(outage),
             share_percent,
-            least: Tokens(least),
+            min_allowance: Tokens(least),
         })
         .collect()
 }
--- a/crates/fescuewell_budget/tests/regressions.rs
+++ b/crates/fescuewell_budget/tests/regressions.rs
@@ -8,7 +8,7 @@
 use common::fleet::{Fault, Fleet};
 use common::node::GROUPS;
 use fescuewell_budget::reclaim::Reclaim;
-use fescuewell_budget::{Message, News, Shortage};
+use fescuewell_budget::{Message, Notification, Shortage};
 use fescuewell_core::prelude::*;
 use fescuewell_core::table::{Error, Reply, Step, Table, carry_out};
 
@@ -140,7 +140,11 @@
 
     assert!(reclaim.is_done());
     assert_eq!(first, Err(Shortage::Pending));
-    assert!(ledger.news().contains(&News::Lost(group)));
+    assert!(
+        ledger
+            .take_notifications()
+            .contains(&Notification::Lost(group))
+    );
     assert!(matches!(
         ledger.hold(now, group, Tokens(1)),
         Err(Shortage::Unknown { .. })
@@ -315,7 +319,7 @@
         name: "brolga-access".into(),
         outage: Duration::from_secs(60),
         share_percent: 10,
-        least: Tokens(10),
+        min_allowance: Tokens(10),
     };
     let now = fleet.now;
     let ledger = &mut fleet.nodes[0].ledger;
@@ -330,7 +334,10 @@
 
     let retry_after = Duration::from_secs(1);
     let shortage = Shortage::Unknown { retry_after };
-    assert_eq!(ledger.news(), [News::Refused(GroupKey(7), shortage)]);
+    assert_eq!(
+        ledger.take_notifications(),
+        [Notification::Refused(GroupKey(7), shortage)]
+    );
 }
 
 #[test]
@@ -379,7 +386,7 @@
             name: name.as_str().into(),
             outage: Duration::from_secs(20),
             share_percent: 5,
-            least: Tokens(10),
+            min_allowance: Tokens(10),
         })
         .collect();
     for name in &names {
@@ -404,10 +411,10 @@
     }
 
     assert_eq!(fleet.table.counts().commits - before.commits, 3);
-    let funded = ledger.news().into_iter();
+    let funded = ledger.take_notifications().into_iter();
     assert_eq!(
         funded
-            .filter(|news| matches!(news, News::Funded(_)))
+            .filter(|notification| matches!(notification, Notification::Funded(_)))
             .count(),
         70
     );
--- a/crates/fescuewell_node/src/pump.rs
+++ b/crates/fescuewell_node/src/pump.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fescuewell_budget::message::News;
+use fescuewell_budget::message::Notification;
 use fescuewell_claims::courier::{Event as CourierEvent, Outgoing};
 use fescuewell_claims::message::{Known, Reply};
 use fescuewell_core::prelude::*;
@@ -193,23 +193,23 @@
     }
 
     fn carry_news(&mut self) {
-        for news in self.ledger.news() {
-            match news {
-                News::Funded(group) => self.hold_again(group),
-                News::Refused(group, shortage) => {
+        for notification in self.ledger.take_notifications() {
+            match notification {
+                Notification::Funded(group) => self.hold_again(group),
+                Notification::Refused(group, shortage) => {
                     for ticket in self.waiting_for_money(group) {
                         self.out_of_money(ticket, shortage);
                     }
                 }
-                News::Drawn { group, amount } => {
+                Notification::Drawn { group, amount } => {
                     let text = format!("group={} amount={amount}", self.catalog.group_name(group));
                     self.log(Event::AllowanceDrawn, text);
                 }
-                News::Returned { group, amount } => {
+                Notification::Returned { group, amount } => {
                     let text = format!("group={} amount={amount}", self.catalog.group_name(group));
                     self.log(Event::AllowanceReturned, text);
                 }
-                News::Lost(group) => {
+                Notification::Lost(group) => {
                     let text = format!("group={} grant=lost", self.catalog.group_name(group));
                     self.log(Event::InternalFault, text);
                 }
@@ -234,7 +234,7 @@
     }
 
     fn carry_budget_messages(&mut self) {
-        for outgoing in self.ledger.outbox() {
+        for outgoing in self.ledger.take_outbox() {
             let instance = instance_of(&outgoing.to).to_owned();
             let message = Message::Budget {
                 from: self.me.holder.clone(),
--- a/crates/fescuewell_node/src/sweeping.rs
+++ b/crates/fescuewell_node/src/sweeping.rs
@@ -219,7 +219,7 @@
             return;
         };
         let mut lines = Vec::new();
-        for freed in reclaim.freed() {
+        for freed in reclaim.take_freed() {
             lines.push(format!(
                 "holder={} group={} granted={} charged={}",
                 sweep.holder(),
--- a/examples/ledger.rs
+++ b/examples/ledger.rs
@@ -55,7 +55,7 @@
 fn table_with(group: &str, prepaid: Tokens) -> memory::Table {
     let table = memory::Table::default();
     let top_up =
-        Transaction::default().with_put(row::key(group), row::Budget::new(prepaid).write());
+        Transaction::default().with_put(row::key(group), row::Budget::new(prepaid).encode());
     table.commit(&top_up).expect("the table is in memory");
     table
 }
@@ -66,7 +66,7 @@
         name: name.into(),
         outage: Duration::from_secs(60),
         share_percent: 10,
-        least: Tokens(500),
+        min_allowance: Tokens(500),
     }
 }
 
