--- a/crates/fescuewell_budget/src/allowance.rs
+++ b/crates/fescuewell_budget/src/allowance.rs
@@ -1,4 +1,4 @@
-//! One group's allowance at one instance: the sums, and who waits for what.
+//! One group's allowance at one instance: its token counts and the requests that wait for it.
 
 use std::sync::Arc;
 
@@ -9,125 +9,127 @@
 use crate::rate::Rate;
 use crate::row::Budget;
 
-/// A budget row as last seen.
+/// A cached copy of a budget row.
 #[derive(Debug, Clone)]
 pub(crate) struct Cached {
     pub revision: u64,
-    /// When the read or write that showed it was asked for; it is no older than that.
-    pub seen: Instant,
-    /// Number of the step that showed it.
+    /// When the read or write that returned the row was issued; the copy is at least as recent.
+    pub as_of: Instant,
+    /// Number of the step that returned the row.
     pub step: u64,
     pub budget: Budget,
 }
 
-/// When and in which order a step was handed out.
+/// Time and sequence number of an issued table operation.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Asked {
+pub(crate) struct IssuedStep {
     pub at: Instant,
     pub step: u64,
 }
 
 /// Requests that wait for a draw.
 #[derive(Debug, Clone)]
-pub(crate) struct Waiting {
+pub(crate) struct Waiters {
     pub since: Instant,
-    /// Number of the last step that was asked for before.
+    /// Number of the last step issued before the first of them arrived.
     pub step: u64,
-    /// Sum of what they need.
-    pub sum: Tokens,
-    /// The smallest of them: from there on waking them is worth while.
+    /// Sum of the amounts they need.
+    pub total: Tokens,
+    /// Smallest amount that one of them needs; with fewer idle tokens none can continue.
     pub smallest: Tokens,
 }
 
-/// A recall sent to other holders on behalf of the requests that wait.
+/// A recall sent to other holders on behalf of waiting requests.
 #[derive(Debug, Clone)]
 pub(crate) struct Recall {
     pub deadline: Instant,
-    /// How many recalls came before for the same requests.
+    /// Number of earlier recalls for the same requests.
     pub round: u32,
-    /// When the next one may be sent.
-    pub again_at: Instant,
-    /// Every other holder in the row and its grant when the recall began.
-    pub asked: Vec<(Arc<str>, Tokens)>,
+    /// Earliest time of the next recall.
+    pub retry_at: Instant,
+    /// Every other holder in the row with its grant when the recall started.
+    pub grants_before: Vec<(Arc<str>, Tokens)>,
     pub unanswered: Vec<Arc<str>>,
-    /// What the others reported as held or owed.
+    /// Sum of the amounts that the others reported as held or owed.
     pub in_use: Tokens,
-    /// What is still missing after the returns that were reported.
-    pub lacking: Tokens,
-    /// Whether some holder was not asked, the fan-out being limited.
+    /// Tokens still missing after the reported returns.
+    pub shortfall: Tokens,
+    /// Whether some holder was not asked because the fan-out is limited.
     pub is_partial: bool,
-    /// Set when the last answer came or the deadline passed: number of the last step that was
-    /// asked for before. Times would not do, as a read may show the row as it was at the
-    /// same instant but before the returns.
-    pub finished: Option<u64>,
+    /// Number of the last step issued before the last reply arrived or the deadline passed. A step
+    /// number and not a time, since a read issued at the same instant may still show the row before
+    /// the returns.
+    pub finished_after: Option<u64>,
 }
 
 impl Recall {
-    /// Whether some other holder has been granted more since the recall began.
+    /// Whether another holder has been granted more since the recall started.
     ///
-    /// Its answer, if it was asked at all, says nothing about that.
-    pub fn is_overtaken(&self, holder: &str, budget: &Budget) -> bool {
+    /// Its reply, if it was asked at all, does not cover the new tokens.
+    pub fn has_newer_grants(&self, holder: &str, budget: &Budget) -> bool {
         let mut grants = budget.grants.iter();
         grants.any(|(other, grant)| {
-            let asked = self.asked.iter().find(|(asked, _)| asked == other);
-            let before = asked.map_or(Tokens::ZERO, |(_, granted)| *granted);
+            let earlier = self.grants_before.iter().find(|(name, _)| name == other);
+            let before = earlier.map_or(Tokens::ZERO, |(_, granted)| *granted);
             **other != *holder && grant.granted > before
         })
     }
 }
 
-/// A refusal that is repeated for a while without another look at the row.
+/// A refusal that is repeated for a while without reading the row again.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Verdict {
+pub(crate) struct CachedRefusal {
     pub until: Instant,
-    pub need: Tokens,
+    pub min_amount: Tokens,
     pub shortage: Shortage,
     pub revision: u64,
 }
 
-impl Verdict {
-    /// Whether nothing depends on it any more. An exhausted budget's verdict is kept: as long as the
-    /// row's revision stays, it need not be worked out again.
+impl CachedRefusal {
+    /// Whether the refusal can be dropped. One for an exhausted budget is kept, since it stays
+    /// valid without another recall while the row keeps its revision.
     fn is_stale(&self, now: Instant) -> bool {
         self.until < now && self.shortage != Shortage::Exhausted
     }
 }
 
-/// The rest of what a group needs while money is short; absent in ordinary times.
+/// State that a group needs only while tokens are short; absent otherwise.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Strain {
-    pub waiting: Option<Waiting>,
+pub(crate) struct Scarcity {
+    pub waiters: Option<Waiters>,
     pub recall: Option<Recall>,
-    pub verdict: Option<Verdict>,
-    /// Holders that asked for idle allowance and wait for an answer.
+    pub refusal: Option<CachedRefusal>,
+    /// Holders that asked for idle tokens and wait for a reply.
     pub recallers: Vec<Arc<str>>,
-    /// Returned for them so far.
-    pub recalled: Tokens,
+    /// Tokens returned for them so far.
+    pub returned: Tokens,
 }
 
-/// One group's sums. `spent + owed + held + leaving <= granted` always holds; the difference is idle.
+/// One group's token counts. `spent + owed + held + returning <= granted` always holds; the
+/// difference is idle.
 #[derive(Debug, Clone)]
 pub(crate) struct Allowance {
     pub name: Arc<str>,
-    /// Cumulative grant as the table has it.
+    /// Cumulative grant according to the table.
     pub granted: Tokens,
-    /// Charged by durable bills.
+    /// Tokens charged by durable bills.
     pub spent: Tokens,
-    /// Settled, the bills not durable yet.
+    /// Tokens settled by bills that are not durable yet.
     pub owed: Tokens,
     pub held: Tokens,
-    /// Part of a return whose outcome is open: it may have reached the row, so it must not be spent.
-    pub leaving: Tokens,
+    /// Tokens of a return whose outcome is unknown. They must not be spent, since the return may
+    /// have reached the row.
+    pub returning: Tokens,
     /// Whether the row has a grant of this holder.
-    pub is_listed: bool,
-    /// Whether the grant was removed by somebody else.
+    pub has_grant: bool,
+    /// Whether another process removed the grant.
     pub is_lost: bool,
     pub rate: Rate,
     pub used_at: Instant,
     pub surplus_since: Option<Instant>,
     pub scarce_until: Instant,
     pub row: Option<Box<Cached>>,
-    pub strain: Option<Box<Strain>>,
+    pub scarcity: Option<Box<Scarcity>>,
 }
 
 impl Allowance {
@@ -138,30 +140,30 @@
             spent: Tokens::ZERO,
             owed: Tokens::ZERO,
             held: Tokens::ZERO,
-            leaving: Tokens::ZERO,
-            is_listed: false,
+            returning: Tokens::ZERO,
+            has_grant: false,
             is_lost: false,
             rate: Rate::new(now),
             used_at: now,
             surplus_since: None,
             scarce_until: now,
             row: None,
-            strain: None,
+            scarcity: None,
         }
     }
 
-    /// What may be held now.
+    /// Tokens available for new holds.
     pub fn idle(&self) -> Tokens {
         self.granted
-            .minus(self.spent + self.owed + self.held + self.leaving)
+            .minus(self.spent + self.owed + self.held + self.returning)
     }
 
-    /// What is held or owed.
+    /// Tokens held or owed.
     pub fn in_use(&self) -> Tokens {
         self.held + self.owed
     }
 
-    pub fn take(&mut self, amount: Tokens) -> bool {
+    pub fn try_hold(&mut self, amount: Tokens) -> bool {
         if self.idle() < amount {
             return false;
         }
@@ -169,120 +171,120 @@
         true
     }
 
-    pub fn strain(&mut self) -> &mut Strain {
-        self.strain.get_or_insert_default()
+    pub fn scarcity(&mut self) -> &mut Scarcity {
+        self.scarcity.get_or_insert_default()
     }
 
-    pub fn waiting(&self) -> Option<&Waiting> {
-        self.strain.as_ref()?.waiting.as_ref()
+    pub fn waiters(&self) -> Option<&Waiters> {
+        self.scarcity.as_ref()?.waiters.as_ref()
     }
 
     pub fn recall(&self) -> Option<&Recall> {
-        self.strain.as_ref()?.recall.as_ref()
+        self.scarcity.as_ref()?.recall.as_ref()
     }
 
     pub fn is_recalled(&self) -> bool {
-        let strain = self.strain.as_ref();
-        strain.is_some_and(|strain| !strain.recallers.is_empty())
+        let scarcity = self.scarcity.as_ref();
+        scarcity.is_some_and(|scarcity| !scarcity.recallers.is_empty())
     }
 
-    /// Adds a request to those that wait.
-    pub fn wait(&mut self, now: Instant, step: u64, amount: Tokens) {
-        let waiting = self.strain().waiting.get_or_insert(Waiting {
+    /// Adds a request to the waiting ones.
+    pub fn add_waiter(&mut self, now: Instant, step: u64, amount: Tokens) {
+        let waiters = self.scarcity().waiters.get_or_insert(Waiters {
             since: now,
             step,
-            sum: Tokens::ZERO,
+            total: Tokens::ZERO,
             smallest: amount,
         });
-        waiting.sum += amount;
-        waiting.smallest = waiting.smallest.min(amount);
+        waiters.total += amount;
+        waiters.smallest = waiters.smallest.min(amount);
     }
 
-    /// Forgets those that wait, when they are told to ask again or are refused.
-    pub fn stop_waiting(&mut self) -> bool {
-        let Some(strain) = &mut self.strain else {
+    /// Removes the waiting requests, which retry or are refused; returns whether there were any.
+    pub fn clear_waiters(&mut self) -> bool {
+        let Some(scarcity) = &mut self.scarcity else {
             return false;
         };
-        strain.recall = None;
-        strain.waiting.take().is_some()
+        scarcity.recall = None;
+        scarcity.waiters.take().is_some()
     }
 
-    /// Drops a refusal that would still stand.
-    pub fn forget_verdict(&mut self) {
-        if let Some(strain) = &mut self.strain {
-            strain.verdict = None;
+    /// Drops the cached refusal.
+    pub fn clear_refusal(&mut self) {
+        if let Some(scarcity) = &mut self.scarcity {
+            scarcity.refusal = None;
         }
     }
 
-    /// The refusal that still stands for a request of this size.
-    pub fn standing_refusal(&self, now: Instant, amount: Tokens) -> Option<Shortage> {
-        let verdict = self.strain.as_ref()?.verdict.as_ref()?;
-        let stands = now < verdict.until && amount >= verdict.need;
-        stands.then_some(verdict.shortage)
+    /// Returns the cached refusal if it still applies to a request of this amount.
+    pub fn cached_refusal(&self, now: Instant, amount: Tokens) -> Option<Shortage> {
+        let refusal = self.scarcity.as_ref()?.refusal.as_ref()?;
+        let applies = now < refusal.until && amount >= refusal.min_amount;
+        applies.then_some(refusal.shortage)
     }
 
-    /// Drops the strain when nothing in it matters any more.
-    pub fn relax(&mut self, now: Instant) {
-        let Some(strain) = &self.strain else {
+    /// Drops the scarcity state once nothing in it is needed.
+    pub fn prune_scarcity(&mut self, now: Instant) {
+        let Some(scarcity) = &self.scarcity else {
             return;
         };
-        let is_over = strain.waiting.is_none()
-            && strain.recallers.is_empty()
-            && strain.verdict.is_none_or(|verdict| verdict.is_stale(now));
+        let is_over = scarcity.waiters.is_none()
+            && scarcity.recallers.is_empty()
+            && scarcity.refusal.is_none_or(|refusal| refusal.is_stale(now));
         if is_over {
-            self.strain = None;
+            self.scarcity = None;
         }
     }
 
-    /// Takes a newer state of the row into account.
+    /// Updates the allowance from a row, unless the cached row is newer.
     ///
-    /// Only this holder changes its grant while it lives, so the row is right about it whenever no
-    /// write of ours is open. A grant that has gone was removed on somebody's proof that this
-    /// holder ended (or the group was deleted): whatever is idle must not be spent then.
-    pub fn observe(&mut self, asked: Asked, row: &table::Row, holder: &str) -> Sight {
+    /// Only this holder changes its grant while it is alive, so the row's grant is correct whenever
+    /// no write of this holder is pending. A missing grant was removed after proof that this holder
+    /// had terminated (or the group was deleted), so its idle tokens must not be spent.
+    pub fn observe(&mut self, issued: IssuedStep, row: &table::Row, holder: &str) -> Observation {
         let known = self.row.as_ref().map_or(0, |cached| cached.revision);
         if row.revision < known {
-            return Sight::Current;
+            return Observation::Current;
         }
         let Ok(budget) = Budget::parse(&row.value) else {
             self.row = None;
-            return Sight::Unreadable;
+            return Observation::Unreadable;
         };
-        let mut sight = Sight::Current;
+        let mut observation = Observation::Current;
         match budget.grants.get(holder) {
             Some(grant) => {
                 self.granted = grant.granted;
-                self.is_listed = true;
+                self.has_grant = true;
             }
-            None if self.is_listed => sight = Sight::Gone,
+            None if self.has_grant => observation = Observation::GrantMissing,
             None => {}
         }
         let revision = row.revision;
         self.row = Some(Box::new(Cached {
             revision,
-            seen: asked.at,
-            step: asked.step,
+            as_of: issued.at,
+            step: issued.step,
             budget,
         }));
-        sight
+        observation
     }
 
-    /// Stops spending after the grant or the row has gone.
-    pub fn lose(&mut self) {
+    /// Stops spending after the grant or the row was removed.
+    pub fn mark_lost(&mut self) {
         self.granted = self.spent + self.owed + self.held;
-        self.leaving = Tokens::ZERO;
+        self.returning = Tokens::ZERO;
         self.is_lost = true;
-        self.is_listed = false;
+        self.has_grant = false;
     }
 }
 
-/// What a look at the row showed.
+/// Result of reading a budget row.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Sight {
-    /// The row is known now.
+pub(crate) enum Observation {
+    /// The cached row is up to date.
     Current,
-    /// The row's content cannot be read.
+    /// The row cannot be parsed.
     Unreadable,
-    /// This holder's grant is no longer in the row.
-    Gone,
+    /// The row no longer has a grant of this holder.
+    GrantMissing,
 }
--- a/crates/fescuewell_budget/src/hold.rs
+++ b/crates/fescuewell_budget/src/hold.rs
@@ -1,42 +1,43 @@
-//! Holds: the worst case of a request, set aside before it is sent.
+//! Holds: the worst-case cost of a request, reserved before the request is sent.
 
 use std::time::Duration;
 
 use fescuewell_core::prelude::*;
 
 slotmap::new_key_type! {
-    /// Names a hold of one ledger.
+    /// Identifies a hold of one ledger.
     pub struct HoldKey;
 }
 
 fescuewell_core::message! {
-    /// Why a hold could not be had.
+    /// Why a hold was not granted.
     #[derive(Copy, Eq)]
     pub enum Shortage {
-        /// A draw is under way or due: ask again when [`crate::Notification::Funded`] names the group.
+        /// A draw is pending or due: retry after [`crate::Notification::Funded`] for the group.
         Pending,
-        /// What is left of the prepaid total does not cover the request and nothing under way can
-        /// give anything back.
+        /// The rest of the prepaid total does not cover the request, and no request in progress can
+        /// return tokens.
         Exhausted,
-        /// What is left is held by requests under way, or by a holder that does not answer.
+        /// The remaining tokens are held by requests in progress or by a holder that does not
+        /// reply.
         InUse {
-            /// When it makes sense to ask again.
+            /// When a retry makes sense.
             retry_after: Duration,
         },
-        /// The row could not be consulted, or there is none.
+        /// The row is missing or could not be read.
         Unknown {
-            /// When it makes sense to ask again.
+            /// When a retry makes sense.
             retry_after: Duration,
         },
     }
 }
 
-/// A hold in its two stages.
+/// A hold, before or after settlement.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Hold {
     pub group: GroupKey,
-    /// The worst case while held; the true cost once settled.
+    /// The worst-case cost before settlement, the actual cost after it.
     pub amount: Tokens,
-    /// Whether the true cost is known and waits for its bill to become durable.
+    /// Whether the actual cost is known and its bill is not durable yet.
     pub is_settled: bool,
 }
--- a/crates/fescuewell_budget/src/ledger.rs
+++ b/crates/fescuewell_budget/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger of one instance: holds against allowances, and the table work that keeps them filled.
+//! The ledger of one instance: holds against allowances, and the table operations that refill them.
 
 mod attempt;
 mod intent;
@@ -21,11 +21,12 @@
 use crate::message::{Notification, Outgoing};
 use crate::policy::{Policy, Settings};
 
-/// Everything that one instance knows and decides about prepaid budgets.
+/// Tracks and decides everything about prepaid budgets at one instance.
 ///
-/// The instance calls [`Ledger::hold`] before a request is sent and [`Ledger::settle`] when its true
-/// cost is known. After any call, and on every tick (50 ms or so), it should carry out
-/// [`Ledger::next_step`], send what is in [`Ledger::take_outbox`] and act on [`Ledger::take_notifications`].
+/// The instance calls [`Ledger::hold`] before it sends a request and [`Ledger::settle`] when the
+/// actual cost is known. After any call, and on every tick (about every 50 ms), it carries out
+/// [`Ledger::next_step`], sends the messages of [`Ledger::take_outbox`] and handles
+/// [`Ledger::take_notifications`].
 ///
 /// ```
 /// use std::time::Duration;
@@ -44,7 +45,7 @@
 ///     min_allowance: Tokens(2_000),
 /// }]);
 ///
-/// // Nothing is at hand yet, so the first request waits for a draw.
+/// // The allowance is empty, so the first request waits for a draw.
 /// assert_eq!(ledger.hold(now, group, Tokens(500)), Err(Shortage::Pending));
 /// let Some(Step::Read { keys }) = ledger.next_step(now) else { panic!() };
 /// let value = row::Budget::new(Tokens(1_000_000)).encode();
@@ -64,11 +65,11 @@
     holder: Arc<str>,
     rng: SmallRng,
     policies: BTreeMap<GroupKey, Policy>,
-    names: HashMap<Arc<str>, GroupKey>,
-    /// Only groups in use have an entry. Ordered, so that a run can be repeated exactly.
+    keys_by_name: HashMap<Arc<str>, GroupKey>,
+    /// Contains only groups in use. Ordered, so that a simulation can be reproduced exactly.
     allowances: BTreeMap<GroupKey, Allowance>,
     holds: SlotMap<HoldKey, Hold>,
-    /// Groups to look at as soon as the table takes another step.
+    /// Groups to check before the next table operation.
     due: BTreeSet<GroupKey>,
     next_renewal: Instant,
     chart: Chart,
@@ -79,50 +80,50 @@
     is_closing: bool,
     /// Revision of this holder's fence row, once it has been written.
     fence: Option<u64>,
-    /// Whether this holder was declared ended.
+    /// Whether this holder was declared terminated.
     is_fenced: bool,
 }
 
 fescuewell_core::message! {
-    /// One group's sums, for metrics.
+    /// One group's token counts, for metrics.
     #[derive(Eq)]
     pub struct Balance {
         /// The group.
         pub group: GroupKey,
-        /// Its name.
+        /// The group's name.
         pub name: Arc<str>,
-        /// Cumulative grant as the table has it.
+        /// Cumulative grant according to the table.
         pub granted: Tokens,
-        /// Charged by durable bills.
+        /// Tokens charged by durable bills.
         pub spent: Tokens,
-        /// Held by requests under way.
+        /// Tokens held by requests in progress.
         pub held: Tokens,
-        /// Settled, the bills not durable yet.
+        /// Tokens settled by bills that are not durable yet.
         pub owed: Tokens,
-        /// What may be held now.
+        /// Tokens available for new holds.
         pub idle: Tokens,
     }
 }
 
 impl Ledger {
-    /// A ledger that holds nothing yet.
+    /// Creates a ledger without allowances.
     ///
-    /// `holder` is `instance.incarnation`; no two starts of an instance may share it. `seed` feeds jitter and
-    /// the ids of draws and should differ from start to start.
+    /// `holder` is `instance.incarnation` and must differ between two starts of an instance. `seed`
+    /// feeds the jitter and the draw ids and should differ between starts.
     ///
     /// # Panics
     ///
-    /// Never: the state chart is part of the program and checked by its tests.
+    /// Never: the state chart is embedded in the binary and checked by the tests.
     pub fn new(settings: Settings, holder: Arc<str>, seed: u64) -> Self {
-        let chart =
-            Chart::parse(include_str!("ledger/work.json")).expect("the chart is well formed");
+        let chart = Chart::parse(include_str!("ledger/work.json"))
+            .expect("the embedded state chart is valid");
         let state = chart.initial();
         Self {
             settings,
             holder,
             rng: SmallRng::seed_from_u64(seed),
             policies: BTreeMap::new(),
-            names: HashMap::new(),
+            keys_by_name: HashMap::new(),
             allowances: BTreeMap::new(),
             holds: SlotMap::with_key(),
             due: BTreeSet::new(),
@@ -140,40 +141,40 @@
 
     /// Replaces the policies by those of a newer document.
     ///
-    /// A group that is no longer listed gets no new holds; what it has idle here is returned.
+    /// A group that is no longer listed gets no new holds, and its idle tokens are returned.
     pub fn set_groups(&mut self, now: Instant, policies: &[Policy]) {
         self.policies = policies
             .iter()
             .map(|policy| (policy.key, policy.clone()))
             .collect();
-        self.names = policies
+        self.keys_by_name = policies
             .iter()
             .map(|policy| (policy.name.clone(), policy.key))
             .collect();
-        // The document may have come with a top-up. A refusal that is repeated from memory after it is in
-        // force would be a false one.
+        // The document may come with a top-up, after which a cached refusal would be wrong.
         for allowance in self.allowances.values_mut() {
-            allowance.forget_verdict();
+            allowance.clear_refusal();
         }
-        let dropped: Vec<GroupKey> = self
+        let removed: Vec<GroupKey> = self
             .allowances
             .keys()
             .filter(|group| !self.policies.contains_key(group))
             .copied()
             .collect();
-        for group in dropped {
-            self.refuse(now, group, self.unknown());
+        for group in removed {
+            self.refuse(now, group, self.unknown_shortage());
             self.due.insert(group);
         }
     }
 
-    /// Sets `amount`, the worst case of a request, aside.
+    /// Reserves `amount`, the worst-case cost of a request.
     ///
     /// # Errors
     ///
-    /// See [`Shortage`]. After [`Shortage::Pending`] the request waits for [`Notification::Funded`] or
-    /// [`Notification::Refused`] of its group, and asks again only then. While the last tokens of a budget move
-    /// between instances it may have to ask several times, so its own deadline should bound the wait.
+    /// See [`Shortage`]. After [`Shortage::Pending`] the request waits for [`Notification::Funded`]
+    /// or [`Notification::Refused`] of its group and retries only then. While the last tokens of a
+    /// budget move between instances it may have to retry several times, so the caller should bound
+    /// the wait by the request's deadline.
     pub fn hold(
         &mut self,
         now: Instant,
@@ -181,10 +182,10 @@
         amount: Tokens,
     ) -> Result<HoldKey, Shortage> {
         let Some(policy) = self.policies.get(&group) else {
-            return Err(self.unknown());
+            return Err(self.unknown_shortage());
         };
         if self.is_closing || self.is_fenced {
-            return Err(self.unknown());
+            return Err(self.unknown_shortage());
         }
         let is_down = self.table_is_down(now);
         let allowance = self
@@ -192,8 +193,8 @@
             .entry(group)
             .or_insert_with(|| Allowance::new(now, policy.name.clone()));
         allowance.used_at = now;
-        if allowance.take(amount) {
-            allowance.rate.count_hold(now, amount);
+        if allowance.try_hold(amount) {
+            allowance.rate.record_hold(now, amount);
             return Ok(self.holds.insert(Hold {
                 group,
                 amount,
@@ -201,21 +202,21 @@
             }));
         }
         if is_down || allowance.is_lost {
-            return Err(self.unknown());
+            return Err(self.unknown_shortage());
         }
-        if let Some(shortage) = allowance.standing_refusal(now, amount) {
+        if let Some(shortage) = allowance.cached_refusal(now, amount) {
             return Err(shortage);
         }
-        allowance.wait(now, self.work.asked.step, amount);
+        allowance.add_waiter(now, self.work.issued.step, amount);
         self.due.insert(group);
         Err(Shortage::Pending)
     }
 
-    /// Replaces a hold by the request's true cost; the rest may be held again at once.
+    /// Replaces a hold by the actual cost of the request; the rest is available again at once.
     ///
-    /// The cost stays owed until [`Ledger::bill_durable`]. A cost above the hold is cut to the hold, since
-    /// nothing stands behind the difference; the cut is logged, because the stream should have
-    /// been stopped at the hold. Returns the cost as owed.
+    /// The cost stays owed until [`Ledger::bill_durable`]. A cost above the hold is reduced to the
+    /// hold, since no grant covers the difference. This is logged, because the stream should have
+    /// been stopped at the hold. Returns the cost that is owed.
     pub fn settle(&mut self, now: Instant, hold: HoldKey, cost: Tokens) -> Tokens {
         let Some(entry) = self.holds.get_mut(hold).filter(|entry| !entry.is_settled) else {
             log_event!(Event::InternalFault, "settlement of unknown hold={hold:?}");
@@ -231,16 +232,16 @@
         if let Some(allowance) = self.allowances.get_mut(&group) {
             allowance.held = allowance.held.minus(amount);
             allowance.owed += cost;
-            allowance.rate.count_settlement(amount, cost);
+            allowance.rate.record_settlement(amount, cost);
         }
         self.after_release(now, group);
         cost
     }
 
-    /// Ends a hold whose bill is durable. `charged` is 0 when the bill was absorbed as a duplicate: its
-    /// amount is free again then.
+    /// Ends a hold whose bill is durable.
     ///
-    /// A hold that was never settled counts as settled at `charged`.
+    /// `charged` is 0 if the bill was absorbed as a duplicate, and the amount is then available
+    /// again. A hold that was never settled counts as settled at `charged`.
     pub fn bill_durable(&mut self, now: Instant, hold: HoldKey, charged: Tokens) {
         let Some(entry) = self.holds.remove(hold) else {
             log_event!(Event::InternalFault, "bill of unknown hold={hold:?}");
@@ -254,53 +255,53 @@
             );
         }
         if let Some(allowance) = self.allowances.get_mut(&entry.group) {
-            let stage = match entry.is_settled {
+            let balance = match entry.is_settled {
                 true => &mut allowance.owed,
                 false => &mut allowance.held,
             };
-            *stage = stage.minus(entry.amount);
+            *balance = balance.minus(entry.amount);
             allowance.spent += charged.min(entry.amount);
         }
         self.after_release(now, entry.group);
     }
 
-    /// Gives a hold up whose request did not run.
+    /// Releases the hold of a request that did not run.
     pub fn release(&mut self, now: Instant, hold: HoldKey) {
         self.bill_durable(now, hold, Tokens::ZERO);
     }
 
-    /// Starts to hand everything back, for a drain.
+    /// Starts returning all grants, for a drain.
     ///
-    /// Idle allowance goes back at once, the rest as requests end and their bills become durable; then
-    /// the grants are removed. New holds are refused.
+    /// Idle tokens are returned at once, the rest as requests end and their bills become durable;
+    /// then the grants are removed. New holds are refused.
     pub fn close(&mut self, now: Instant) {
         self.is_closing = true;
         self.refuse_all(now);
         self.due.extend(self.allowances.keys());
     }
 
-    /// Whether no grant of this holder is left in the table.
+    /// Whether the ledger has been closed and no grant of this holder is left in the table.
     pub fn is_closed(&self) -> bool {
-        let is_gone = self.is_fenced || self.fence.is_none();
+        let is_fence_gone = self.is_fenced || self.fence.is_none();
         let mut allowances = self.allowances.values();
         self.is_closing
             && self.holds.is_empty()
-            && self.is_at_rest()
-            && is_gone
-            && !allowances.any(|allowance| allowance.is_listed)
+            && self.is_quiescent()
+            && is_fence_gone
+            && !allowances.any(|allowance| allowance.has_grant)
     }
 
-    /// Takes the messages that wait to be sent.
+    /// Returns and clears the messages to be sent.
     pub fn take_outbox(&mut self) -> Vec<Outgoing> {
         std::mem::take(&mut self.outbox)
     }
 
-    /// Takes what has happened since the last call.
+    /// Returns and clears the notifications since the last call.
     pub fn take_notifications(&mut self) -> Vec<Notification> {
         std::mem::take(&mut self.notifications)
     }
 
-    /// The sums of every group in use.
+    /// Returns the token counts of every group in use.
     pub fn snapshot(&self) -> Vec<Balance> {
         let lines = self.allowances.iter();
         lines
@@ -316,7 +317,8 @@
             .collect()
     }
 
-    /// Wakes waiting requests if what came free is enough for one, and looks after a closing group.
+    /// Wakes waiting requests if the released tokens are enough for one; schedules a check of a
+    /// closing group.
     fn after_release(&mut self, now: Instant, group: GroupKey) {
         self.wake_if_funded(now, group);
         if self.is_closing || !self.policies.contains_key(&group) {
@@ -330,13 +332,13 @@
         };
         let idle = allowance.idle();
         if allowance
-            .waiting()
-            .is_none_or(|waiting| idle < waiting.smallest)
+            .waiters()
+            .is_none_or(|waiters| idle < waiters.smallest)
         {
             return;
         }
-        allowance.stop_waiting();
-        allowance.relax(now);
+        allowance.clear_waiters();
+        allowance.prune_scarcity(now);
         self.notifications.push(Notification::Funded(group));
     }
 
@@ -344,30 +346,30 @@
         let Some(allowance) = self.allowances.get_mut(&group) else {
             return;
         };
-        if allowance.stop_waiting() {
+        if allowance.clear_waiters() {
             self.notifications
                 .push(Notification::Refused(group, shortage));
         }
-        allowance.relax(now);
+        allowance.prune_scarcity(now);
     }
 
     fn refuse_all(&mut self, now: Instant) {
         let groups: Vec<GroupKey> = self.allowances.keys().copied().collect();
         for group in groups {
-            self.refuse(now, group, self.unknown());
+            self.refuse(now, group, self.unknown_shortage());
         }
     }
 
-    fn unknown(&self) -> Shortage {
+    fn unknown_shortage(&self) -> Shortage {
         Shortage::Unknown {
             retry_after: self.settings.max_backoff,
         }
     }
 
-    /// A duration drawn evenly from half of `most` to `most`.
+    /// Returns a random duration between half of `max` and `max`.
     ///
-    /// Instances that failed together must not come back together.
-    fn jitter(&mut self, most: Duration) -> Duration {
-        most.mul_f64(self.rng.random_range(0.5..1.0))
+    /// Prevents instances that failed at the same time from retrying at the same time.
+    fn jitter(&mut self, max: Duration) -> Duration {
+        max.mul_f64(self.rng.random_range(0.5..1.0))
     }
 }
--- a/crates/fescuewell_budget/src/ledger/attempt.rs
+++ b/crates/fescuewell_budget/src/ledger/attempt.rs
@@ -1,4 +1,4 @@
-//! Writes whose outcome is open: how they are built, recognised and settled.
+//! Writes whose outcome is unknown: how they are built, recognized and resolved.
 
 use std::sync::Arc;
 
@@ -13,38 +13,38 @@
 use crate::message::Notification;
 use crate::row::Budget;
 
-/// A transaction whose outcome is open.
+/// A transaction whose outcome is unknown.
 #[derive(Debug)]
 pub(super) struct Attempt {
     pub transaction: Transaction,
     pub changes: Vec<Change>,
 }
 
-/// What an attempt does to one group.
+/// The change that an attempt makes to one group.
 #[derive(Debug)]
 pub(super) struct Change {
     pub group: GroupKey,
     before: Tokens,
-    /// The new grant; `None` when it is removed.
+    /// The new grant; `None` if the grant is removed.
     after: Option<Tokens>,
-    draw: Arc<str>,
+    draw_id: Arc<str>,
     revision: u64,
     budget: Budget,
 }
 
 impl Change {
-    /// Whether this row was written by the attempt.
-    fn is_in(&self, budget: &Budget, holder: &str) -> bool {
+    /// Whether the row's content was written by this attempt.
+    fn is_applied_in(&self, budget: &Budget, holder: &str) -> bool {
         match (budget.grants.get(holder), self.after) {
             (None, None) => true,
-            (Some(grant), Some(_)) => grant.draw_id == self.draw,
+            (Some(grant), Some(_)) => grant.draw_id == self.draw_id,
             _ => false,
         }
     }
 }
 
 impl Ledger {
-    pub(super) fn begin(
+    pub(super) fn begin_write(
         &mut self,
         now: Instant,
         changes: &[(GroupKey, Option<Tokens>)],
@@ -52,7 +52,7 @@
         let mut transaction = self.fenced_transaction();
         let mut list = Vec::with_capacity(changes.len());
         for &(group, after) in changes {
-            let change = self.change(now, group, after);
+            let change = self.prepare_change(now, group, after);
             let key = self.row_key(group);
             transaction = transaction
                 .with_compare(key.clone(), change.revision)
@@ -66,10 +66,10 @@
         transaction
     }
 
-    /// The last write of a closed ledger: it removes its fence.
-    pub(super) fn begin_removal(&mut self) -> Option<Transaction> {
+    /// Builds the last write of a closing ledger, which deletes its fence row.
+    pub(super) fn begin_fence_removal(&mut self) -> Option<Transaction> {
         let mut allowances = self.allowances.values();
-        if !self.is_closing || allowances.any(|allowance| allowance.is_listed) {
+        if !self.is_closing || allowances.any(|allowance| allowance.has_grant) {
             return None;
         }
         let revision = self.fence?;
@@ -84,7 +84,7 @@
         Some(transaction)
     }
 
-    /// A transaction that passes only while this holder has not been declared ended.
+    /// Returns a transaction that commits only if this holder has not been declared terminated.
     fn fenced_transaction(&self) -> Transaction {
         let key = fence::key(&self.holder);
         let revision = self.fence.unwrap_or(0);
@@ -95,28 +95,29 @@
         }
     }
 
-    fn change(&mut self, now: Instant, group: GroupKey, after: Option<Tokens>) -> Change {
-        self.work.draws = self.work.draws.wrapping_add(1);
-        let id = u64::from(self.rng.random::<u32>()) << 32 | u64::from(self.work.draws);
-        let draw: Arc<str> = format!("{id:016x}").into();
+    fn prepare_change(&mut self, now: Instant, group: GroupKey, after: Option<Tokens>) -> Change {
+        self.work.draw_count = self.work.draw_count.wrapping_add(1);
+        let id = u64::from(self.rng.random::<u32>()) << 32 | u64::from(self.work.draw_count);
+        let draw_id: Arc<str> = format!("{id:016x}").into();
         let holder = self.holder.clone();
         let allowance = self
             .allowances
             .get_mut(&group)
-            .expect("planned groups exist");
+            .expect("planned groups have an allowance");
         let before = allowance.granted;
-        // What a return may already have given away must not be spent, whatever becomes of the reply.
-        allowance.leaving = match after {
+        // Tokens that a return may already have released must not be spent, even if the reply is
+        // lost.
+        allowance.returning = match after {
             Some(after) => before.minus(after),
             None => before.minus(allowance.spent),
         };
-        let cached = allowance.row.as_ref().expect("planned rows are known");
+        let cached = allowance.row.as_ref().expect("planned rows are cached");
         let mut budget = cached.budget.clone();
         match after {
             Some(granted) => {
                 let grant = budget.grants.entry(holder).or_default();
                 grant.granted = granted;
-                grant.draw_id = draw.clone();
+                grant.draw_id = draw_id.clone();
                 grant.rate = allowance.rate.per_second(now).ceil() as u64;
             }
             None => {
@@ -129,33 +130,35 @@
             group,
             before,
             after,
-            draw,
+            draw_id,
             revision,
             budget,
         }
     }
 
-    /// Learns from the rows, at least one of which has moved on, whether the attempt took effect.
+    /// Determines from rows with changed revisions whether the attempt took effect.
     pub(super) fn resolve(&mut self, now: Instant, rows: &[Row]) {
         let Some(attempt) = &self.work.attempt else {
             return;
         };
-        let mut has_landed = false;
+        let mut is_applied = false;
         for change in &attempt.changes {
             let key = self.row_key(change.group);
             let Some(row) = rows.iter().find(|row| row.key == key) else {
                 continue;
             };
             let budget = Budget::parse(&row.value).unwrap_or_default();
-            // A removed grant is recognised by its absence, which means nothing in an unchanged row.
-            has_landed |= row.revision != change.revision && change.is_in(&budget, &self.holder);
+            // A removed grant is recognized by its absence, which proves nothing if the row is
+            // unchanged.
+            is_applied |=
+                row.revision != change.revision && change.is_applied_in(&budget, &self.holder);
         }
         let changes = attempt.changes.iter();
         let groups: Vec<GroupKey> = changes.map(|change| change.group).collect();
-        if has_landed {
-            self.land(now, 0);
+        if is_applied {
+            self.apply_attempt(now, 0);
         } else {
-            self.drop_attempt();
+            self.discard_attempt();
         }
         if !self.observe_fence(now, rows) {
             return;
@@ -163,8 +166,8 @@
         self.observe_all(now, &groups, rows);
     }
 
-    /// The attempt took effect.
-    pub(super) fn land(&mut self, now: Instant, revision: u64) {
+    /// Applies the attempt, which took effect.
+    pub(super) fn apply_attempt(&mut self, now: Instant, revision: u64) {
         let Some(attempt) = self.work.attempt.take() else {
             return;
         };
@@ -179,30 +182,30 @@
             let Some(allowance) = self.allowances.get_mut(&group) else {
                 continue;
             };
-            allowance.leaving = Tokens::ZERO;
+            allowance.returning = Tokens::ZERO;
             let after = change.after.unwrap_or(allowance.spent);
             allowance.granted = after;
-            allowance.is_listed = change.after.is_some();
+            allowance.has_grant = change.after.is_some();
             allowance.surplus_since = None;
             if revision > 0 {
-                let asked = self.work.asked;
+                let issued = self.work.issued;
                 allowance.row = Some(Box::new(Cached {
                     revision,
-                    seen: asked.at,
-                    step: asked.step,
+                    as_of: issued.at,
+                    step: issued.step,
                     budget: change.budget,
                 }));
             }
-            self.tell(group, before, after);
+            self.notify_change(group, before, after);
             self.due.insert(group);
             self.wake_if_funded(now, group);
         }
     }
 
-    /// Learns the fence's revision; `false` when this holder was declared ended.
+    /// Records the fence's revision; returns `false` if this holder was declared terminated.
     ///
-    /// Such a holder is alive against the platform's word. Its streams have been settled and its idle money
-    /// given to others, so it must not spend any more.
+    /// Such a holder is still running although the platform lists it as terminated. Its streams
+    /// have been settled and its idle tokens granted to others, so it must not spend any more.
     fn observe_fence(&mut self, now: Instant, rows: &[Row]) -> bool {
         let key = fence::key(&self.holder);
         let row = rows.iter().find(|row| row.key == key);
@@ -212,14 +215,14 @@
         }
         self.is_fenced = true;
         for (&group, allowance) in &mut self.allowances {
-            allowance.lose();
+            allowance.mark_lost();
             self.notifications.push(Notification::Lost(group));
         }
         self.refuse_all(now);
         false
     }
 
-    fn tell(&mut self, group: GroupKey, before: Tokens, after: Tokens) {
+    fn notify_change(&mut self, group: GroupKey, before: Tokens, after: Tokens) {
         if after > before {
             let amount = after.minus(before);
             self.notifications
@@ -229,18 +232,18 @@
             let amount = before.minus(after);
             self.notifications
                 .push(Notification::Returned { group, amount });
-            self.count_recalled(group, amount);
+            self.record_return(group, amount);
         }
     }
 
-    /// The attempt certainly did not take effect.
-    pub(super) fn drop_attempt(&mut self) {
+    /// Discards the attempt, which certainly did not take effect.
+    pub(super) fn discard_attempt(&mut self) {
         let Some(attempt) = self.work.attempt.take() else {
             return;
         };
         for change in attempt.changes {
             if let Some(allowance) = self.allowances.get_mut(&change.group) {
-                allowance.leaving = Tokens::ZERO;
+                allowance.returning = Tokens::ZERO;
             }
         }
     }
--- a/crates/fescuewell_budget/src/ledger/intent.rs
+++ b/crates/fescuewell_budget/src/ledger/intent.rs
@@ -1,54 +1,54 @@
-//! What a group's grant should become, given its sums and the row as last seen.
+//! Decides how a group's grant should change, given its token counts and the cached row.
 
 use std::time::Duration;
 
 use fescuewell_core::prelude::*;
 
 use super::Ledger;
-use crate::allowance::{Allowance, Waiting};
+use crate::allowance::{Allowance, Waiters};
 use crate::hold::Shortage;
 use crate::policy::{Policy, Settings};
 use crate::row::Budget;
 use crate::sizing;
-use crate::sizing::View;
+use crate::sizing::Inputs;
 
-/// An allowance below this part of its target asks for a renewal.
-const TRIGGER_PERCENT: u8 = 75;
+/// An allowance below this part of its target is renewed.
+const RENEW_BELOW_PERCENT: u8 = 75;
 
-/// A renewal that takes place anyway takes along allowances below this part of their targets.
-const JOIN_PERCENT: u8 = 90;
+/// An allowance below this part of its target joins a renewal that takes place anyway.
+const JOIN_BELOW_PERCENT: u8 = 90;
 
-/// Idle tokens above this many targets are surplus.
+/// Idle tokens above this multiple of the target are surplus.
 const SURPLUS_FACTOR: u64 = 2;
 
-/// Age from which a row that keeps an allowance small is looked at again: the money may have been
-/// topped up or returned meanwhile.
-const ROW_AGE: Duration = Duration::from_secs(10);
+/// Age from which a row that limits an allowance is read again, since tokens may have been topped
+/// up or returned meanwhile.
+const MAX_ROW_AGE: Duration = Duration::from_secs(10);
 
-/// How long the row of a group that is not used is kept in memory.
-pub(super) const ROW_KEPT: Duration = Duration::from_secs(60);
+/// How long the row of an unused group stays cached.
+pub(super) const ROW_TTL: Duration = Duration::from_secs(60);
 
-/// What should be done about one group.
+/// What to do about one group.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum Intent {
-    /// Nothing; it need not be looked at again until something happens.
+    /// Nothing until another event makes the group due.
     Nothing,
-    /// Nothing yet.
+    /// Nothing yet; the group stays due.
     Wait,
     /// Read the row.
-    Look,
-    /// Set the cumulative grant, or remove it.
+    Read,
+    /// Set the cumulative grant, or remove it if `None`.
     Grant(Option<Tokens>),
 }
 
 impl Ledger {
-    /// Decides about one group.
+    /// Decides what to do about one group.
     pub(super) fn intent(&mut self, now: Instant, group: GroupKey) -> Intent {
         let Some(allowance) = self.allowances.get(&group) else {
             return Intent::Nothing;
         };
         if allowance.is_lost {
-            self.answer_recall(now, group);
+            self.reply_to_recall(now, group);
             return Intent::Nothing;
         }
         if self.is_closing || !self.policies.contains_key(&group) {
@@ -56,23 +56,23 @@
         }
         if allowance.is_recalled() {
             if !allowance.idle().is_zero() {
-                return lower(allowance, allowance.idle());
+                return lower_grant(allowance, allowance.idle());
             }
-            self.answer_recall(now, group);
+            self.reply_to_recall(now, group);
         }
         let allowance = &self.allowances[&group];
-        match allowance.waiting().cloned() {
-            Some(waiting) => self.waiting_intent(now, group, &waiting),
+        match allowance.waiters().cloned() {
+            Some(waiters) => self.waiter_intent(now, group, &waiters),
             None => self.sizer(now, group).renewal(allowance),
         }
     }
 
-    /// Groups that ask for a renewal, with those that join once there is one.
+    /// Returns the groups that need a renewal and, if there are any, those that join it.
     pub(super) fn renewals(&mut self, now: Instant) -> Vec<GroupKey> {
-        let mut asking = Vec::new();
-        let mut joining = Vec::new();
+        let mut required = Vec::new();
+        let mut optional = Vec::new();
         if self.is_closing {
-            return asking;
+            return required;
         }
         for (&group, allowance) in &mut self.allowances {
             let Some(policy) = self.policies.get(&group) else {
@@ -86,14 +86,14 @@
             };
             match sizer.urgency(allowance) {
                 Urgency::None => {}
-                Urgency::Joins => joining.push(group),
-                Urgency::Asks => asking.push(group),
+                Urgency::Optional => optional.push(group),
+                Urgency::Required => required.push(group),
             }
         }
-        if !asking.is_empty() {
-            asking.extend(joining);
+        if !required.is_empty() {
+            required.extend(optional);
         }
-        asking
+        required
     }
 
     fn sizer(&self, now: Instant, group: GroupKey) -> Sizer<'_> {
@@ -109,69 +109,71 @@
         let allowance = &self.allowances[&group];
         let is_done = allowance.in_use().is_zero();
         let may_remove = self.is_closing || allowance.spent.is_zero();
-        if allowance.is_listed && is_done && may_remove {
-            return with_row(allowance, Intent::Grant(None));
+        if allowance.has_grant && is_done && may_remove {
+            return if_row_known(allowance, Intent::Grant(None));
         }
-        if allowance.is_listed && !allowance.idle().is_zero() {
-            return lower(allowance, allowance.idle());
+        if allowance.has_grant && !allowance.idle().is_zero() {
+            return lower_grant(allowance, allowance.idle());
         }
-        self.answer_recall(now, group);
+        self.reply_to_recall(now, group);
         Intent::Nothing
     }
 
-    fn waiting_intent(&mut self, now: Instant, group: GroupKey, waiting: &Waiting) -> Intent {
+    fn waiter_intent(&mut self, now: Instant, group: GroupKey, waiters: &Waiters) -> Intent {
         let allowance = &self.allowances[&group];
         let Some(cached) = &allowance.row else {
-            return Intent::Look;
+            return Intent::Read;
         };
-        let free = cached.budget.unallocated();
-        if allowance.idle() + free >= waiting.smallest {
-            let drawn = self.sizer(now, group).draw(allowance, waiting);
+        let unallocated = cached.budget.unallocated();
+        if allowance.idle() + unallocated >= waiters.smallest {
+            let drawn = self.sizer(now, group).draw(allowance, waiters);
             return Intent::Grant(Some(allowance.granted + drawn));
         }
-        // After a pause of the process the view may be old although it is younger than the requests.
-        let is_old = now.since(cached.seen) > self.settings.negative_ttl;
-        if cached.step <= waiting.step || is_old {
-            return Intent::Look;
+        // After a pause of the process the cached row may be outdated although it is newer than the
+        // requests.
+        let is_old = now.since(cached.as_of) > self.settings.negative_ttl;
+        if cached.step <= waiters.step || is_old {
+            return Intent::Read;
         }
-        let shown_by = cached.step;
-        if self.is_still_exhausted(group, waiting) {
-            self.judge(now, group, Shortage::Exhausted);
+        let row_step = cached.step;
+        if self.is_still_exhausted(group, waiters) {
+            self.refuse_and_cache(now, group, Shortage::Exhausted);
             return Intent::Nothing;
         }
         if allowance.recall().is_none() {
-            self.start_recall(now, group, waiting.smallest, 0);
+            self.start_recall(now, group, waiters.smallest, 0);
         }
         let Some(recall) = self.allowances[&group].recall() else {
             return Intent::Wait;
         };
-        match recall.finished {
+        match recall.finished_after {
             None => Intent::Wait,
-            // The others' returns may have come after the row was seen.
-            Some(finished) if shown_by <= finished => Intent::Look,
-            Some(_) => self.after_recall(now, group, waiting),
+            // The other holders' returns may be newer than the cached row.
+            Some(step) if row_step <= step => Intent::Read,
+            Some(_) => self.after_recall(now, group, waiters),
         }
     }
 }
 
-/// The grant lowered by `amount`; removed when nothing was ever spent from it, to keep rows short.
-fn lower(allowance: &Allowance, amount: Tokens) -> Intent {
+/// Lowers the grant by `amount`. A grant from which nothing was ever spent is removed, to keep rows
+/// short.
+fn lower_grant(allowance: &Allowance, amount: Tokens) -> Intent {
     let after = allowance.granted.minus(amount);
     let intent = match after.is_zero() {
         true => Intent::Grant(None),
         false => Intent::Grant(Some(after)),
     };
-    with_row(allowance, intent)
+    if_row_known(allowance, intent)
 }
 
-fn with_row(allowance: &Allowance, intent: Intent) -> Intent {
+fn if_row_known(allowance: &Allowance, intent: Intent) -> Intent {
     match allowance.row {
         Some(_) => intent,
-        None => Intent::Look,
+        None => Intent::Read,
     }
 }
 
-/// Sizes the allowances of one group at one moment.
+/// Computes the allowances of one group at one point in time.
 struct Sizer<'a> {
     now: Instant,
     policy: &'a Policy,
@@ -179,14 +181,14 @@
     holder: &'a str,
 }
 
-/// How much a group wants to take part in a grouped renewal.
+/// Whether a group takes part in a grouped renewal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Urgency {
     None,
-    /// If there is one anyway.
-    Joins,
-    /// It asks for one.
-    Asks,
+    /// Takes part in a renewal that takes place anyway.
+    Optional,
+    /// Needs a renewal.
+    Required,
 }
 
 impl Sizer<'_> {
@@ -195,71 +197,75 @@
             return Urgency::None;
         }
         if allowance.row.is_none() {
-            return self.urgency_unseen(allowance);
+            return self.urgency_without_row(allowance);
         }
         let target = self.target(allowance);
         let idle = allowance.idle();
         if idle.0 > target.0.saturating_mul(SURPLUS_FACTOR) {
             allowance.surplus_since.get_or_insert(self.now);
-            return match self.is_surplus_ripe(allowance) {
-                true => Urgency::Asks,
+            return match self.is_surplus_due(allowance) {
+                true => Urgency::Required,
                 false => Urgency::None,
             };
         }
         allowance.surplus_since = None;
-        if idle < sizing::percent(target, TRIGGER_PERCENT) || self.is_outdated(allowance) {
-            return Urgency::Asks;
+        if idle < sizing::percent(target, RENEW_BELOW_PERCENT) || self.is_row_outdated(allowance) {
+            return Urgency::Required;
         }
-        match idle < sizing::percent(target, JOIN_PERCENT) {
-            true => Urgency::Joins,
+        match idle < sizing::percent(target, JOIN_BELOW_PERCENT) {
+            true => Urgency::Optional,
             false => Urgency::None,
         }
     }
 
-    /// The row of a group that has not been used for a while is forgotten. It is read again when the
-    /// group is used again, or has not been for so long that its idle allowance should go back.
-    fn urgency_unseen(&self, allowance: &Allowance) -> Urgency {
+    /// Decides for a group whose row is no longer cached.
+    ///
+    /// The row is read again when the group is used again, or when it has been unused for so long
+    /// that its idle tokens should be returned.
+    fn urgency_without_row(&self, allowance: &Allowance) -> Urgency {
         let unused = self.now.since(allowance.used_at);
         let should_return = unused > self.settings.idle_after && !allowance.idle().is_zero();
-        let is_used_again = allowance.is_listed && unused < ROW_KEPT;
+        let is_used_again = allowance.has_grant && unused < ROW_TTL;
         match should_return || is_used_again {
-            true => Urgency::Asks,
+            true => Urgency::Required,
             false => Urgency::None,
         }
     }
 
     fn renewal(&self, allowance: &Allowance) -> Intent {
         let idle = allowance.idle();
-        if !allowance.is_listed && idle.is_zero() {
+        if !allowance.has_grant && idle.is_zero() {
             return Intent::Nothing;
         }
         let Some(cached) = &allowance.row else {
-            return Intent::Look;
+            return Intent::Read;
         };
-        if self.is_outdated(allowance) {
-            return Intent::Look;
+        if self.is_row_outdated(allowance) {
+            return Intent::Read;
         }
         let target = self.target(allowance);
-        if idle < sizing::percent(target, JOIN_PERCENT) {
+        if idle < sizing::percent(target, JOIN_BELOW_PERCENT) {
             let drawn = target.minus(idle).min(cached.budget.unallocated());
             if !drawn.is_zero() {
                 return Intent::Grant(Some(allowance.granted + drawn));
             }
         }
-        if self.is_surplus_ripe(allowance) && idle > target {
-            return lower(allowance, idle.minus(target));
+        if self.is_surplus_due(allowance) && idle > target {
+            return lower_grant(allowance, idle.minus(target));
         }
         Intent::Nothing
     }
 
-    /// How much to draw for those that wait, with a reserve while there is plenty.
-    fn draw(&self, allowance: &Allowance, waiting: &Waiting) -> Tokens {
-        let free = allowance
+    /// Returns the amount to draw for waiting requests, plus a reserve unless tokens are short.
+    fn draw(&self, allowance: &Allowance, waiters: &Waiters) -> Tokens {
+        let unallocated = allowance
             .row
             .as_ref()
             .map(|cached| cached.budget.unallocated());
-        let wanted = waiting.sum + self.target(allowance);
-        wanted.minus(allowance.idle()).min(free.unwrap_or_default())
+        let wanted = waiters.total + self.target(allowance);
+        wanted
+            .minus(allowance.idle())
+            .min(unallocated.unwrap_or_default())
     }
 
     fn target(&self, allowance: &Allowance) -> Tokens {
@@ -267,42 +273,42 @@
         if is_unused || self.now < allowance.scarce_until {
             return Tokens::ZERO;
         }
-        sizing::target(self.policy, self.view(allowance))
+        sizing::target(self.policy, self.inputs(allowance))
     }
 
-    fn is_surplus_ripe(&self, allowance: &Allowance) -> bool {
-        // What lies idle while money is short goes back soon, but not so soon that the next
-        // request here, which would use it, needs a write of its own.
-        let linger = match self.now < allowance.scarce_until {
+    fn is_surplus_due(&self, allowance: &Allowance) -> bool {
+        // While tokens are short, a surplus is returned soon, but not so soon that the next request
+        // here has to draw it again.
+        let delay = match self.now < allowance.scarce_until {
             true => self.settings.renew_interval,
             false => self.settings.surplus_after,
         };
         let since = allowance.surplus_since;
-        since.is_some_and(|since| self.now.since(since) >= linger)
+        since.is_some_and(|since| self.now.since(since) >= delay)
     }
 
-    /// Whether an old view of the row keeps the allowance smaller than its use asks for.
-    fn is_outdated(&self, allowance: &Allowance) -> bool {
+    /// Whether an old cached row keeps the allowance below what the recent use requires.
+    fn is_row_outdated(&self, allowance: &Allowance) -> bool {
         let Some(cached) = &allowance.row else {
             return false;
         };
-        let is_new = self.now.since(cached.seen) < ROW_AGE;
+        let is_new = self.now.since(cached.as_of) < MAX_ROW_AGE;
         if is_new || self.now < allowance.scarce_until {
             return false;
         }
-        let wanted = sizing::wanted(self.policy, self.view(allowance));
-        allowance.idle() < sizing::percent(wanted, TRIGGER_PERCENT)
+        let wanted = sizing::unlimited_target(self.policy, self.inputs(allowance));
+        allowance.idle() < sizing::percent(wanted, RENEW_BELOW_PERCENT)
     }
 
-    fn view(&self, allowance: &Allowance) -> View {
+    fn inputs(&self, allowance: &Allowance) -> Inputs {
         let rate = allowance.rate.per_second(self.now);
-        let usual_hold = allowance.rate.usual_hold();
+        let mean_hold = allowance.rate.mean_hold();
         let idle = allowance.idle();
         let budget = allowance.row.as_ref().map(|cached| &cached.budget);
-        View {
+        Inputs {
             rate,
-            others: budget.map_or(0, |budget| budget.rate_of_others(self.holder)),
-            usual_hold,
+            others_rate: budget.map_or(0, |budget| budget.rate_of_others(self.holder)),
+            mean_hold,
             unallocated: budget.map(Budget::unallocated).unwrap_or_default(),
             idle,
         }
--- a/crates/fescuewell_budget/src/ledger/recall.rs
+++ b/crates/fescuewell_budget/src/ledger/recall.rs
@@ -1,4 +1,4 @@
-//! Recalls between holders, and what may be said to requests when money is short.
+//! Recalls between holders, and refusals while tokens are short.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,48 +8,47 @@
 
 use super::Ledger;
 use super::intent::Intent;
-use crate::allowance::{Recall, Verdict, Waiting};
+use crate::allowance::{CachedRefusal, Recall, Waiters};
 use crate::hold::Shortage;
 use crate::message::{Message, Outgoing};
 
-/// The pause after the first recall is this part of the time for which "in use" is repeated; it
-/// doubles with each round.
-const FIRST_PAUSE_PART: u32 = 8;
+/// The pause after the first recall is `in_use_ttl` divided by this; it doubles with each round.
+const FIRST_PAUSE_DIVISOR: u32 = 8;
 
-/// Most doublings of the pause.
+/// Number of rounds after which the pause is no longer doubled.
 const MAX_DOUBLINGS: u32 = 8;
 
-/// Age that the view of the row may have when a request is refused because money is in use.
-const LAST_LOOK: Duration = Duration::from_millis(20);
+/// Maximum age of the cached row when a request is refused because tokens are in use.
+const MAX_ROW_AGE_AT_REFUSAL: Duration = Duration::from_millis(20);
 
-/// What is known after a recall that has not brought enough.
+/// What a recall shows that did not return enough tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Prospect {
-    /// Certain: nothing is left that could come back. Every holder of the row has answered, none has
-    /// anything idle or in use, and none has drawn since.
-    Empty,
-    /// Requests under way may give something back within moments.
-    Moving,
-    /// Some holder did not answer; it may have ended, or may be cut off from here.
-    Silent,
+enum RecallOutcome {
+    /// No tokens can become available: every holder in the row has replied, none has idle tokens or
+    /// tokens in use, and none has drawn since.
+    Exhausted,
+    /// Requests in progress may release tokens within moments.
+    InUse,
+    /// Some holder did not reply; it may have terminated or be unreachable from here.
+    Unanswered,
 }
 
 impl Ledger {
-    /// Takes a message of another holder.
+    /// Handles a message from another holder.
     pub fn receive(&mut self, now: Instant, from: Arc<str>, message: Message) {
         match message {
-            Message::Recall { group, .. } => self.take_recall(now, from, group),
+            Message::Recall { group, .. } => self.handle_recall(now, from, group),
             Message::Recalled {
                 group,
                 returned,
                 in_use,
-            } => self.take_answer(&from, &group, returned, in_use),
+            } => self.handle_recalled(&from, &group, returned, in_use),
         }
     }
 
-    fn take_recall(&mut self, now: Instant, from: Arc<str>, name: Arc<str>) {
+    fn handle_recall(&mut self, now: Instant, from: Arc<str>, name: Arc<str>) {
         let scarce_until = now + self.settings.scarce_for;
-        let key = self.names.get(&name).copied();
+        let key = self.keys_by_name.get(&name).copied();
         let found = key.and_then(|key| Some((key, self.allowances.get_mut(&key)?)));
         let Some((group, allowance)) = found else {
             let message = Message::Recalled {
@@ -61,22 +60,28 @@
             return;
         };
         allowance.scarce_until = scarce_until;
-        let strain = allowance.strain();
-        if !strain.recallers.contains(&from) {
-            strain.recallers.push(from);
+        let scarcity = allowance.scarcity();
+        if !scarcity.recallers.contains(&from) {
+            scarcity.recallers.push(from);
         }
         self.due.insert(group);
     }
 
-    fn take_answer(&mut self, from: &Arc<str>, name: &Arc<str>, returned: Tokens, in_use: Tokens) {
-        let Some(&group) = self.names.get(name) else {
+    fn handle_recalled(
+        &mut self,
+        from: &Arc<str>,
+        name: &Arc<str>,
+        returned: Tokens,
+        in_use: Tokens,
+    ) {
+        let Some(&group) = self.keys_by_name.get(name) else {
             return;
         };
-        let step = self.work.asked.step;
+        let step = self.work.issued.step;
         let Some(allowance) = self.allowances.get_mut(&group) else {
             return;
         };
-        let Some(recall) = &mut allowance.strain().recall else {
+        let Some(recall) = &mut allowance.scarcity().recall else {
             return;
         };
         let Some(position) = recall.unanswered.iter().position(|holder| holder == from) else {
@@ -84,16 +89,16 @@
         };
         recall.unanswered.swap_remove(position);
         recall.in_use += in_use;
-        recall.lacking = recall.lacking.minus(returned);
-        if recall.unanswered.is_empty() || recall.lacking.is_zero() {
-            recall.finished.get_or_insert(step);
+        recall.shortfall = recall.shortfall.minus(returned);
+        if recall.unanswered.is_empty() || recall.shortfall.is_zero() {
+            recall.finished_after.get_or_insert(step);
         }
     }
 
-    /// Asks the other holders to return what lies idle with them.
+    /// Asks the other holders to return their idle tokens.
     pub(super) fn start_recall(&mut self, now: Instant, group: GroupKey, need: Tokens, round: u32) {
-        let pause = self.settings.in_use_ttl / FIRST_PAUSE_PART;
-        let again_at = now + pause * 2u32.pow(round.min(MAX_DOUBLINGS));
+        let pause = self.settings.in_use_ttl / FIRST_PAUSE_DIVISOR;
+        let retry_at = now + pause * 2u32.pow(round.min(MAX_DOUBLINGS));
         let fanout = self.settings.recall_fanout;
         let deadline = now + self.settings.recall_wait;
         let scarce_until = now + self.settings.scarce_for;
@@ -103,17 +108,20 @@
         let Some(cached) = &allowance.row else {
             return;
         };
-        let free = cached.budget.unallocated();
+        let unallocated = cached.budget.unallocated();
         let grants = cached.budget.grants.iter();
-        let asked: Vec<(Arc<str>, Tokens)> = grants
+        let grants_before: Vec<(Arc<str>, Tokens)> = grants
             .filter(|(holder, _)| **holder != self.holder)
             .map(|(holder, grant)| (holder.clone(), grant.granted))
             .collect();
-        let mut others: Vec<Arc<str>> = asked.iter().map(|(holder, _)| holder.clone()).collect();
+        let mut others: Vec<Arc<str>> = grants_before
+            .iter()
+            .map(|(holder, _)| holder.clone())
+            .collect();
         let is_partial = others.len() > fanout;
         others.shuffle(&mut self.rng);
         others.truncate(fanout);
-        let need = need.minus(allowance.idle() + free);
+        let need = need.minus(allowance.idle() + unallocated);
         for to in &others {
             let message = Message::Recall {
                 group: allowance.name.clone(),
@@ -123,44 +131,45 @@
             self.outbox.push(Outgoing { to, message });
         }
         allowance.scarce_until = scarce_until;
-        let finished = others.is_empty().then_some(0);
-        allowance.strain().recall = Some(Recall {
+        let finished_after = others.is_empty().then_some(0);
+        allowance.scarcity().recall = Some(Recall {
             deadline,
             round,
-            again_at,
-            asked,
+            retry_at,
+            grants_before,
             unanswered: others,
             in_use: Tokens::ZERO,
-            lacking: need,
+            shortfall: need,
             is_partial,
-            finished,
+            finished_after,
         });
     }
 
-    /// Counts what was returned while others wait for an answer.
-    pub(super) fn count_recalled(&mut self, group: GroupKey, amount: Tokens) {
+    /// Adds a return to those reported to the holders that wait for a reply.
+    pub(super) fn record_return(&mut self, group: GroupKey, amount: Tokens) {
         let Some(allowance) = self.allowances.get_mut(&group) else {
             return;
         };
         if allowance.is_recalled() {
-            allowance.strain().recalled += amount;
+            allowance.scarcity().returned += amount;
         }
     }
 
-    /// Tells those that recalled this group what was returned.
-    pub(super) fn answer_recall(&mut self, now: Instant, group: GroupKey) {
+    /// Replies to the holders that recalled this group with the amount returned.
+    pub(super) fn reply_to_recall(&mut self, now: Instant, group: GroupKey) {
         let Some(allowance) = self.allowances.get_mut(&group) else {
             return;
         };
         if !allowance.is_recalled() {
             return;
         }
-        // What could not be returned counts as in use, or the asker would call the budget exhausted.
-        let in_use = allowance.in_use() + allowance.idle() + allowance.leaving;
+        // Idle tokens that could not be returned are reported as in use; otherwise the other holder
+        // would treat the budget as exhausted.
+        let in_use = allowance.in_use() + allowance.idle() + allowance.returning;
         let name = allowance.name.clone();
-        let strain = allowance.strain();
-        let returned = std::mem::take(&mut strain.recalled);
-        for to in std::mem::take(&mut strain.recallers) {
+        let scarcity = allowance.scarcity();
+        let returned = std::mem::take(&mut scarcity.returned);
+        for to in std::mem::take(&mut scarcity.recallers) {
             let message = Message::Recalled {
                 group: name.clone(),
                 returned,
@@ -168,80 +177,83 @@
             };
             self.outbox.push(Outgoing { to, message });
         }
-        allowance.relax(now);
+        allowance.prune_scarcity(now);
     }
 
-    /// Whether the row is still the one by which the budget was found exhausted.
+    /// Whether the row is unchanged since the budget was found exhausted.
     ///
-    /// Nothing was held or idle anywhere then, and nobody can have drawn since without changing the row.
-    pub(super) fn is_still_exhausted(&self, group: GroupKey, waiting: &Waiting) -> bool {
+    /// No tokens were held or idle anywhere then, and a later draw would have changed the row.
+    pub(super) fn is_still_exhausted(&self, group: GroupKey, waiters: &Waiters) -> bool {
         let allowance = &self.allowances[&group];
-        let verdict = allowance.strain.as_ref().and_then(|strain| strain.verdict);
+        let refusal = allowance
+            .scarcity
+            .as_ref()
+            .and_then(|scarcity| scarcity.refusal);
         let revision = allowance.row.as_ref().map(|cached| cached.revision);
-        verdict.is_some_and(|verdict| {
-            verdict.shortage == Shortage::Exhausted
-                && Some(verdict.revision) == revision
-                && verdict.need <= waiting.smallest
+        refusal.is_some_and(|refusal| {
+            refusal.shortage == Shortage::Exhausted
+                && Some(refusal.revision) == revision
+                && refusal.min_amount <= waiters.smallest
                 && allowance.in_use().is_zero()
         })
     }
 
-    /// Asks again or refuses, when a recall has not brought enough.
+    /// Sends another recall or refuses, after a recall that did not return enough.
     pub(super) fn after_recall(
         &mut self,
         now: Instant,
         group: GroupKey,
-        waiting: &Waiting,
+        waiters: &Waiters,
     ) -> Intent {
         let round = self.allowances[&group].recall().map(|recall| recall.round);
-        let prospect = self.prospect(group);
-        let is_patient = now.since(waiting.since) < self.settings.max_wait;
-        if prospect == Prospect::Moving && is_patient {
-            let again_at = self.allowances[&group]
+        let outcome = self.recall_outcome(group);
+        let may_wait = now.since(waiters.since) < self.settings.max_wait;
+        if outcome == RecallOutcome::InUse && may_wait {
+            let retry_at = self.allowances[&group]
                 .recall()
-                .map(|recall| recall.again_at);
-            if again_at.is_some_and(|again_at| now >= again_at) {
-                self.start_recall(now, group, waiting.smallest, round.unwrap_or(0) + 1);
+                .map(|recall| recall.retry_at);
+            if retry_at.is_some_and(|retry_at| now >= retry_at) {
+                self.start_recall(now, group, waiters.smallest, round.unwrap_or(0) + 1);
             }
             return Intent::Wait;
         }
-        // Money that came back on its own since the last look would be refused for no reason.
+        // Without a recent read, a request could be refused although tokens were returned since.
         let row = self.allowances[&group].row.as_ref();
-        let is_old = row.is_none_or(|cached| now.since(cached.seen) > LAST_LOOK);
-        if prospect != Prospect::Empty && is_old {
-            return Intent::Look;
+        let is_old = row.is_none_or(|cached| now.since(cached.as_of) > MAX_ROW_AGE_AT_REFUSAL);
+        if outcome != RecallOutcome::Exhausted && is_old {
+            return Intent::Read;
         }
-        let retry_after = match prospect {
-            Prospect::Empty => {
-                self.judge(now, group, Shortage::Exhausted);
+        let retry_after = match outcome {
+            RecallOutcome::Exhausted => {
+                self.refuse_and_cache(now, group, Shortage::Exhausted);
                 return Intent::Nothing;
             }
-            Prospect::Moving => self.settings.in_use_ttl,
-            Prospect::Silent => self.settings.negative_ttl,
+            RecallOutcome::InUse => self.settings.in_use_ttl,
+            RecallOutcome::Unanswered => self.settings.negative_ttl,
         };
-        self.judge(now, group, Shortage::InUse { retry_after });
+        self.refuse_and_cache(now, group, Shortage::InUse { retry_after });
         Intent::Nothing
     }
 
-    /// What the answers to a recall say about the money that is left.
-    fn prospect(&self, group: GroupKey) -> Prospect {
+    /// Evaluates the replies to a recall.
+    fn recall_outcome(&self, group: GroupKey) -> RecallOutcome {
         let allowance = &self.allowances[&group];
         let Some((recall, cached)) = allowance.recall().zip(allowance.row.as_ref()) else {
-            return Prospect::Silent;
+            return RecallOutcome::Unanswered;
         };
-        let is_overtaken = recall.is_overtaken(&self.holder, &cached.budget);
+        let has_newer_grants = recall.has_newer_grants(&self.holder, &cached.budget);
         let in_use = allowance.in_use() + recall.in_use;
-        if is_overtaken || !in_use.is_zero() {
-            return Prospect::Moving;
+        if has_newer_grants || !in_use.is_zero() {
+            return RecallOutcome::InUse;
         }
         match recall.unanswered.is_empty() && !recall.is_partial {
-            true => Prospect::Empty,
-            false => Prospect::Silent,
+            true => RecallOutcome::Exhausted,
+            false => RecallOutcome::Unanswered,
         }
     }
 
-    /// Refuses those that wait and repeats the refusal for a while.
-    pub(super) fn judge(&mut self, now: Instant, group: GroupKey, shortage: Shortage) {
+    /// Refuses the waiting requests and caches the refusal.
+    pub(super) fn refuse_and_cache(&mut self, now: Instant, group: GroupKey, shortage: Shortage) {
         let ttl = match shortage {
             Shortage::InUse { retry_after } => retry_after,
             _ => self.settings.negative_ttl,
@@ -249,47 +261,48 @@
         let Some(allowance) = self.allowances.get_mut(&group) else {
             return;
         };
-        let Some(waiting) = allowance.waiting() else {
+        let Some(waiters) = allowance.waiters() else {
             return;
         };
-        let need = waiting.smallest;
+        let min_amount = waiters.smallest;
         let revision = allowance.row.as_ref().map_or(0, |cached| cached.revision);
-        allowance.strain().verdict = Some(Verdict {
+        allowance.scarcity().refusal = Some(CachedRefusal {
             until: now + ttl,
-            need,
+            min_amount,
             shortage,
             revision,
         });
         self.refuse(now, group, shortage);
     }
 
-    /// Refuses those that wait for a row that is absent or cannot be read.
-    pub(super) fn give_up(&mut self, now: Instant, group: GroupKey) {
+    /// Refuses the waiting requests because the row is missing or cannot be parsed.
+    pub(super) fn refuse_unknown(&mut self, now: Instant, group: GroupKey) {
         let retry_after = self.settings.negative_ttl;
-        self.judge(now, group, Shortage::Unknown { retry_after });
+        self.refuse_and_cache(now, group, Shortage::Unknown { retry_after });
     }
 
-    /// Ends what has waited too long: recalls without answers, requests while the table is down.
+    /// Ends recalls whose deadline has passed and, while the table is down, refuses waiting
+    /// requests.
     pub(super) fn expire(&mut self, now: Instant) {
         let is_down = self.table_is_down(now);
-        let step = self.work.asked.step;
+        let step = self.work.issued.step;
         let due: Vec<GroupKey> = self.due.iter().copied().collect();
         for group in due {
             let Some(allowance) = self.allowances.get_mut(&group) else {
                 continue;
             };
-            if allowance.waiting().is_none() {
+            if allowance.waiters().is_none() {
                 continue;
             }
             if is_down {
-                self.refuse(now, group, self.unknown());
+                self.refuse(now, group, self.unknown_shortage());
                 continue;
             }
-            let Some(recall) = &mut allowance.strain().recall else {
+            let Some(recall) = &mut allowance.scarcity().recall else {
                 continue;
             };
             if recall.deadline <= now {
-                recall.finished.get_or_insert(step);
+                recall.finished_after.get_or_insert(step);
             }
         }
     }
--- a/crates/fescuewell_budget/src/lib.rs
+++ b/crates/fescuewell_budget/src/lib.rs
@@ -1,13 +1,15 @@
-//! Prepaid budgets: allowances, holds and settlement, as a pure state machine.
+//! Prepaid token budgets: allowances, holds and settlement, as a state machine without I/O.
 //!
-//! The platform's table has one row for each group: what is prepaid, what closed holders spent and
-//! what each live holder was granted ([`row::Budget`]). An instance draws an *allowance* from the row
-//! ahead of need and holds the worst case of each request against it, so that no request waits for
-//! the table as long as the allowance lasts. [`ledger::Ledger`] decides when to draw, how much,
-//! and what to return; [`reclaim::Reclaim`] frees what a terminated instance left unspent.
+//! The platform's table has one row per group, with the prepaid total, the spending of closed
+//! holders and the grant of each live holder ([`row::Budget`]). An instance draws an *allowance*
+//! from the row ahead of need and holds the worst-case cost of each request against it, so a
+//! request does not wait for the table while the allowance lasts. [`ledger::Ledger`] decides when
+//! to draw, how much, and what to return; [`reclaim::Reclaim`] frees the unspent tokens of a
+//! terminated instance.
 //!
-//! Nothing here frees money because time has passed: a holder that was paused may still send what
-//! it checked before the pause. Only its own return, or the proof that it has ended, lowers a grant.
+//! No grant is lowered by a timeout: a paused holder may still send a request that it checked
+//! before the pause. A grant is lowered only by its holder, or after proof that the holder has
+//! terminated.
 
 pub mod fence;
 pub mod hold;
--- a/crates/fescuewell_budget/src/message.rs
+++ b/crates/fescuewell_budget/src/message.rs
@@ -1,4 +1,4 @@
-//! What ledgers send to each other, and what a ledger tells its instance.
+//! Messages between ledgers, and notifications from a ledger to its instance.
 
 use std::sync::Arc;
 
@@ -7,32 +7,32 @@
 use crate::hold::Shortage;
 
 fescuewell_core::data! {
-    /// What one holder tells another.
+    /// A message between the ledgers of two holders.
     ///
-    /// Messages carry no money: it moves through the table only. A lost or repeated message
-    /// therefore costs time, never tokens.
+    /// Messages transfer no tokens; tokens move only through the table. A lost or duplicated
+    /// message therefore costs time but no tokens.
     pub enum Message {
-        /// The sender is short; the receiver should return what lies idle with it.
+        /// The sender is short of tokens; the receiver should return its idle ones.
         Recall {
             /// Name of the group.
             group: Arc<str>,
-            /// How much the sender lacks.
+            /// Number of tokens that the sender is missing.
             need: Tokens,
         },
-        /// Answer to a recall, sent once the return is in the table.
+        /// Reply to a recall, sent once the return is stored in the table.
         Recalled {
             /// Name of the group.
             group: Arc<str>,
-            /// How much was returned.
+            /// Number of tokens returned.
             returned: Tokens,
-            /// What is still held or owed and may become free in part.
+            /// Tokens still held or owed, part of which may become available later.
             in_use: Tokens,
         },
     }
 
-    /// A message with its receiver.
+    /// A message and its receiver.
     pub struct Outgoing {
-        /// Holder (`instance.incarnation`) to which it goes.
+        /// The receiving holder (`instance.incarnation`).
         pub to: Arc<str>,
         /// The message.
         pub message: Message,
@@ -40,28 +40,28 @@
 }
 
 fescuewell_core::message! {
-    /// What a ledger tells its instance.
+    /// A notification from a ledger to its instance.
     #[derive(Eq)]
     pub enum Notification {
-        /// Requests that wait for this group should ask again.
+        /// Requests that wait for this group should retry their holds.
         Funded(GroupKey),
-        /// Requests that wait for this group cannot have their holds.
+        /// Requests that wait for this group do not get their holds.
         Refused(GroupKey, Shortage),
-        /// An allowance grew.
+        /// An allowance was increased.
         Drawn {
             /// The group.
             group: GroupKey,
-            /// By how much.
+            /// Number of tokens drawn.
             amount: Tokens,
         },
-        /// Idle allowance went back to the budget.
+        /// Idle tokens were returned to the budget.
         Returned {
             /// The group.
             group: GroupKey,
-            /// How much.
+            /// Number of tokens returned.
             amount: Tokens,
         },
-        /// The grant was removed or the row deleted by somebody else; nothing more is spent from it.
+        /// Another process removed the grant or the row; nothing more is spent from it.
         Lost(GroupKey),
     }
 }
--- a/crates/fescuewell_budget/src/policy.rs
+++ b/crates/fescuewell_budget/src/policy.rs
@@ -1,4 +1,4 @@
-//! How a ledger behaves: settings of the instance and the policy of each group.
+//! Configuration of a ledger: settings of the instance and the policy of each group.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,50 +6,54 @@
 use fescuewell_core::prelude::*;
 
 fescuewell_core::data! {
-    /// Settings of one ledger. What a settings file leaves out has its default.
+    /// Settings of one ledger. Omitted settings have their defaults.
     #[serde(default)]
     pub struct Settings {
-        /// Time between two grouped renewals; a draw that a request waits for does not wait for it.
-        /// 200 ms for nine instances; 5 to 10 s for 850, whose writes share the same table.
+        /// Time between two grouped renewals. A draw for a waiting request does not wait for it.
+        ///
+        /// 200 ms suits nine instances; 5 to 10 s suits 850, since their writes share one table.
         pub renew_interval: Duration,
-        /// Most groups in one transaction.
+        /// Maximum number of groups in one transaction.
         pub batch: usize,
-        /// How long a request may wait while the table fails, before it is refused.
+        /// How long a request may wait while the table fails before it is refused.
         #[serde(rename = "patience")]
         pub max_wait: Duration,
-        /// How long to wait for other holders to answer a recall.
+        /// How long to wait for the replies of other holders to a recall.
         pub recall_wait: Duration,
-        /// Most holders that are asked in one recall.
+        /// Maximum number of holders asked in one recall.
         pub recall_fanout: usize,
-        /// How long a refusal is repeated without looking at the row again.
+        /// How long a refusal is repeated without reading the row again.
         pub negative_ttl: Duration,
-        /// The same for a refusal because money is in use: it may come back any moment.
+        /// The same for a refusal because tokens are in use, which may become available at any
+        /// moment.
         pub in_use_ttl: Duration,
-        /// After so long with more than needed, the surplus is returned.
+        /// How long a surplus must last before it is returned.
         pub surplus_after: Duration,
-        /// After so long without any hold, the whole idle allowance is returned.
+        /// Time without any hold after which all idle tokens are returned.
         pub idle_after: Duration,
-        /// How long after a recall allowances are drawn without any reserve.
+        /// How long after a recall tokens are drawn without a reserve.
         pub scarce_for: Duration,
-        /// Longest first pause after the table failed; doubled with each failure.
+        /// Longest pause after the first failure of the table; doubled with each further failure.
         #[serde(rename = "backoff_first")]
         pub initial_backoff: Duration,
-        /// Longest pause after the table failed.
+        /// Longest pause after a failure of the table.
         #[serde(rename = "backoff_most")]
         pub max_backoff: Duration,
     }
 
-    /// How the allowances of one group are sized.
+    /// Determines the size of one group's allowances.
     pub struct Policy {
         /// The group.
         pub key: GroupKey,
-        /// Its name, as in its row's key.
+        /// The group's name, as in its row's key.
         pub name: Arc<str>,
-        /// Outage of the table that allowances should outlast at the recent rate of use.
+        /// Table outage that an allowance should cover at the recent rate of use.
         pub outage: Duration,
-        /// Most that one instance keeps idle, in percent of what is free in the row.
+        /// Maximum idle tokens of one instance, in percent of the tokens within its reach
+        /// (unallocated or idle at it).
         pub share_percent: u8,
-        /// Least that is drawn at once while much more than that is free.
+        /// Minimum target of an allowance while [`crate::sizing::MIN_ALLOWANCE_FACTOR`] times as much is
+        /// within reach.
         #[serde(rename = "least")]
         pub min_allowance: Tokens,
     }
--- a/crates/fescuewell_budget/src/rate.rs
+++ b/crates/fescuewell_budget/src/rate.rs
@@ -4,93 +4,97 @@
 
 use fescuewell_core::prelude::*;
 
-/// Time constant of the fast average, which follows a surge of callers within a minute.
-pub const FAST: Duration = Duration::from_secs(30);
+/// Time constant of the fast average, which follows a rise in requests within a minute.
+pub const FAST_TIME_CONSTANT: Duration = Duration::from_secs(30);
 
-/// Time constant of the slow average, which remembers callers that ask only now and then. With the fast
-/// one alone an allowance would be returned between two requests of a small group, and an outage
-/// in between would find none.
-pub const SLOW: Duration = Duration::from_secs(300);
+/// Time constant of the slow average, for callers with infrequent requests. With the fast average
+/// alone, an allowance would be returned between two requests of a small group, and an outage in
+/// between would find none.
+pub const SLOW_TIME_CONSTANT: Duration = Duration::from_secs(300);
 
-/// How strongly the latest request moves the averages over requests.
-const WEIGHT: f32 = 0.1;
+/// Weight of the latest request in the averages over requests.
+const SMOOTHING_FACTOR: f32 = 0.1;
 
-/// Tokens per second that requests are expected to cost, from their holds and earlier settlements.
+/// Expected cost of requests in tokens per second, from their holds and earlier settlements.
 ///
-/// A hold counts when it is taken, since its settlement may come much later; it counts for the share of
-/// it that earlier requests used up, since allowances sized by worst cases would tie up too much.
+/// A hold counts when it is made, since its settlement may follow much later. It counts only by the
+/// fraction that earlier requests used, since allowances sized by the worst case would tie up too
+/// many tokens.
 #[derive(Debug, Clone)]
 pub struct Rate {
-    /// Decayed sums of expected costs.
+    /// Exponentially decayed sums of expected costs.
     fast: f32,
     slow: f32,
-    at: Instant,
-    first: Instant,
-    /// Decayed average of cost over hold.
-    used_share: f32,
-    /// Decayed average size of a hold.
-    hold: f32,
+    updated_at: Instant,
+    created_at: Instant,
+    /// Moving average of cost divided by hold.
+    used_fraction: f32,
+    /// Moving average of the amount of a hold.
+    mean_hold: f32,
 }
 
 impl Rate {
-    /// A rate of zero.
+    /// Creates a rate of zero.
     pub fn new(now: Instant) -> Self {
         Self {
             fast: 0.0,
             slow: 0.0,
-            at: now,
-            first: now,
-            used_share: 1.0,
-            hold: 0.0,
+            updated_at: now,
+            created_at: now,
+            used_fraction: 1.0,
+            mean_hold: 0.0,
         }
     }
 
-    /// Takes a hold into account.
-    pub fn count_hold(&mut self, now: Instant, amount: Tokens) {
+    /// Adds a hold to the averages.
+    pub fn record_hold(&mut self, now: Instant, amount: Tokens) {
         let amount = amount.0 as f32;
-        let cost = amount * self.used_share;
-        let elapsed = now.since(self.at);
-        self.fast = self.fast * decay(elapsed, FAST) + cost;
-        self.slow = self.slow * decay(elapsed, SLOW) + cost;
-        self.at = self.at.max(now);
-        if self.hold == 0.0 {
-            self.hold = amount;
+        let cost = amount * self.used_fraction;
+        let elapsed = now.since(self.updated_at);
+        self.fast = self.fast * decay(elapsed, FAST_TIME_CONSTANT) + cost;
+        self.slow = self.slow * decay(elapsed, SLOW_TIME_CONSTANT) + cost;
+        self.updated_at = self.updated_at.max(now);
+        if self.mean_hold == 0.0 {
+            self.mean_hold = amount;
         }
-        self.hold += WEIGHT * (amount - self.hold);
+        self.mean_hold += SMOOTHING_FACTOR * (amount - self.mean_hold);
     }
 
-    /// Learns which part of a hold was really used.
-    pub fn count_settlement(&mut self, hold: Tokens, cost: Tokens) {
+    /// Updates the used fraction from a settled hold.
+    pub fn record_settlement(&mut self, hold: Tokens, cost: Tokens) {
         if hold.is_zero() {
             return;
         }
         let share = cost.0 as f32 / hold.0 as f32;
-        self.used_share += WEIGHT * (share - self.used_share);
+        self.used_fraction += SMOOTHING_FACTOR * (share - self.used_fraction);
     }
 
-    /// Expected cost in tokens per second: the larger of the two averages.
+    /// Returns the expected cost in tokens per second: the larger of the two averages.
     ///
-    /// While less than a time constant has passed since the first hold, the sum is divided by the
-    /// time that has passed, or the rate would start far too low.
+    /// Until a time constant has passed since creation, the sum is divided by the elapsed time;
+    /// otherwise the rate would start far too low.
     pub fn per_second(&self, now: Instant) -> f32 {
-        let elapsed = now.since(self.at);
-        let known = now.since(self.first);
-        let fast = self.fast * decay(elapsed, FAST) / span(known, FAST);
-        let slow = self.slow * decay(elapsed, SLOW) / span(known, SLOW);
+        let elapsed = now.since(self.updated_at);
+        let age = now.since(self.created_at);
+        let fast = self.fast * decay(elapsed, FAST_TIME_CONSTANT)
+            / averaging_window(age, FAST_TIME_CONSTANT);
+        let slow = self.slow * decay(elapsed, SLOW_TIME_CONSTANT)
+            / averaging_window(age, SLOW_TIME_CONSTANT);
         fast.max(slow)
     }
 
-    /// Average size of recent holds, in tokens.
-    pub fn usual_hold(&self) -> Tokens {
-        Tokens(self.hold as u64)
+    /// Mean amount of recent holds, in tokens.
+    pub fn mean_hold(&self) -> Tokens {
+        Tokens(self.mean_hold as u64)
     }
 }
 
-/// Shortest time over which a rate is worked out. The first request of a group says little about its rate.
-const SHORTEST_SPAN: Duration = Duration::from_secs(10);
+/// Minimum time over which a rate is computed. The first request of a group says little about its
+/// rate.
+const MIN_WINDOW: Duration = Duration::from_secs(10);
 
-fn span(known: Duration, constant: Duration) -> f32 {
-    known.clamp(SHORTEST_SPAN, constant).as_secs_f32()
+fn averaging_window(age: Duration, constant: Duration) -> f32 {
+    age.clamp(MIN_WINDOW, constant).as_secs_f32()
 }
 
 fn decay(elapsed: Duration, constant: Duration) -> f32 {
--- a/crates/fescuewell_budget/src/reclaim.rs
+++ b/crates/fescuewell_budget/src/reclaim.rs
@@ -1,8 +1,9 @@
-//! Reclaim of what a terminated holder left unspent.
+//! Reclaims the unspent tokens of a terminated holder.
 //!
-//! Runs only after the sweep: the instance list says that the holder has terminated, its streams at
-//! the backend servers have ended, and it is closed in every slot, so what it was charged is final. A lapsed
-//! lease is no reason to start, since a paused holder wakes up unaware and still spends.
+//! Runs only after the sweep: the instance list reports the holder as terminated, its streams at
+//! the backend servers have ended, and it is closed in every slot, so the amount charged to it is
+//! final. An expired lease is not enough, since a paused holder resumes without noticing and still
+//! spends.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -19,48 +20,49 @@
 use crate::row;
 use crate::row::{Budget, Grant};
 
-/// Rows in one page of the scan.
+/// Number of rows per page of the scan.
 pub const PAGE_SIZE: u32 = 256;
 
-/// Longest first pause after a failure; doubled with each failure up to [`MAX_BACKOFF`].
+/// Longest pause after the first failure; doubled with each further failure up to [`MAX_BACKOFF`].
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 
 /// Longest pause after a failure.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// Most doublings of a pause.
+/// Number of failures after which the pause is no longer doubled.
 const MAX_DOUBLINGS: u32 = 6;
 
 fescuewell_core::message! {
-    /// What became of one grant.
+    /// A removed grant and the charges that replace it.
     #[derive(Eq)]
     pub struct Freed {
         /// Name of the group.
         pub group: Arc<str>,
-        /// What the holder had been granted.
+        /// Tokens granted to the holder.
         pub granted: Tokens,
-        /// What it was charged; the difference is free again.
+        /// Tokens charged to the holder; the rest of the grant is available again.
         pub charged: Tokens,
     }
 }
 
 #[derive(Debug, Clone, PartialEq)]
 enum Stage {
-    /// Read the holder's fence.
-    Fence,
-    /// Close it, if it still has this revision.
-    Close(u64),
+    /// Reads the holder's fence row.
+    ReadFence,
+    /// Closes the fence if the row still has this revision.
+    CloseFence(u64),
     Scan,
     Commit(Row),
-    /// A reply was lost: the row shows by the grant's absence whether the write took effect.
+    /// Reads the row again after a lost reply: if the grant is absent, the write took effect.
     ReadBack(Row),
     Done,
 }
 
 /// Removes the grants of one terminated holder, row by row.
 ///
-/// Each row is one compare-and-swap that adds what the holder was charged to `spent` and removes its grant.
-/// The holder's fence is closed first, see [`crate::fence`]. A row without the grant is done, so lost replies and a second reclaim do no harm.
+/// Each row is updated by one compare-and-swap, which adds the amount charged to the holder to
+/// `spent` and removes its grant. The holder's fence is closed first, see [`crate::fence`]. A row
+/// without the grant is skipped, so lost replies and a second reclaim have no effect.
 ///
 /// ```
 /// use fescuewell_budget::reclaim::Reclaim;
@@ -95,7 +97,8 @@
 }
 
 impl Reclaim {
-    /// Prepares the reclaim of `holder`, which was charged `totals` (group name, tokens) in all slots.
+    /// Creates the reclaim of `holder`, given the `totals` (group name, tokens) charged to it in
+    /// all slots.
     pub fn new(holder: Arc<str>, totals: &[(Arc<str>, Tokens)], seed: u64) -> Self {
         let mut sums: HashMap<Arc<str>, Tokens> = HashMap::new();
         for (group, charged) in totals {
@@ -105,7 +108,7 @@
             holder,
             totals: sums,
             rng: SmallRng::seed_from_u64(seed),
-            stage: Stage::Fence,
+            stage: Stage::ReadFence,
             queue: VecDeque::new(),
             after: None,
             is_last_page: false,
@@ -117,32 +120,33 @@
         }
     }
 
-    /// Whether every row has been seen without the grant.
+    /// Whether no readable row has a grant of the holder any more.
     pub fn is_done(&self) -> bool {
         self.stage == Stage::Done
     }
 
-    /// Takes what was freed since the last call.
+    /// Returns and clears the grants removed since the last call.
     pub fn take_freed(&mut self) -> Vec<Freed> {
         std::mem::take(&mut self.freed)
     }
 
-    /// Keys of rows that could not be read and were passed over; a grant may be left in them.
+    /// Keys of rows that were skipped because they could not be parsed; they may still have a
+    /// grant.
     pub fn unreadable(&self) -> &[Arc<str>] {
         &self.unreadable
     }
 
-    /// The next piece of table work; at most one is outstanding at a time.
+    /// Returns the next table operation; at most one is outstanding at a time.
     pub fn next_step(&mut self, now: Instant) -> Option<Step> {
         if self.is_outstanding || now < self.not_before {
             return None;
         }
         let step = match &self.stage {
             Stage::Done => return None,
-            Stage::Fence => Step::Read {
+            Stage::ReadFence => Step::Read {
                 keys: vec![fence::key(&self.holder)],
             },
-            Stage::Close(revision) => self.closing(*revision),
+            Stage::CloseFence(revision) => self.fence_write(*revision),
             Stage::Scan => Step::Scan(Range {
                 prefix: row::PREFIX.into(),
                 after: self.after.clone(),
@@ -151,13 +155,13 @@
             Stage::ReadBack(row) => Step::Read {
                 keys: vec![row.key.clone()],
             },
-            Stage::Commit(row) => self.removal(row)?,
+            Stage::Commit(row) => self.grant_removal(row)?,
         };
         self.is_outstanding = true;
         Some(step)
     }
 
-    /// Takes the answer to the outstanding step.
+    /// Handles the reply to the outstanding operation.
     pub fn reply(&mut self, now: Instant, reply: Reply) {
         if !std::mem::take(&mut self.is_outstanding) {
             return;
@@ -170,9 +174,9 @@
                 return;
             }
         };
-        let most = INITIAL_BACKOFF * 2u32.pow(self.failures.min(MAX_DOUBLINGS));
-        let share = self.rng.random_range(0.5..1.0);
-        self.not_before = now + most.min(MAX_BACKOFF).mul_f64(share);
+        let max_pause = INITIAL_BACKOFF * 2u32.pow(self.failures.min(MAX_DOUBLINGS));
+        let jitter = self.rng.random_range(0.5..1.0);
+        self.not_before = now + max_pause.min(MAX_BACKOFF).mul_f64(jitter);
         self.failures += 1;
         if let (Error::Unknown { .. }, Stage::Commit(row)) = (error, &self.stage) {
             self.stage = Stage::ReadBack(row.clone());
@@ -182,34 +186,36 @@
     fn advance(&mut self, reply: Reply) {
         let stage = std::mem::replace(&mut self.stage, Stage::Scan);
         match (stage, reply) {
-            (Stage::Fence, Reply::Rows(rows))
-            | (Stage::Close(_), Reply::Outcome(Outcome::Conflict { rows })) => {
-                self.look_at_fence(&rows);
+            (Stage::ReadFence, Reply::Rows(rows))
+            | (Stage::CloseFence(_), Reply::Outcome(Outcome::Conflict { rows })) => {
+                self.check_fence(&rows);
                 return;
             }
-            (Stage::Close(_), Reply::Outcome(Outcome::Committed { .. })) => return,
-            (Stage::Scan, Reply::Rows(rows)) => self.take_page(rows),
-            (Stage::Commit(row), Reply::Outcome(Outcome::Committed { .. })) => self.finish(&row),
+            (Stage::CloseFence(_), Reply::Outcome(Outcome::Committed { .. })) => return,
+            (Stage::Scan, Reply::Rows(rows)) => self.enqueue_page(rows),
+            (Stage::Commit(row), Reply::Outcome(Outcome::Committed { .. })) => {
+                self.record_freed(&row)
+            }
             (Stage::Commit(row), Reply::Outcome(Outcome::Conflict { rows }))
-            | (Stage::ReadBack(row), Reply::Rows(rows)) => self.look_again(&row, rows),
+            | (Stage::ReadBack(row), Reply::Rows(rows)) => self.recheck(&row, rows),
             (stage, reply) => {
-                log_event!(Event::InternalFault, "reply={reply:?} does not fit");
+                log_event!(Event::InternalFault, "unexpected reply={reply:?}");
                 self.stage = stage;
                 return;
             }
         }
-        self.choose();
+        self.advance_stage();
     }
 
-    fn look_at_fence(&mut self, rows: &[Row]) {
+    fn check_fence(&mut self, rows: &[Row]) {
         let is_closed = rows.first().map(|row| Fence::parse(&row.value).is_closed);
         let revision = rows.first().map_or(0, |row| row.revision);
         if is_closed != Some(true) {
-            self.stage = Stage::Close(revision);
+            self.stage = Stage::CloseFence(revision);
         }
     }
 
-    fn closing(&self, revision: u64) -> Step {
+    fn fence_write(&self, revision: u64) -> Step {
         let key = fence::key(&self.holder);
         let value = Fence { is_closed: true }.encode();
         let transaction = Transaction::default()
@@ -218,7 +224,7 @@
         Step::Commit(transaction)
     }
 
-    fn take_page(&mut self, rows: Vec<Row>) {
+    fn enqueue_page(&mut self, rows: Vec<Row>) {
         self.is_last_page = rows.len() < PAGE_SIZE as usize;
         self.after = rows.last().map(|row| row.key.clone()).or(self.after.take());
         for row in rows {
@@ -226,11 +232,11 @@
         }
     }
 
-    fn look_again(&mut self, before: &Row, rows: Vec<Row>) {
+    fn recheck(&mut self, before: &Row, rows: Vec<Row>) {
         let current = rows.into_iter().find(|row| row.key == before.key);
         match current {
             Some(row) if self.grant(&row).is_some() => self.queue.push_front(row),
-            _ => self.finish(before),
+            _ => self.record_freed(before),
         }
     }
 
@@ -244,7 +250,7 @@
         }
     }
 
-    fn choose(&mut self) {
+    fn advance_stage(&mut self) {
         self.stage = match self.queue.pop_front() {
             Some(row) => Stage::Commit(row),
             None if self.is_last_page => Stage::Done,
@@ -252,7 +258,7 @@
         };
     }
 
-    fn finish(&mut self, row: &Row) {
+    fn record_freed(&mut self, row: &Row) {
         let Some(grant) = self.grant(row) else {
             return;
         };
@@ -263,12 +269,12 @@
             group,
         };
         if freed.charged > freed.granted {
-            log_event!(Event::InternalFault, "charged above the grant: {freed:?}");
+            log_event!(Event::InternalFault, "charge exceeds the grant: {freed:?}");
         }
         self.freed.push(freed);
     }
 
-    fn removal(&self, row: &Row) -> Option<Step> {
+    fn grant_removal(&self, row: &Row) -> Option<Step> {
         let mut budget = Budget::parse(&row.value).ok()?;
         budget.grants.remove(&self.holder);
         budget.spent += self.charged(row::group(&row.key).unwrap_or_default());
--- a/crates/fescuewell_budget/src/row.rs
+++ b/crates/fescuewell_budget/src/row.rs
@@ -1,4 +1,4 @@
-//! The row `budget/{group}`: prepaid total, spending of closed holders, grants of live ones.
+//! The row `budget/{group}`: prepaid total, spending of closed holders, grants of live holders.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,59 +7,60 @@
 use serde_json::{Map, Value};
 use snafu::Snafu;
 
-/// What the keys of all budget rows start with.
+/// Key prefix of all budget rows.
 pub const PREFIX: &str = "budget/";
 
 fescuewell_core::data! {
     /// Content of one budget row.
     ///
-    /// `spent + sum(granted) <= prepaid` is kept by compare-and-swap on the row.
+    /// Compare-and-swap on the row maintains `spent + sum(granted) <= prepaid`.
     #[derive(Default)]
     pub struct Budget {
-        /// Cumulative total that top-ups raise. A total rather than an increment, so that a top-up
-        /// that is accepted twice does no harm.
+        /// Cumulative total, raised by top-ups. It is a total and not an increment, so that a
+        /// top-up applied twice has no further effect.
         pub prepaid: Tokens,
-        /// What holders spent that have removed their grants.
+        /// Tokens spent by holders that have removed their grants.
         #[serde(default)]
         pub spent: Tokens,
-        /// Holder (`instance.incarnation`) to its grant.
+        /// Grants by holder (`instance.incarnation`).
         #[serde(default)]
         pub grants: BTreeMap<Arc<str>, Grant>,
-        /// Fields that this program does not know and passes on as they are, since instances of a
-        /// newer program may work on the same row.
+        /// Unknown fields, kept as they are, since instances of a newer version may use the same
+        /// row.
         #[serde(flatten)]
         pub extra: Map<String, Value>,
     }
 
-    /// What one holder may spend.
+    /// Tokens that one holder may spend.
     #[derive(Default)]
     pub struct Grant {
-        /// Cumulative since the holder started, with what it has spent.
+        /// Cumulative total since the holder started, including the tokens that it has spent.
         pub granted: Tokens,
-        /// Hexadecimal id of the write that set `granted`; the holder reads back by it when the reply
-        /// to that write was lost.
+        /// Hexadecimal id of the write that set `granted`. If the reply to that write is lost, the
+        /// holder recognizes it by this id.
         #[serde(rename = "draw")]
         pub draw_id: Arc<str>,
-        /// Expected use in tokens per second when the grant was last written. The holders size their
-        /// allowances by their parts of the sum, so that scarce money lies where the callers are.
+        /// Expected use in tokens per second when the grant was last written. Holders size their
+        /// allowances by their part of the sum, so that scarce tokens are held where the callers
+        /// are.
         #[serde(default)]
         pub rate: u64,
-        /// Fields that this program does not know.
+        /// Unknown fields, kept as they are.
         #[serde(flatten)]
         pub extra: Map<String, Value>,
     }
 }
 
-/// Why a row could not be read.
+/// Error returned if a row cannot be parsed.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-#[snafu(display("budget row cannot be read: {reason}"))]
+#[snafu(display("invalid budget row: {reason}"))]
 pub struct Error {
-    /// What the JSON reader said.
+    /// Message of the JSON parser.
     pub reason: Arc<str>,
 }
 
 impl Budget {
-    /// A budget from which nothing was drawn yet.
+    /// Creates a budget without grants.
     pub fn new(prepaid: Tokens) -> Self {
         Self {
             prepaid,
@@ -67,38 +68,38 @@
         }
     }
 
-    /// Reads a row's content.
+    /// Parses the content of a row.
     ///
     /// # Errors
     ///
-    /// When it is not JSON of this shape.
+    /// Returns an error if the content is not JSON of this shape.
     pub fn parse(value: &[u8]) -> Result<Self, Error> {
         serde_json::from_slice(value).map_err(|error| Error {
             reason: error.to_string().into(),
         })
     }
 
-    /// The row's content as it is stored.
+    /// Encodes the content of the row.
     ///
     /// # Panics
     ///
-    /// Never: all keys are text.
+    /// Never: all keys are strings.
     pub fn encode(&self) -> Arc<[u8]> {
-        let text = serde_json::to_vec(self).expect("a budget has text keys only");
+        let text = serde_json::to_vec(self).expect("a budget has string keys only");
         text.into()
     }
 
-    /// What is granted to all holders together.
+    /// Sum of the grants of all holders.
     pub fn granted(&self) -> Tokens {
         self.grants.values().map(|grant| grant.granted).sum()
     }
 
-    /// What may still be granted.
+    /// Tokens that may still be granted.
     pub fn unallocated(&self) -> Tokens {
         self.prepaid.minus(self.spent + self.granted())
     }
 
-    /// Expected use of all holders but this one, in tokens per second, as they last wrote it.
+    /// Expected use of all other holders, in tokens per second, according to their last writes.
     pub fn rate_of_others(&self, holder: &str) -> u64 {
         let others = self.grants.iter().filter(|(name, _)| ***name != *holder);
         others.fold(0, |sum, (_, grant)| sum.saturating_add(grant.rate))
@@ -110,12 +111,12 @@
     }
 }
 
-/// The row's key in the table.
+/// Returns the row's key in the table.
 pub fn key(group: &str) -> Arc<str> {
     format!("{PREFIX}{group}").into()
 }
 
-/// The group whose row has this key.
+/// Returns the group to which a row's key belongs.
 pub fn group(key: &str) -> Option<&str> {
     key.strip_prefix(PREFIX)
 }
--- a/crates/fescuewell_budget/src/sizing.rs
+++ b/crates/fescuewell_budget/src/sizing.rs
@@ -1,91 +1,98 @@
-//! How large an allowance should be.
+//! Computes how large an allowance should be.
 //!
-//! An allowance is worth `rate x outage` with a margin: what the instance is likely to use while the
-//! table is away. It is limited to a share of what is free, so that the allowances of all instances shrink as the
-//! money runs out; when little is left at all, nothing is drawn ahead.
+//! An allowance covers `rate x outage` plus a margin: the expected use of the instance while the
+//! table is unavailable. It is limited to a share of the unallocated tokens, so that the allowances
+//! of all instances shrink as the budget runs out. If only a few tokens are left, none are drawn in
+//! advance.
 
 use fescuewell_core::prelude::*;
 
 use crate::policy::Policy;
 
-/// While less than so many times the least draw is within reach, the least draw no longer raises a
-/// target above its share. Otherwise the last tokens lie in equal pieces on all instances, whether
-/// they have callers or not, and a request is refused although the group has money.
+/// The minimum allowance applies only while this multiple of it is within reach. Otherwise the last
+/// tokens would be spread evenly over all instances, whether they have callers or not, and requests
+/// would be refused although the group has tokens.
 pub const MIN_ALLOWANCE_FACTOR: u64 = 16;
 
-/// Standard deviations of use that are drawn beyond the expected use. The deviation is taken as that of
-/// requests of the usual hold which arrive independently of each other.
-pub const MARGIN: f32 = 2.0;
+/// Margin above the expected use, in standard deviations. The deviation is that of independently
+/// arriving requests with the mean hold.
+pub const MARGIN_DEVIATIONS: f32 = 2.0;
 
-/// A renewal fills up to so many percent of what is wanted, and the next one is due when that is fallen
-/// below. At any moment the allowance therefore covers the outage, not only after a renewal.
+/// Percentage of the unlimited target to which a renewal refills. The next renewal is due when the
+/// allowance falls below the unlimited target itself, so it covers the outage at any time and not
+/// only right after a renewal.
 pub const REFILL_PERCENT: u64 = 133;
 
-/// What sizing looks at.
+/// Inputs of the size computation.
 #[derive(Debug, Clone, Copy)]
-pub struct View {
+pub struct Inputs {
     /// Expected use in tokens per second.
     pub rate: f32,
-    /// The same for all other holders together.
-    pub others: u64,
-    /// Average size of recent holds.
-    pub usual_hold: Tokens,
-    /// Free in the row, as last seen.
+    /// Expected use of all other holders together, in tokens per second.
+    pub others_rate: u64,
+    /// Mean amount of recent holds.
+    pub mean_hold: Tokens,
+    /// Unallocated tokens in the cached row.
     pub unallocated: Tokens,
-    /// What this instance has idle already.
+    /// Idle tokens of this instance.
     pub idle: Tokens,
 }
 
-/// How much should lie idle at this instance.
+/// Returns how many tokens should be idle at this instance.
 ///
-/// Nothing when the share would not even cover a usual hold: it would lie here and serve nobody, while each
-/// request draws exactly what it needs.
-pub fn target(policy: &Policy, view: View) -> Tokens {
-    let within_reach = view.unallocated + view.idle;
+/// Returns zero if the limit does not cover even a mean hold. Such an allowance would be of no use,
+/// and each request draws exactly what it needs instead.
+pub fn target(policy: &Policy, inputs: Inputs) -> Tokens {
+    let within_reach = inputs.unallocated + inputs.idle;
     let share = percent(within_reach, policy.share_percent);
     let is_plenty = within_reach.0 >= policy.min_allowance.0.saturating_mul(MIN_ALLOWANCE_FACTOR);
     let limit = match is_plenty {
         true => share.max(policy.min_allowance),
         false => share,
     };
-    let limit = limit.min(fair_part(view));
-    if limit < view.usual_hold {
+    let limit = limit.min(fair_share(inputs));
+    if limit < inputs.mean_hold {
         return Tokens::ZERO;
     }
-    let refill = wanted(policy, view).0.saturating_mul(REFILL_PERCENT) / 100;
+    let refill = unlimited_target(policy, inputs)
+        .0
+        .saturating_mul(REFILL_PERCENT)
+        / 100;
     Tokens(refill).min(limit)
 }
 
-/// The part of what is left that goes with this holder's part of the use.
+/// Limits an allowance by this holder's part of the expected use.
 ///
-/// Each holder keeps at most as much of what is free as its part of the use. When all do, half of the
-/// money lies with the holders, in proportion to their callers, and half is free. Without this the
-/// instances with few callers take as much as those with many, as long as the share allows it, and an
-/// outage finds the money in the wrong places.
-fn fair_part(view: View) -> Tokens {
-    let total = view.rate + view.others as f32;
+/// The idle tokens of a holder are at most its part of the use times the unallocated tokens. If all
+/// holders reach this limit, half of the tokens are idle at the holders, in proportion to their
+/// callers, and half are unallocated. Without it, instances with few callers would draw as much as
+/// busy ones, as far as the share permits, and the tokens would be in the wrong places in an
+/// outage.
+fn fair_share(inputs: Inputs) -> Tokens {
+    let total = inputs.rate + inputs.others_rate as f32;
     if total <= 0.0 {
-        return view.unallocated + view.idle;
+        return inputs.unallocated + inputs.idle;
     }
-    let part = f64::from(view.rate / total);
-    // `idle = part x free`, solved for what is reached by drawing from both.
-    let within_reach = (view.unallocated + view.idle).0 as f64;
+    let part = f64::from(inputs.rate / total);
+    // `idle = part x unallocated`, solved for the sum of both.
+    let within_reach = (inputs.unallocated + inputs.idle).0 as f64;
     Tokens((within_reach * part / (1.0 + part)) as u64)
 }
 
-/// How much would be wanted if money were no limit.
+/// Returns the target if the budget had no limit.
 ///
-/// The expected use over the outage, plus [`MARGIN`] standard deviations, plus one hold: requests of one
-/// instance arrive irregularly, and a request is refused when its whole hold does not fit.
-pub fn wanted(policy: &Policy, view: View) -> Tokens {
-    let expected = view.rate * policy.outage.as_secs_f32();
-    let hold = view.usual_hold.0 as f32;
+/// It is the expected use over the outage, plus [`MARGIN_DEVIATIONS`] standard deviations, plus one
+/// hold: the requests of one instance arrive irregularly, and a request is refused if its whole
+/// hold does not fit.
+pub fn unlimited_target(policy: &Policy, inputs: Inputs) -> Tokens {
+    let expected = inputs.rate * policy.outage.as_secs_f32();
+    let hold = inputs.mean_hold.0 as f32;
     let deviation = (expected * hold).sqrt();
-    let wanted = expected + MARGIN * deviation + hold;
+    let wanted = expected + MARGIN_DEVIATIONS * deviation + hold;
     Tokens(wanted as u64).max(policy.min_allowance)
 }
 
-/// `percent` of an amount, rounded down.
+/// Returns `percent` of an amount, rounded down.
 pub fn percent(amount: Tokens, percent: u8) -> Tokens {
     Tokens((u128::from(amount.0) * u128::from(percent) / 100) as u64)
 }
--- a/crates/fescuewell_budget/tests/accounting.rs
+++ b/crates/fescuewell_budget/tests/accounting.rs
@@ -6,7 +6,7 @@
 
 use common::fleet::{Fault, Fleet};
 use common::node::GROUPS;
-use fescuewell_budget::sizing::{View, target};
+use fescuewell_budget::sizing::{Inputs, target};
 use fescuewell_budget::{HoldKey, Policy};
 use fescuewell_core::prelude::*;
 
@@ -26,11 +26,11 @@
     (line.held.0, line.owed.0, line.spent.0)
 }
 
-fn view(free: u64) -> View {
-    View {
+fn inputs(free: u64) -> Inputs {
+    Inputs {
         rate: 10.0,
-        others: 90,
-        usual_hold: Tokens(100),
+        others_rate: 90,
+        mean_hold: Tokens(100),
         unallocated: Tokens(free),
         idle: Tokens::ZERO,
     }
@@ -147,9 +147,9 @@
     // Symptom: the last tokens lie in small pieces on many instances. An allowance follows what is free.
     let policy = policy();
 
-    let plenty = target(&policy, view(1_000_000));
-    let less = target(&policy, view(5_000));
-    let little = target(&policy, view(900));
+    let plenty = target(&policy, inputs(1_000_000));
+    let less = target(&policy, inputs(5_000));
+    let little = target(&policy, inputs(900));
 
     assert!(plenty >= Tokens(600), "{plenty}");
     assert!(less <= Tokens(500) && less >= Tokens(200), "{less}");
@@ -162,13 +162,13 @@
     let mut policy = policy();
     policy.share_percent = 50;
     policy.outage = Duration::from_secs(600);
-    let busy = View {
+    let busy = Inputs {
         rate: 90.0,
-        others: 10,
-        ..view(10_000)
+        others_rate: 10,
+        ..inputs(10_000)
     };
 
-    let quiet_target = target(&policy, view(10_000));
+    let quiet_target = target(&policy, inputs(10_000));
     let busy_target = target(&policy, busy);
 
     assert!(
