--- a/crates/fescuewell_budget/examples/footprint.rs
+++ b/crates/fescuewell_budget/examples/footprint.rs
@@ -1,7 +1,7 @@
-//! Measures what a ledger costs in memory and time: 22,000 budgets known, some of them in use.
+//! Measures the memory and time that a ledger needs with 22,000 known budgets, some of them in use.
 //!
-//! Memory is the growth of the process's resident set, from `/proc/self/statm`. Run with
-//! `cargo run --release -p fescuewell_budget --example footprint [groups in use]`.
+//! Memory is the growth of the process's resident set, from `/proc/self/statm`. Run with `cargo run
+//! --release -p fescuewell_budget --example footprint [groups in use]`.
 
 #[path = "../tests/common/memory.rs"]
 mod memory;
@@ -12,7 +12,7 @@
 use fescuewell_budget::{HoldKey, Ledger, Policy, Settings, row};
 use fescuewell_core::prelude::*;
 use fescuewell_core::table::{Table, Transaction, carry_out};
-use memory::Memory;
+use memory::MemoryTable;
 
 const GROUPS: u32 = 22_000;
 const HOLDERS: u32 = 9;
@@ -27,18 +27,18 @@
     measure(&table, &policies, in_use);
 }
 
-fn measure(table: &Memory, policies: &[Policy], in_use: u32) {
+fn measure(table: &MemoryTable, policies: &[Policy], in_use: u32) {
     let mut now = Instant::from_millis(1_000);
-    let before = resident();
+    let before = resident_bytes();
     let mut ledger = Ledger::new(Settings::default(), "measured.1".into(), 1);
     ledger.set_groups(now, policies);
-    let known = (resident() - before) / u64::from(GROUPS);
-    let before = resident();
+    let known = (resident_bytes() - before) / u64::from(GROUPS);
+    let before = resident_bytes();
     for group in 0..in_use {
         let _ = ledger.hold(now, GroupKey(group), Tokens(100));
     }
-    settle_table(&mut ledger, table, now);
-    let used = (resident() - before) / u64::from(in_use);
+    run_table_steps(&mut ledger, table, now);
+    let used = (resident_bytes() - before) / u64::from(in_use);
     let started = std::time::Instant::now();
     for _ in 0..ROUNDS {
         for group in 0..in_use {
@@ -46,12 +46,12 @@
         }
     }
     let each = started.elapsed() / (ROUNDS as u32 * in_use);
-    let recent_tick = tick(&mut ledger, table, now + Duration::from_secs(1));
+    let recent_tick = time_step(&mut ledger, table, now + Duration::from_secs(1));
     for _ in 0..200 {
         now = now + Duration::from_secs(1);
-        settle_table(&mut ledger, table, now);
+        run_table_steps(&mut ledger, table, now);
     }
-    let later_tick = tick(&mut ledger, table, now + Duration::from_secs(1));
+    let later_tick = time_step(&mut ledger, table, now + Duration::from_secs(1));
     println!("{GROUPS} groups known, {in_use} in use, {HOLDERS} holders in each row");
     println!("memory: {known} bytes for each known group, {used} more for each in use");
     println!("hold, settle and bill: {} ns a request", each.as_nanos());
@@ -65,8 +65,8 @@
     );
 }
 
-/// Time of one step that looks at every group in use.
-fn tick(ledger: &mut Ledger, table: &Memory, now: Instant) -> Duration {
+/// Measures one step that checks every group in use.
+fn time_step(ledger: &mut Ledger, table: &MemoryTable, now: Instant) -> Duration {
     let started = std::time::Instant::now();
     let step = ledger.next_step(now);
     let elapsed = started.elapsed();
@@ -84,15 +84,15 @@
     }
 }
 
-fn settle_table(ledger: &mut Ledger, table: &Memory, now: Instant) {
+fn run_table_steps(ledger: &mut Ledger, table: &MemoryTable, now: Instant) {
     while let Some(step) = ledger.next_step(now) {
         ledger.reply(now, carry_out(table, &step));
     }
     ledger.take_notifications();
 }
 
-fn table(policies: &[Policy]) -> Memory {
-    let table = Memory::default();
+fn table(policies: &[Policy]) -> MemoryTable {
+    let table = MemoryTable::default();
     for policy in policies {
         let mut budget = Budget::new(Tokens(10_000_000));
         for holder in 1..HOLDERS {
@@ -122,7 +122,7 @@
     }
 }
 
-fn resident() -> u64 {
+fn resident_bytes() -> u64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split_whitespace().nth(1);
     pages
--- a/crates/fescuewell_budget/examples/spend/main.rs
+++ b/crates/fescuewell_budget/examples/spend/main.rs
@@ -1,8 +1,10 @@
-//! Measures how nine ledgers with skewed callers spend prepaid budgets, in virtual time and seeded.
+//! Simulates, in virtual time and with fixed seeds, how nine ledgers with skewed load spend prepaid
+//! budgets.
 //!
-//! Prints, for several sizes of allowance: how much of a budget is spent before the first request is refused
-//! although an all-seeing ledger would have accepted it, what a table outage of 60 s costs with 20%
-//! of the budget left, what is in doubt after a death, and how often the table is written.
+//! Prints for several allowance sizes: how much of a budget is spent before the first request is
+//! refused that a ledger with global knowledge would have accepted, the effect of a table outage of
+//! 60 s with 20% of the budget left, the tokens in doubt after the death of an instance, and the
+//! number of table writes.
 //!
 //! Run with `cargo run --release -p fescuewell_budget --example spend`.
 
@@ -13,12 +15,12 @@
 use std::time::Duration;
 
 use fescuewell_core::prelude::*;
-use simulation::{Figures, Load, Simulation};
+use simulation::{Load, Simulation, Stats};
 
-/// Seeds over which each row of the tables is added up.
+/// Number of seeds summed up in each row of the tables.
 const SEEDS: u64 = 10;
 
-/// Sizes of allowance: name, outage in seconds, share in percent, least draw.
+/// Allowance sizes: name, outage in seconds, share in percent, minimum allowance.
 const SIZES: [(&str, u64, u8, u64); 9] = [
     ("tight", 20, 5, 200),
     ("ready", 120, 25, 2_000),
@@ -73,15 +75,15 @@
         "wait p99",
         "wait max"
     );
-    for (name, outage, share, least) in SIZES {
-        let mut total = Figures::default();
+    for (name, outage, share, min_allowance) in SIZES {
+        let mut total = Stats::default();
         let mut first_at = Vec::new();
         for seed in 0..SEEDS {
-            let mut simulation = Simulation::new(load, outage, share, Tokens(least), seed);
+            let mut simulation = Simulation::new(load, outage, share, Tokens(min_allowance), seed);
             simulation.run_until_spent();
-            let figures = simulation.figures();
-            first_at.push(figures.first_false.unwrap_or(1.0) * 100.0);
-            total.add(figures);
+            let stats = simulation.stats();
+            first_at.push(stats.first_false_refusal.unwrap_or(1.0) * 100.0);
+            total.add(stats);
         }
         let mean = first_at.iter().sum::<f64>() / first_at.len() as f64;
         let worst = first_at.iter().copied().fold(100.0, f64::min);
@@ -90,7 +92,7 @@
             total.requests,
             total.accepted,
             total.false_refusals,
-            total.false_percent(),
+            total.false_refusal_percent(),
             total.writes_per_thousand(),
             total.wait_percentile(99),
             total.wait_percentile(100),
@@ -99,10 +101,10 @@
 }
 
 fn print_outage(load: &Load, percent_at_start: u64) {
-    // What is spent down to 20% warms the instances up.
-    let warm = load.with_left(percent_at_start);
+    // The instances reach a steady state while the budget is spent down to 20%.
+    let warm = load.with_remaining(percent_at_start);
     println!(
-        "table down 60 s with 20% left; money in doubt if the busiest instance dies as the outage begins"
+        "table down 60 s with 20% left; tokens in doubt if the busiest instance dies as the outage begins"
     );
     println!(
         "{:>7} {:>9} {:>8} {:>10} {:>12} {:>10} {:>9} {:>10}",
@@ -115,30 +117,30 @@
         "% of left",
         "idle total"
     );
-    for (name, outage, share, least) in SIZES {
-        let mut during = Figures::default();
-        let mut rest = Figures::default();
+    for (name, outage, share, min_allowance) in SIZES {
+        let mut outage_stats = Stats::default();
+        let mut rest = Stats::default();
         let mut in_doubt = 0;
         let mut left = 0;
         let mut idle = 0;
         for seed in 0..SEEDS {
-            let mut simulation = Simulation::new(&warm, outage, share, Tokens(least), seed);
-            simulation.run_until_left(0.2);
+            let mut simulation = Simulation::new(&warm, outage, share, Tokens(min_allowance), seed);
+            simulation.run_until_remaining(0.2);
             in_doubt += simulation.in_doubt().0;
-            left += simulation.left().0;
+            left += simulation.remaining().0;
             idle += simulation.idle().0;
-            simulation.clear_figures();
+            simulation.reset_stats();
             simulation.run_outage(Duration::from_secs(60));
-            during.add(simulation.figures());
+            outage_stats.add(simulation.stats());
             simulation.run_until_spent();
-            rest.add(simulation.figures());
+            rest.add(simulation.stats());
         }
         println!(
             "{name:>7} {:>9} {:>8} {:>9.2}% {:>11.2}% {:>10} {:>8.2}% {:>10}",
-            during.requests,
-            during.false_refusals,
-            during.false_percent(),
-            rest.false_percent(),
+            outage_stats.requests,
+            outage_stats.false_refusals,
+            outage_stats.false_refusal_percent(),
+            rest.false_refusal_percent(),
             in_doubt / SEEDS,
             in_doubt as f64 * 100.0 / left as f64,
             idle / SEEDS,
--- a/crates/fescuewell_budget/examples/spend/simulation.rs
+++ b/crates/fescuewell_budget/examples/spend/simulation.rs
@@ -1,4 +1,4 @@
-//! A fleet of ledgers under random load, driven by events in virtual time.
+//! A fleet of ledgers under random load, as a discrete-event simulation in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -11,39 +11,39 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use super::memory::Memory;
+use super::memory::MemoryTable;
 
 const GROUP: GroupKey = GroupKey(0);
 const NAME: &str = "signwise";
 
-/// Entry instances of today's size.
+/// Number of entry instances in the present deployment.
 const NODES: usize = 9;
 
-/// Time from an instance to the table, one way.
-const TO_TABLE: Duration = Duration::from_millis(3);
+/// One-way latency between an instance and the table.
+const TABLE_LATENCY: Duration = Duration::from_millis(3);
 
-/// Time from one instance to another.
-const TO_PEER: Duration = Duration::from_millis(1);
+/// Latency between two instances.
+const PEER_LATENCY: Duration = Duration::from_millis(1);
 
 /// Time between two ticks of an instance.
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Time until a bill is durable in its slot.
-const TO_BILL: Duration = Duration::from_millis(500);
+const BILL_DELAY: Duration = Duration::from_millis(500);
 
 /// Mean duration of a request in seconds.
-const MEAN_SECONDS: f64 = 8.0;
+const MEAN_REQUEST_SECONDS: f64 = 8.0;
 
-/// Requests that the budget must have refused for good before a run ends.
+/// Number of justified refusals after which a run ends.
 const FINAL_REFUSALS: u64 = 50;
 
-/// What arrives.
+/// Request load and budget of a run.
 #[derive(Debug, Clone)]
 pub struct Load {
-    /// Requests per second, over all instances.
+    /// Requests per second over all instances.
     pub rate: f64,
     pub prepaid: Tokens,
-    /// Part of it that was spent before the run.
+    /// Part of the prepaid total that was spent before the run.
     pub spent: Tokens,
 }
 
@@ -56,8 +56,8 @@
         }
     }
 
-    /// The same load with only `percent` of the budget left.
-    pub fn with_left(&self, percent: u64) -> Self {
+    /// Returns the same load with only `percent` of the budget left.
+    pub fn with_remaining(&self, percent: u64) -> Self {
         let spent = Tokens(self.prepaid.0 / 100 * (100 - percent));
         Self {
             spent,
@@ -66,21 +66,21 @@
     }
 }
 
-/// What was counted.
+/// Counters of a run.
 #[derive(Debug, Clone, Default)]
-pub struct Figures {
+pub struct Stats {
     pub requests: u64,
     pub accepted: u64,
-    /// Refused although an all-seeing ledger had enough at that moment.
+    /// Refusals although a ledger with global knowledge had enough tokens at that moment.
     pub false_refusals: u64,
     pub true_refusals: u64,
-    /// Part of the budget charged, held or owed at the first false refusal.
-    pub first_false: Option<f64>,
+    /// Fraction of the budget charged, held or owed at the first false refusal.
+    pub first_false_refusal: Option<f64>,
     commits: u64,
     waits: Vec<u64>,
 }
 
-impl Figures {
+impl Stats {
     pub fn add(&mut self, other: Self) {
         self.requests += other.requests;
         self.accepted += other.accepted;
@@ -90,8 +90,9 @@
         self.waits.extend(other.waits);
     }
 
-    /// False refusals in percent of what an all-seeing ledger would have accepted.
-    pub fn false_percent(&self) -> f64 {
+    /// False refusals in percent of the requests that a ledger with global knowledge would have
+    /// accepted.
+    pub fn false_refusal_percent(&self) -> f64 {
         let acceptable = self.accepted + self.false_refusals;
         self.false_refusals as f64 * 100.0 / acceptable.max(1) as f64
     }
@@ -100,7 +101,7 @@
         self.commits as f64 * 1_000.0 / self.requests.max(1) as f64
     }
 
-    /// Percentile, in milliseconds, of how long an accepted request waited for its hold.
+    /// Percentile, in milliseconds, of the time that accepted requests waited for their holds.
     pub fn wait_percentile(&self, percent: usize) -> u64 {
         let mut waits = self.waits.clone();
         waits.sort_unstable();
@@ -115,8 +116,8 @@
     Settle(usize, HoldKey, Tokens, Tokens),
     Billed(usize, HoldKey, Tokens),
     Tick(usize),
-    AtTable(usize, Step),
-    Answer(usize, Reply),
+    TableRequest(usize, Step),
+    TableReply(usize, Reply),
     Deliver(Arc<str>, usize, Message),
 }
 
@@ -126,20 +127,20 @@
     waiting: Vec<(Instant, Tokens)>,
 }
 
-/// The fleet.
+/// The simulated fleet.
 pub struct Simulation {
     now: Instant,
     rng: SmallRng,
     load: Load,
-    table: Memory,
+    table: MemoryTable,
     is_table_down: bool,
     nodes: Vec<Node>,
     queue: BinaryHeap<Reverse<(Instant, u64)>>,
     events: std::collections::HashMap<u64, Event>,
     sequence: u64,
     used: Tokens,
-    figures: Figures,
-    commits_before: u64,
+    stats: Stats,
+    commits_at_reset: u64,
 }
 
 impl Simulation {
@@ -150,7 +151,7 @@
         min_allowance: Tokens,
         seed: u64,
     ) -> Self {
-        let table = Memory::default();
+        let table = MemoryTable::default();
         table.top_up(NAME, load.prepaid);
         table.spend(NAME, load.spent);
         let policy = Policy {
@@ -175,39 +176,43 @@
             events: std::collections::HashMap::new(),
             sequence: 0,
             used: load.spent,
-            figures: Figures::default(),
-            commits_before: 0,
+            stats: Stats::default(),
+            commits_at_reset: 0,
         };
         simulation.after(Duration::ZERO, Event::Arrive);
         for index in 0..NODES {
-            simulation.after(TICK * index as u32 / NODES as u32, Event::Tick(index));
+            simulation.after(
+                TICK_INTERVAL * index as u32 / NODES as u32,
+                Event::Tick(index),
+            );
         }
         simulation
     }
 
-    pub fn figures(&self) -> Figures {
-        let mut figures = self.figures.clone();
-        figures.commits = self.table.counts().commits - self.commits_before;
-        figures
+    pub fn stats(&self) -> Stats {
+        let mut stats = self.stats.clone();
+        stats.commits = self.table.counts().commits - self.commits_at_reset;
+        stats
     }
 
-    pub fn clear_figures(&mut self) {
-        self.figures = Figures::default();
-        self.commits_before = self.table.counts().commits;
+    pub fn reset_stats(&mut self) {
+        self.stats = Stats::default();
+        self.commits_at_reset = self.table.counts().commits;
     }
 
-    /// What an all-seeing ledger could still hand out.
-    pub fn left(&self) -> Tokens {
+    /// Tokens that a ledger with global knowledge could still grant.
+    pub fn remaining(&self) -> Tokens {
         self.load.prepaid.minus(self.used)
     }
 
-    /// Idle allowance at all instances.
+    /// Idle tokens of all instances.
     pub fn idle(&self) -> Tokens {
         let lines = self.nodes.iter().flat_map(|node| node.ledger.snapshot());
         lines.map(|line| line.idle).sum()
     }
 
-    /// What the group could not use if the instance with most of it died now: granted but not charged.
+    /// Tokens granted but not charged at the instance with most of them, which the group could not
+    /// use if that instance died now.
     pub fn in_doubt(&self) -> Tokens {
         let lines = self.nodes.iter().flat_map(|node| node.ledger.snapshot());
         lines
@@ -216,10 +221,10 @@
             .unwrap_or_default()
     }
 
-    pub fn run_until_left(&mut self, share: f64) {
+    pub fn run_until_remaining(&mut self, share: f64) {
         let goal = (self.load.prepaid.0 as f64 * share) as u64;
-        while self.left().0 > goal {
-            self.run_one();
+        while self.remaining().0 > goal {
+            self.run_event();
         }
     }
 
@@ -227,14 +232,14 @@
         let end = self.now + duration;
         self.is_table_down = true;
         while self.now < end {
-            self.run_one();
+            self.run_event();
         }
         self.is_table_down = false;
     }
 
     pub fn run_until_spent(&mut self) {
-        while self.figures.true_refusals < FINAL_REFUSALS {
-            self.run_one();
+        while self.stats.true_refusals < FINAL_REFUSALS {
+            self.run_event();
         }
     }
 
@@ -244,7 +249,7 @@
         self.events.insert(self.sequence, event);
     }
 
-    fn run_one(&mut self) {
+    fn run_event(&mut self) {
         let Some(Reverse((at, sequence))) = self.queue.pop() else {
             return;
         };
@@ -255,7 +260,7 @@
             Event::Settle(index, hold, amount, cost) => {
                 self.nodes[index].ledger.settle(at, hold, cost);
                 self.used = self.used.minus(amount.minus(cost));
-                self.after(TO_BILL, Event::Billed(index, hold, cost));
+                self.after(BILL_DELAY, Event::Billed(index, hold, cost));
                 self.drive(index);
             }
             Event::Billed(index, hold, cost) => {
@@ -264,18 +269,18 @@
             }
             Event::Tick(index) => {
                 self.drive(index);
-                self.after(TICK, Event::Tick(index));
+                self.after(TICK_INTERVAL, Event::Tick(index));
             }
-            Event::AtTable(index, step) => {
+            Event::TableRequest(index, step) => {
                 let reply = match self.is_table_down {
                     true => Reply::Failed(Error::Unreachable {
                         reason: "down".into(),
                     }),
                     false => carry_out(&self.table, &step),
                 };
-                self.after(TO_TABLE, Event::Answer(index, reply));
+                self.after(TABLE_LATENCY, Event::TableReply(index, reply));
             }
-            Event::Answer(index, reply) => {
+            Event::TableReply(index, reply) => {
                 self.nodes[index].ledger.reply(at, reply);
                 self.drive(index);
             }
@@ -291,12 +296,13 @@
         self.after(Duration::from_secs_f64(pause), Event::Arrive);
         let index = self.choose_node();
         let amount = Tokens(self.rng.random_range(200..1_800));
-        self.figures.requests += 1;
+        self.stats.requests += 1;
         self.hold(index, self.now, amount);
         self.drive(index);
     }
 
-    /// Zipf over the instances: the first gets about a third of the requests, the last about 4%.
+    /// Chooses an instance by a Zipf distribution: the first gets about a third of the requests,
+    /// the last about 4%.
     fn choose_node(&mut self) -> usize {
         let total: f64 = (1..=NODES).map(|rank| 1.0 / rank as f64).sum();
         let mut point = self.rng.random_range(0.0..total);
@@ -315,12 +321,13 @@
             Ok(hold) => {
                 self.used += amount;
                 assert!(self.used <= self.load.prepaid, "overspent");
-                self.figures.accepted += 1;
+                self.stats.accepted += 1;
                 let waited = self.now.since(arrived).as_millis() as u64;
-                self.figures.waits.push(waited);
+                self.stats.waits.push(waited);
                 let part = self.rng.random_range(0.2..1.0);
                 let cost = Tokens((amount.0 as f64 * part) as u64);
-                let seconds = -self.rng.random_range(f64::EPSILON..1.0f64).ln() * MEAN_SECONDS;
+                let seconds =
+                    -self.rng.random_range(f64::EPSILON..1.0f64).ln() * MEAN_REQUEST_SECONDS;
                 let end = Event::Settle(index, hold, amount, cost);
                 self.after(Duration::from_secs_f64(seconds), end);
             }
@@ -330,18 +337,18 @@
     }
 
     fn refuse(&mut self, amount: Tokens) {
-        if self.left() < amount {
-            self.figures.true_refusals += 1;
+        if self.remaining() < amount {
+            self.stats.true_refusals += 1;
             return;
         }
-        self.figures.false_refusals += 1;
+        self.stats.false_refusals += 1;
         let spent = self.used.0 as f64 / self.load.prepaid.0 as f64;
-        self.figures.first_false.get_or_insert(spent);
+        self.stats.first_false_refusal.get_or_insert(spent);
     }
 
     fn drive(&mut self, index: usize) {
         if let Some(step) = self.nodes[index].ledger.next_step(self.now) {
-            self.after(TO_TABLE, Event::AtTable(index, step));
+            self.after(TABLE_LATENCY, Event::TableRequest(index, step));
         }
         let from = self.nodes[index].holder.clone();
         for outgoing in self.nodes[index].ledger.take_outbox() {
@@ -352,7 +359,10 @@
             let Some(to) = to else {
                 continue;
             };
-            self.after(TO_PEER, Event::Deliver(from.clone(), to, outgoing.message));
+            self.after(
+                PEER_LATENCY,
+                Event::Deliver(from.clone(), to, outgoing.message),
+            );
         }
         for notification in self.nodes[index].ledger.take_notifications() {
             match notification {
--- a/crates/fescuewell_budget/tests/accounting.rs
+++ b/crates/fescuewell_budget/tests/accounting.rs
@@ -1,4 +1,4 @@
-//! Holds, settlements and bills of one ledger, and how its allowances are sized.
+//! Tests of holds, settlements and bills of one ledger, and of the sizing of its allowances.
 
 mod common;
 
@@ -12,7 +12,7 @@
 
 const GROUP: GroupKey = GroupKey(0);
 
-/// A fleet of one whose ledger has a hold of 400 out of 1,000.
+/// Returns a fleet of one whose ledger has a hold of 400 out of 1,000 tokens.
 fn with_hold() -> (Fleet, HoldKey) {
     let mut fleet = Fleet::new(1, Tokens(1_000), 5);
     fleet.request(0, 0, Tokens(400));
@@ -48,7 +48,7 @@
 
 #[test]
 fn a_cost_above_the_hold_is_cut_to_it() {
-    // Symptom: overspend by a stream that was not stopped at its hold. Nothing stands behind the
+    // Guards against overspending by a stream that was not stopped at its hold. No grant covers the
     // difference, so it must not be charged to the allowance.
     let (mut fleet, hold) = with_hold();
     let now = fleet.now;
@@ -61,7 +61,7 @@
 
 #[test]
 fn a_cost_stays_owed_until_its_bill_is_durable() {
-    // Symptom: money is spent twice by a router that dies between settlement and bill.
+    // Guards against spending tokens twice when a router dies between settlement and bill.
     let (mut fleet, hold) = with_hold();
     let now = fleet.now;
 
@@ -75,7 +75,8 @@
 
 #[test]
 fn an_absorbed_bill_frees_its_amount() {
-    // Symptom: a group pays twice for a request that two routers served. The second bill is absorbed.
+    // Guards against charging a group twice for a request that two routers served. The second bill
+    // is absorbed.
     let (mut fleet, hold) = with_hold();
     let now = fleet.now;
 
@@ -87,7 +88,7 @@
 
 #[test]
 fn a_hold_that_ended_cannot_end_again() {
-    // Symptom: idle money grows with each repeated settlement or release of one request.
+    // Guards against idle tokens that grow with each repeated settlement or release of one request.
     let (mut fleet, hold) = with_hold();
     let now = fleet.now;
     let ledger = &mut fleet.nodes[0].ledger;
@@ -104,8 +105,8 @@
 
 #[test]
 fn a_drain_keeps_what_is_owed_until_the_bill_is_durable() {
-    // Symptom: a drained instance's last requests are paid by nobody. Its grant was removed while a bill
-    // was still on its way.
+    // Guards against uncharged requests of a drained instance, whose grant is removed while a bill
+    // is still in transit.
     let (mut fleet, hold) = with_hold();
     let now = fleet.now;
     fleet.nodes[0].ledger.settle(now, hold, Tokens(150));
@@ -114,14 +115,14 @@
     for _ in 0..20 {
         fleet.round();
     }
-    let during = fleet.table.budget(GROUPS[0]);
+    let while_owed = fleet.table.budget(GROUPS[0]);
     assert!(!fleet.nodes[0].ledger.is_closed());
     let now = fleet.now;
     fleet.nodes[0].ledger.bill_durable(now, hold, Tokens(150));
     fleet.step(0, Fault::None);
     fleet.step(0, Fault::None);
 
-    assert_eq!(during.unallocated(), Tokens(850));
+    assert_eq!(while_owed.unallocated(), Tokens(850));
     assert!(fleet.nodes[0].ledger.is_closed());
     let after = fleet.table.budget(GROUPS[0]);
     assert_eq!((after.spent, after.grants.len()), (Tokens(150), 0));
@@ -129,7 +130,8 @@
 
 #[test]
 fn a_group_that_the_document_drops_gets_its_idle_money_back() {
-    // Symptom: a group that is moved elsewhere finds its money held by instances that no longer serve it.
+    // Guards against tokens that stay with instances that no longer serve a group after it was
+    // moved.
     let (mut fleet, hold) = with_hold();
     let now = fleet.now;
     fleet.nodes[0].ledger.release(now, hold);
@@ -144,7 +146,8 @@
 
 #[test]
 fn allowances_cover_the_outage_and_shrink_with_the_money() {
-    // Symptom: the last tokens lie in small pieces on many instances. An allowance follows what is free.
+    // Guards against the last tokens being split into small amounts on many instances. An allowance
+    // shrinks with the unallocated tokens.
     let policy = policy();
 
     let plenty = target(&policy, inputs(1_000_000));
@@ -158,7 +161,8 @@
 
 #[test]
 fn scarce_money_lies_where_the_callers_are() {
-    // Symptom: an outage finds as much money on instances without callers as on busy ones.
+    // Guards against an outage that finds as many tokens on instances without callers as on busy
+    // ones.
     let mut policy = policy();
     policy.share_percent = 50;
     policy.outage = Duration::from_secs(600);
--- a/crates/fescuewell_budget/tests/common/fleet.rs
+++ b/crates/fescuewell_budget/tests/common/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of ledgers around one table, with faults between them.
+//! A fleet of ledgers that share one table, with injected faults.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,45 +9,45 @@
 use fescuewell_core::prelude::*;
 use fescuewell_core::table::{Error, Reply, Step, Transaction, carry_out};
 
-use super::memory::Memory;
-use super::node::{GROUPS, Node, Open, Refused, check_node, policies};
+use super::memory::MemoryTable;
+use super::node::{GROUPS, Node, OpenHold, Refused, check_node, policies};
 
-/// What becomes of one step on its way to the table and back.
+/// What happens to one table operation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     None,
-    /// Carried out; the reply is lost.
+    /// Applied, but the reply is lost.
     ReplyLost,
-    /// Never arrives, and nobody can tell.
+    /// Never arrives, and the sender cannot know.
     RequestLost,
-    /// Arrives long after the sender was told that nothing is known.
-    Late,
+    /// Applied long after the sender was told that the outcome is unknown.
+    Delayed,
     Unreachable,
     Busy,
 }
 
-/// The fleet.
+/// Ledgers, their table, and the messages and writes in transit.
 pub struct Fleet {
     pub now: Instant,
-    pub table: Memory,
+    pub table: MemoryTable,
     pub nodes: Vec<Node>,
     pub messages: Vec<(Arc<str>, Arc<str>, Message)>,
-    pub late: Vec<Transaction>,
+    pub delayed_writes: Vec<Transaction>,
     pub reclaims: Vec<Reclaim>,
     pub refused: Vec<Refused>,
     pub granted: usize,
-    /// Charged to holders of the past.
-    past_charged: [Tokens; 2],
-    /// When each group last had more available than just before.
+    /// Tokens charged to terminated holders.
+    terminated_charged: [Tokens; 2],
+    /// When the available tokens of each group last increased.
     last_increase: [Instant; 2],
     policies: Vec<Policy>,
     seed: u64,
 }
 
 impl Fleet {
-    /// `size` instances; each group has `prepaid` tokens.
+    /// Creates a fleet of `size` instances; each group has `prepaid` tokens.
     pub fn new(size: usize, prepaid: Tokens, seed: u64) -> Self {
-        let table = Memory::default();
+        let table = MemoryTable::default();
         for group in GROUPS {
             table.top_up(group, prepaid);
         }
@@ -56,11 +56,11 @@
             table,
             nodes: Vec::new(),
             messages: Vec::new(),
-            late: Vec::new(),
+            delayed_writes: Vec::new(),
             reclaims: Vec::new(),
             refused: Vec::new(),
             granted: 0,
-            past_charged: [Tokens::ZERO; 2],
+            terminated_charged: [Tokens::ZERO; 2],
             last_increase: [Instant::from_millis(1_000); 2],
             policies: policies(),
             seed,
@@ -90,13 +90,13 @@
         }
     }
 
-    fn runs(&self, node: usize) -> bool {
+    fn is_running(&self, node: usize) -> bool {
         !self.nodes[node].is_paused
     }
 
-    /// A request arrives.
+    /// Handles the arrival of a request.
     pub fn request(&mut self, node: usize, group: usize, amount: Tokens) {
-        if self.runs(node) {
+        if self.is_running(node) {
             self.hold(node, group, amount);
         }
     }
@@ -107,7 +107,7 @@
         match node.ledger.hold(now, GroupKey(group as u32), amount) {
             Ok(key) => {
                 self.granted += 1;
-                node.open.push(Open {
+                node.open.push(OpenHold {
                     key,
                     group,
                     amount,
@@ -120,8 +120,8 @@
     }
 
     fn refuse(&mut self, group: usize, amount: Tokens, shortage: Shortage) {
-        // "Exhausted" has to be true: unless money came back within the last seconds, an all-seeing
-        // ledger must not have enough either.
+        // "Exhausted" must be true: unless tokens were released within the last seconds, a ledger
+        // with global knowledge could not grant the amount either.
         let is_settled = self.now.since(self.last_increase[group]) > Duration::from_secs(5);
         if shortage == Shortage::Exhausted && is_settled {
             let available = self.available(group);
@@ -137,7 +137,7 @@
         });
     }
 
-    /// The request's true cost becomes known.
+    /// Settles a request at its actual cost.
     pub fn settle(&mut self, index: usize, pick: usize, percent: u64) {
         let now = self.now;
         let node = &mut self.nodes[index];
@@ -156,10 +156,10 @@
         let group = open.group;
         assert_eq!(node.ledger.settle(now, open.key, cost), cost);
         self.last_increase[group] = now;
-        self.hear(index);
+        self.handle_output(index);
     }
 
-    /// The bill becomes durable, or turns out to be a duplicate.
+    /// Makes a bill durable, or absorbs it as a duplicate.
     pub fn bill(&mut self, index: usize, pick: usize, is_duplicate: bool) {
         let now = self.now;
         let node = &mut self.nodes[index];
@@ -182,10 +182,10 @@
         if is_duplicate {
             self.last_increase[open.group] = now;
         }
-        self.hear(index);
+        self.handle_output(index);
     }
 
-    /// A request did not run.
+    /// Releases the hold of a request that did not run.
     pub fn release(&mut self, index: usize, pick: usize) {
         let now = self.now;
         let node = &mut self.nodes[index];
@@ -199,16 +199,16 @@
         let open = node.open.swap_remove(position);
         node.ledger.release(now, open.key);
         self.last_increase[open.group] = now;
-        self.hear(index);
+        self.handle_output(index);
     }
 
-    /// Lets a node do one piece of table work; whether there was any.
+    /// Lets a node perform one table operation; returns whether there was any.
     pub fn step(&mut self, index: usize, fault: Fault) -> bool {
-        if !self.runs(index) {
+        if !self.is_running(index) {
             return false;
         }
         let step = self.nodes[index].ledger.next_step(self.now);
-        let did = step.is_some();
+        let had_step = step.is_some();
         if let Some(step) = step {
             let fault = match self.nodes[index].is_cut_off {
                 true => Fault::Unreachable,
@@ -217,8 +217,8 @@
             let reply = self.carry_out(&step, fault);
             self.nodes[index].ledger.reply(self.now, reply);
         }
-        self.hear(index);
-        did
+        self.handle_output(index);
+        had_step
     }
 
     fn carry_out(&mut self, step: &Step, fault: Fault) -> Reply {
@@ -232,17 +232,17 @@
                 Reply::Failed(Error::Unknown { reason })
             }
             Fault::RequestLost => Reply::Failed(Error::Unknown { reason }),
-            Fault::Late => {
+            Fault::Delayed => {
                 if let Step::Commit(transaction) = step {
-                    self.late.push(transaction.clone());
+                    self.delayed_writes.push(transaction.clone());
                 }
                 Reply::Failed(Error::Unknown { reason })
             }
         }
     }
 
-    /// Takes a node's messages and news.
-    fn hear(&mut self, index: usize) {
+    /// Handles the outgoing messages and notifications of a node.
+    fn handle_output(&mut self, index: usize) {
         let node = &mut self.nodes[index];
         let from = node.holder.clone();
         for outgoing in node.ledger.take_outbox() {
@@ -251,9 +251,9 @@
         }
         for notification in node.ledger.take_notifications() {
             match notification {
-                Notification::Funded(group) => self.ask_again(index, group.0 as usize),
+                Notification::Funded(group) => self.retry_waiting(index, group.0 as usize),
                 Notification::Refused(group, shortage) => {
-                    self.turn_away(index, group.0 as usize, shortage)
+                    self.refuse_waiting(index, group.0 as usize, shortage)
                 }
                 Notification::Lost(group) => panic!("{group:?} lost by a live holder"),
                 _ => {}
@@ -266,13 +266,13 @@
         waiting.extract_if(.., |(of, _)| *of == group).collect()
     }
 
-    fn ask_again(&mut self, index: usize, group: usize) {
+    fn retry_waiting(&mut self, index: usize, group: usize) {
         for (group, amount) in self.take_waiting(index, group) {
             self.hold(index, group, amount);
         }
     }
 
-    fn turn_away(&mut self, index: usize, group: usize, shortage: Shortage) {
+    fn refuse_waiting(&mut self, index: usize, group: usize, shortage: Shortage) {
         for (group, amount) in self.take_waiting(index, group) {
             self.refuse(group, amount, shortage);
         }
@@ -286,19 +286,21 @@
         let pick = pick % self.messages.len();
         let (from, to, message) = self.messages.remove(pick);
         let position = self.nodes.iter().position(|node| node.holder == to);
-        let Some(index) = position.filter(|&index| !is_lost && self.runs(index)) else {
+        let Some(index) = position.filter(|&index| !is_lost && self.is_running(index)) else {
             return;
         };
         self.nodes[index].ledger.receive(self.now, from, message);
-        self.hear(index);
+        self.handle_output(index);
     }
 
-    /// Lets a write arrive that its sender was told nothing about.
-    pub fn land_late(&mut self, pick: usize) {
-        if self.late.is_empty() {
+    /// Applies a delayed write whose sender does not know the outcome.
+    pub fn deliver_delayed(&mut self, pick: usize) {
+        if self.delayed_writes.is_empty() {
             return;
         }
-        let transaction = self.late.swap_remove(pick % self.late.len());
+        let transaction = self
+            .delayed_writes
+            .swap_remove(pick % self.delayed_writes.len());
         carry_out(&self.table, &Step::Commit(transaction));
     }
 
@@ -307,25 +309,27 @@
         self.last_increase[group] = self.now;
     }
 
-    /// A node dies. The sweep has settled its streams: what was settled is charged at cost, what was
-    /// open at its hold ("in doubt"). The reclaim starts, and a new incarnation takes its place.
+    /// Terminates a node and starts its next incarnation and the reclaim.
+    ///
+    /// The sweep has settled the node's streams: settled requests are charged at cost, open ones at
+    /// their hold ("in doubt").
     pub fn kill(&mut self, index: usize) {
         let incarnation = self.nodes[index].incarnation + 1;
         let fresh = self.start(index, incarnation);
-        let mut dead = std::mem::replace(&mut self.nodes[index], fresh);
-        for open in &dead.open {
-            dead.charged[open.group] += open.cost.unwrap_or(open.amount);
+        let mut terminated = std::mem::replace(&mut self.nodes[index], fresh);
+        for open in &terminated.open {
+            terminated.charged[open.group] += open.cost.unwrap_or(open.amount);
         }
         let mut totals: Vec<(Arc<str>, Tokens)> = Vec::new();
         for (group, name) in GROUPS.iter().enumerate() {
-            self.past_charged[group] += dead.charged[group];
-            totals.push(((*name).into(), dead.charged[group]));
+            self.terminated_charged[group] += terminated.charged[group];
+            totals.push(((*name).into(), terminated.charged[group]));
         }
-        let reclaim = Reclaim::new(dead.holder, &totals, self.seed);
+        let reclaim = Reclaim::new(terminated.holder, &totals, self.seed);
         self.reclaims.push(reclaim);
     }
 
-    /// One piece of work of a reclaim.
+    /// Lets a reclaim perform one table operation.
     pub fn reclaim(&mut self, pick: usize, fault: Fault) {
         if self.reclaims.is_empty() {
             return;
@@ -337,21 +341,21 @@
         }
     }
 
-    /// Asks a node to drain.
+    /// Starts draining a node.
     pub fn close(&mut self, index: usize) {
-        if self.runs(index) && !self.nodes[index].is_closing {
+        if self.is_running(index) && !self.nodes[index].is_closing {
             self.nodes[index].is_closing = true;
             self.nodes[index].ledger.close(self.now);
-            self.hear(index);
+            self.handle_output(index);
         }
     }
 
-    /// A node that takes requests; the first is replaced if all are draining.
+    /// Returns a node that accepts requests; the first is replaced if all are draining.
     pub fn open_node(&mut self) -> usize {
         let open = self.nodes.iter().position(|node| !node.is_closing);
         open.unwrap_or_else(|| {
             self.kill(0);
-            self.heal();
+            self.recover();
             0
         })
     }
@@ -360,15 +364,16 @@
         self.now = self.now + Duration::from_millis(millis);
     }
 
-    /// What an all-seeing ledger could still hand out: prepaid less charged, held and owed.
+    /// Tokens that a ledger with global knowledge could grant: prepaid minus charged, held and
+    /// owed.
     pub fn available(&self, group: usize) -> Tokens {
         let prepaid = self.table.budget(GROUPS[group]).prepaid;
         prepaid.minus(self.used(group))
     }
 
-    /// Charged, held and owed anywhere.
+    /// Tokens charged, held or owed anywhere.
     pub fn used(&self, group: usize) -> Tokens {
-        let mut used = self.past_charged[group];
+        let mut used = self.terminated_charged[group];
         for node in &self.nodes {
             used += node.charged[group];
             let open = node.open.iter().filter(|open| open.group == group);
@@ -377,7 +382,7 @@
         used
     }
 
-    /// What must hold after every step.
+    /// Checks the invariants that must hold after every step.
     pub fn check(&self) {
         for (group, name) in GROUPS.iter().enumerate() {
             let budget = self.table.budget(name);
@@ -394,14 +399,14 @@
         }
     }
 
-    /// One round without faults: everybody works and all messages arrive.
+    /// Runs one round without faults: all nodes and reclaims proceed and all messages arrive.
     pub fn round(&mut self) {
         self.advance(50);
         for index in 0..self.nodes.len() {
             let mut steps = 0;
             while self.step(index, Fault::None) {
                 steps += 1;
-                assert!(steps < 100, "a ledger keeps the table busy without end");
+                assert!(steps < 100, "a ledger issues table steps without end");
             }
         }
         for index in 0..self.reclaims.len() {
@@ -412,10 +417,10 @@
         }
     }
 
-    /// Ends all faults and lets what is under way end.
-    pub fn heal(&mut self) {
-        while !self.late.is_empty() {
-            self.land_late(0);
+    /// Ends all faults and finishes everything in progress.
+    pub fn recover(&mut self) {
+        while !self.delayed_writes.is_empty() {
+            self.deliver_delayed(0);
             self.check();
         }
         for node in &mut self.nodes {
@@ -427,15 +432,19 @@
             self.check();
         }
         for node in &self.nodes {
-            assert!(node.waiting.is_empty(), "{} waits for ever", node.holder);
+            assert!(
+                node.waiting.is_empty(),
+                "{} still has waiting requests",
+                node.holder
+            );
         }
         assert!(
             self.reclaims.iter().all(Reclaim::is_done),
-            "a reclaim is stuck"
+            "a reclaim is not done"
         );
     }
 
-    /// Settles and bills everything.
+    /// Settles and bills all open requests.
     pub fn finish_requests(&mut self) {
         for index in 0..self.nodes.len() {
             while !self.nodes[index].open.is_empty() {
--- a/crates/fescuewell_budget/tests/common/memory.rs
+++ b/crates/fescuewell_budget/tests/common/memory.rs
@@ -1,4 +1,4 @@
-//! A table in memory that counts its work.
+//! An in-memory table that counts its operations.
 
 #![allow(dead_code, reason = "each program uses its own part of the fixtures")]
 
@@ -17,7 +17,7 @@
     counts: Counts,
 }
 
-/// What the table has been asked to do.
+/// Number of operations performed.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Counts {
     pub reads: u64,
@@ -26,30 +26,30 @@
     pub rows_written: u64,
 }
 
-/// The table.
+/// An in-memory table.
 #[derive(Debug, Default)]
-pub struct Memory {
+pub struct MemoryTable {
     content: Mutex<Content>,
 }
 
-impl Memory {
+impl MemoryTable {
     pub fn counts(&self) -> Counts {
         self.content.lock().unwrap().counts
     }
 
-    /// A group's row.
+    /// Returns the content of a group's row.
     pub fn budget(&self, group: &str) -> Budget {
         let content = self.content.lock().unwrap();
         let row = &content.rows[&row::key(group)];
         Budget::parse(&row.value).unwrap()
     }
 
-    /// Adds to the prepaid total, as the console does.
+    /// Increases the prepaid total, as the console does.
     pub fn top_up(&self, group: &str, amount: Tokens) {
         self.change(group, |budget| budget.prepaid += amount);
     }
 
-    /// Adds to what closed holders spent.
+    /// Increases the amount spent by closed holders.
     pub fn spend(&self, group: &str, amount: Tokens) {
         self.change(group, |budget| budget.spent += amount);
     }
@@ -72,7 +72,7 @@
     }
 }
 
-impl Table for Memory {
+impl Table for MemoryTable {
     fn commit(&self, transaction: &Transaction) -> Result<Outcome, Error> {
         let mut content = self.content.lock().unwrap();
         content.counts.commits += 1;
--- a/crates/fescuewell_budget/tests/common/mod.rs
+++ b/crates/fescuewell_budget/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures: a table in memory and a small fleet of ledgers whose messages and writes can go wrong.
+//! Fixtures: an in-memory table and a small fleet of ledgers with faults in messages and writes.
 
 #![allow(dead_code, reason = "each test file uses its own part of the fixtures")]
 
--- a/crates/fescuewell_budget/tests/common/node.rs
+++ b/crates/fescuewell_budget/tests/common/node.rs
@@ -1,4 +1,4 @@
-//! One instance of the test fleet, as the fleet sees it.
+//! One instance of the test fleet.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,20 +7,20 @@
 use fescuewell_budget::{HoldKey, Ledger, Policy, Shortage};
 use fescuewell_core::prelude::*;
 
-/// Names of the groups that the fleet knows.
+/// Names of the groups in the fleet.
 pub const GROUPS: [&str; 2] = ["signwise", "reef-relay"];
 
-/// A hold as the node sees it.
+/// An open hold and the request's cost.
 #[derive(Debug, Clone, Copy)]
-pub struct Open {
+pub struct OpenHold {
     pub key: HoldKey,
     pub group: usize,
     pub amount: Tokens,
-    /// The true cost once settled.
+    /// The actual cost once settled.
     pub cost: Option<Tokens>,
 }
 
-/// One instance.
+/// One instance and its requests.
 #[derive(Debug)]
 pub struct Node {
     pub ledger: Ledger,
@@ -28,14 +28,14 @@
     pub is_paused: bool,
     pub is_cut_off: bool,
     pub is_closing: bool,
-    pub open: Vec<Open>,
+    pub open: Vec<OpenHold>,
     pub waiting: Vec<(usize, Tokens)>,
-    /// What the slots charged to this holder, for each group.
+    /// Tokens charged to this holder in the slots, for each group.
     pub charged: [Tokens; 2],
     pub incarnation: u32,
 }
 
-/// A refusal that some request was given.
+/// A refused request.
 #[derive(Debug, Clone, Copy)]
 pub struct Refused {
     pub group: usize,
@@ -43,7 +43,7 @@
     pub shortage: Shortage,
 }
 
-/// Checks that a node may spend no more than the row grants it.
+/// Checks that a node cannot spend more than its grant in the row.
 pub fn check_node(node: &Node, group: usize, budget: &Budget) {
     let lines = node.ledger.snapshot();
     let mut lines = lines.iter();
@@ -53,7 +53,7 @@
     let granted = budget.grants.get(&node.holder);
     let granted = granted.map(|grant| grant.granted).unwrap_or_default();
     let committed = line.spent + line.held + line.owed + line.idle;
-    // A closed ledger has moved what it spent from its grant to the row's total.
+    // A closed ledger has moved its spending from its grant to the row's total.
     let is_removed = granted.is_zero() && line.idle.is_zero();
     assert!(
         committed <= granted || is_removed,
@@ -62,7 +62,7 @@
     );
 }
 
-/// One group sized tightly, one for long outages.
+/// One group with small allowances and one for long outages.
 pub fn policies() -> Vec<Policy> {
     let sizes = [(20, 5, 20), (120, 25, 50)];
     let sizes = GROUPS.iter().enumerate().zip(sizes);
--- a/crates/fescuewell_budget/tests/faults.rs
+++ b/crates/fescuewell_budget/tests/faults.rs
@@ -1,4 +1,5 @@
-//! Several ledgers and a table that loses replies: no schedule of faults may overspend or strand money.
+//! Random schedules of faults on several ledgers and a table that loses replies. No schedule may
+//! overspend tokens or leave any that cannot be drawn.
 
 mod common;
 
@@ -7,7 +8,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// One thing that happens to the fleet.
+/// One event in the fleet.
 #[derive(Debug, Clone, Copy)]
 enum Op {
     Request {
@@ -43,7 +44,7 @@
         pick: usize,
         is_lost: bool,
     },
-    LandLate {
+    DeliverDelayed {
         pick: usize,
     },
     TopUp {
@@ -95,7 +96,7 @@
         Op::Rounds { count } => (0..count).for_each(|_| fleet.round()),
         Op::Advance { millis } => fleet.advance(millis),
         Op::Deliver { pick, is_lost } => fleet.deliver(pick, is_lost),
-        Op::LandLate { pick } => fleet.land_late(pick),
+        Op::DeliverDelayed { pick } => fleet.deliver_delayed(pick),
         Op::TopUp { group, amount } => fleet.top_up(group, Tokens(amount)),
         Op::Pause { node, is_paused } => fleet.nodes[node % size].is_paused = is_paused,
         Op::CutOff { node, is_cut_off } => fleet.nodes[node % size].is_cut_off = is_cut_off,
@@ -105,20 +106,21 @@
     }
 }
 
-/// Runs the ops, ends all faults, and checks that every token can be spent and is accounted for.
+/// Applies the events, ends all faults, and checks that every token can be spent and is accounted
+/// for.
 fn run(size: usize, prepaid: u64, ops: &[Op]) {
     let mut fleet = Fleet::new(size, Tokens(prepaid), 11);
     for &op in ops {
         apply(&mut fleet, op);
         fleet.check();
     }
-    fleet.heal();
+    fleet.recover();
     fleet.finish_requests();
     for group in 0..2 {
         let everything = fleet.available(group);
         let node = fleet.open_node();
         let is_granted = everything.is_zero() || fleet.is_granted(node, group, everything, 200);
-        assert!(is_granted, "the last {everything} tokens cannot be had");
+        assert!(is_granted, "the last {everything} tokens cannot be drawn");
     }
     fleet.finish_requests();
     fleet.close_all();
@@ -129,7 +131,7 @@
         6 => Just(Fault::None),
         2 => Just(Fault::ReplyLost),
         1 => Just(Fault::RequestLost),
-        2 => Just(Fault::Late),
+        2 => Just(Fault::Delayed),
         1 => Just(Fault::Unreachable),
         1 => Just(Fault::Busy),
     ]
@@ -152,7 +154,7 @@
         1 => (10_000..400_000u64).prop_map(|millis| Op::Advance { millis }),
         8 => (pick(), prop::bool::weighted(0.2))
             .prop_map(|(pick, is_lost)| Op::Deliver { pick, is_lost }),
-        3 => pick().prop_map(|pick| Op::LandLate { pick }),
+        3 => pick().prop_map(|pick| Op::DeliverDelayed { pick }),
         1 => (0..2usize, 1..2_000u64).prop_map(|(group, amount)| Op::TopUp { group, amount }),
         2 => (node(), any::<bool>()).prop_map(|(node, is_paused)| Op::Pause { node, is_paused }),
         2 => (node(), any::<bool>()).prop_map(|(node, is_cut_off)| Op::CutOff { node, is_cut_off }),
@@ -162,7 +164,7 @@
     ]
 }
 
-/// How many schedules are tried in an ordinary run; `FESCUEWELL_CASES` asks for more.
+/// Default number of schedules; `FESCUEWELL_CASES` overrides it.
 const CASES: u32 = 300;
 
 fn config() -> ProptestConfig {
--- a/crates/fescuewell_budget/tests/regressions.rs
+++ b/crates/fescuewell_budget/tests/regressions.rs
@@ -1,4 +1,5 @@
-//! Failures that the random schedules of `faults.rs` found, or that the design names, step by step.
+//! Step-by-step regression tests for failures that the random schedules of `faults.rs` found or
+//! that the design has to rule out.
 
 mod common;
 
@@ -29,15 +30,15 @@
 
 #[test]
 fn a_draw_whose_reply_is_lost_is_not_made_twice() {
-    // Symptom: an allowance stands in the row with nobody to spend it. A draw took effect and its
-    // reply was lost; the holder drew again instead of looking for the id of its draw.
+    // Guards against an orphaned allowance in the row: a draw takes effect, its reply is lost, and
+    // the holder draws again instead of checking the row for its draw id.
     let mut fleet = fleet(10_000);
     fleet.request(0, 0, Tokens(500));
     fleet.step(0, Fault::None);
 
     fleet.step(0, Fault::ReplyLost);
     let drawn = granted(&fleet, 0);
-    fleet.heal();
+    fleet.recover();
 
     assert!(drawn >= Tokens(500));
     assert_eq!(granted(&fleet, 0), drawn);
@@ -46,23 +47,23 @@
 
 #[test]
 fn a_draw_that_never_arrived_is_made_again() {
-    // Symptom: a request waits for ever. The transaction was lost on its way; the rows are unchanged when
-    // they are read back, and the ledger has to send the same transaction once more.
+    // Guards against a request that waits forever: the transaction is lost in transit, the rows
+    // read back are unchanged, and the ledger has to send the same transaction again.
     let mut fleet = fleet(10_000);
     fleet.request(0, 0, Tokens(500));
     fleet.step(0, Fault::None);
 
     fleet.step(0, Fault::RequestLost);
-    fleet.heal();
+    fleet.recover();
 
     assert_eq!(fleet.granted, 1);
 }
 
 #[test]
 fn a_return_that_arrives_late_is_not_spent_twice() {
-    // Symptom: overspend by the amount of a return. The return was on its way when the holder was told
-    // that nothing is known; it read the row, saw it unchanged, and spent the amount that then
-    // arrived and was drawn by another.
+    // Guards against overspending by the amount of a return: the return is delayed and its outcome
+    // unknown, the holder reads the row unchanged and spends the amount, and then the return
+    // arrives and another holder draws it.
     let mut fleet = fleet(1_000);
     fleet.request(0, 0, Tokens(900));
     fleet.round();
@@ -72,23 +73,23 @@
     fleet.step(1, Fault::None);
     fleet.deliver(0, false);
 
-    fleet.step(0, Fault::Late);
+    fleet.step(0, Fault::Delayed);
     assert_eq!(idle(&fleet, 0), Tokens::ZERO);
     fleet.advance(200);
     fleet.step(0, Fault::None);
     assert_eq!(idle(&fleet, 0), Tokens::ZERO);
-    fleet.land_late(0);
+    fleet.deliver_delayed(0);
     fleet.check();
-    fleet.heal();
+    fleet.recover();
 
     assert_eq!(fleet.used(0), Tokens(900));
 }
 
 #[test]
 fn the_table_s_return_is_noticed_when_nothing_else_is_due() {
-    // Symptom: every request is refused as "unknown" for good after a short outage. A read failed; the
-    // request that had asked for it was refused; with nothing due no further step was taken, so the
-    // table was taken to be down for ever.
+    // Guards against endless "unknown" refusals after a short outage: a read fails and its request
+    // is refused. With nothing else due, no further operation is issued and the table counts as
+    // down.
     let mut fleet = fleet(1_000);
     fleet.request(0, 0, Tokens(1));
     fleet.step(0, Fault::ReplyLost);
@@ -96,30 +97,31 @@
     fleet.step(0, Fault::ReplyLost);
 
     fleet.request(0, 0, Tokens(1));
-    fleet.heal();
+    fleet.recover();
 
     assert!(fleet.is_granted(0, 0, Tokens(1), 50));
 }
 
 #[test]
 fn a_dead_holder_s_draw_does_not_land_behind_the_reclaim() {
-    // Symptom: the last tokens cannot be had. A holder died with a draw on its way; the reclaim passed
-    // the row, which had no grant yet; then the draw landed, and nobody owned it.
+    // Guards against lost tokens: a holder dies with a draw in transit, the reclaim passes the row,
+    // which has no grant yet, and then the draw takes effect without an owner.
     let mut fleet = fleet(1_000);
     fleet.request(2, 0, Tokens(100));
     fleet.step(2, Fault::None);
-    fleet.step(2, Fault::Late);
+    fleet.step(2, Fault::Delayed);
 
     fleet.kill(2);
-    fleet.heal();
+    fleet.recover();
 
     assert!(fleet.is_granted(0, 0, Tokens(1_000), 100));
 }
 
 #[test]
 fn a_holder_that_was_declared_ended_stops_spending() {
-    // Symptom: overspend by a holder that the instance list called terminated while it still ran. Its
-    // idle money was freed and drawn by another; its next write has to tell it so.
+    // Guards against overspending by a running holder that the instance list reports as terminated.
+    // Its idle tokens were freed and drawn by another holder; its next write must fail on the
+    // fence.
     let mut fleet = fleet(1_000);
     fleet.request(0, 0, Tokens(400));
     fleet.round();
@@ -153,8 +155,8 @@
 
 #[test]
 fn exhausted_is_not_said_when_a_third_holder_drew_meanwhile() {
-    // Symptom: "exhausted" while another instance has idle money. The first holder was asked and returned
-    // everything; a third one, which was not in the row when the recall began, drew it.
+    // Guards against "exhausted" while another instance has idle tokens: the first holder returns
+    // everything, and a third holder, not in the row when the recall started, draws it.
     let mut fleet = fleet(180);
     fleet.request(0, 0, Tokens(126));
     fleet.round();
@@ -164,7 +166,7 @@
     fleet.request(1, 0, Tokens(125));
     fleet.request(2, 0, Tokens(55));
 
-    fleet.heal();
+    fleet.recover();
 
     let exhausted = fleet.refused.iter();
     let exhausted = exhausted.filter(|refused| refused.shortage == Shortage::Exhausted);
@@ -173,23 +175,23 @@
 
 #[test]
 fn exhausted_is_not_said_from_an_old_view() {
-    // Symptom: "exhausted" right after a top-up. The process paused between its look at the row and its
-    // verdict, and the top-up came during the pause.
+    // Guards against "exhausted" right after a top-up: the process pauses between reading the row
+    // and refusing, and the top-up arrives during the pause.
     let mut fleet = fleet(100);
     fleet.request(0, 0, Tokens(101));
     fleet.step(0, Fault::None);
     fleet.top_up(0, Tokens(1));
 
     fleet.advance(10_000);
-    fleet.heal();
+    fleet.recover();
 
     assert_eq!(fleet.granted, 1);
 }
 
 #[test]
 fn a_silent_holder_makes_the_refusal_say_in_use() {
-    // Symptom: "exhausted" although the money is only cut off. A holder with idle money does not answer
-    // the recall; whether it has ended cannot be known here.
+    // Guards against "exhausted" while tokens are only unreachable: a holder with idle tokens does
+    // not reply to the recall, and whether it has terminated is unknown here.
     let mut fleet = fleet(100);
     fleet.request(0, 0, Tokens(100));
     fleet.round();
@@ -206,8 +208,8 @@
 
 #[test]
 fn exhausted_ends_with_a_top_up() {
-    // Symptom: a topped-up group goes on being refused. The refusal is repeated without a look at the row
-    // for a while, but not for good.
+    // Guards against refusals that continue after a top-up: the refusal is cached and repeated
+    // without reading the row, but only for a limited time.
     let mut fleet = fleet(100);
     fleet.request(0, 0, Tokens(100));
     fleet.round();
@@ -229,8 +231,8 @@
 
 #[test]
 fn an_outage_is_survived_from_the_allowance() {
-    // Symptom: requests are refused as soon as the table is down. What was drawn ahead has to last;
-    // after that the refusal says that the budget is not known, rather than that it is spent.
+    // Guards against refusals as soon as the table is down. The allowance drawn in advance has to
+    // last; after that the refusal must be "unknown" and not "exhausted".
     let mut fleet = fleet(1_000_000);
     for _ in 0..200 {
         fleet.request(0, 1, Tokens(100));
@@ -264,8 +266,8 @@
 
 #[test]
 fn a_repeated_or_foreign_message_moves_no_money() {
-    // Symptom: money appears or vanishes with a message. Messages arrive twice, late, or from holders
-    // that were never asked; only the table may change what may be spent.
+    // Guards against messages that change the available tokens. Messages may be duplicated, late,
+    // or from holders that were never asked; only the table may change what can be spent.
     let mut fleet = fleet(1_000);
     fleet.request(0, 0, Tokens(100));
     fleet.round();
@@ -289,8 +291,8 @@
 
 #[test]
 fn a_reclaim_whose_replies_are_lost_frees_each_grant_once() {
-    // Symptom: a dead holder's spending is counted twice. The removal took effect, its reply was lost, and
-    // the reclaim did it again.
+    // Guards against counting the spending of a terminated holder twice: the removal takes effect,
+    // its reply is lost, and the reclaim repeats it.
     let mut fleet = fleet(1_000);
     fleet.request(0, 0, Tokens(300));
     fleet.round();
@@ -312,7 +314,7 @@
 
 #[test]
 fn a_group_without_a_row_is_unknown() {
-    // Symptom: a group that the console has not written yet is told that its budget is spent.
+    // Guards against "exhausted" for a group whose row the console has not written yet.
     let mut fleet = fleet(1_000);
     let policy = fescuewell_budget::Policy {
         key: GroupKey(7),
@@ -342,8 +344,8 @@
 
 #[test]
 fn ledgers_spread_out_when_the_table_returns() {
-    // Symptom: the table goes down again under its own clients. All instances failed at the same moment
-    // and came back at the same moment.
+    // Guards against overloading a recovered table: all instances fail at the same time and must
+    // not retry at the same time.
     let mut fleet = Fleet::new(9, Tokens(100_000), 11);
     for node in 0..9 {
         fleet.request(node, 0, Tokens(10));
@@ -358,24 +360,27 @@
         fleet.now = Instant::from_millis(1_000);
     }
 
-    // Every ledger has just failed for the sixth time; look when each one comes back.
+    // Every ledger has just failed for the sixth time; find the tick at which each one retries.
     let start = Instant::from_millis(1_000) + Duration::from_secs(25);
-    let mut comebacks = vec![0; 41];
+    let mut retries_per_tick = vec![0; 41];
     for node in &mut fleet.nodes {
-        let back = (0..41).find(|tick| {
+        let tick = (0..41).find(|tick| {
             let now = start + Duration::from_millis(50) * *tick;
             node.ledger.next_step(now).is_some()
         });
-        comebacks[back.expect("no pause is longer than two seconds") as usize] += 1;
+        retries_per_tick[tick.expect("no pause is longer than two seconds") as usize] += 1;
     }
 
-    assert!(comebacks.iter().all(|&count| count <= 4), "{comebacks:?}");
+    assert!(
+        retries_per_tick.iter().all(|&count| count <= 4),
+        "{retries_per_tick:?}"
+    );
 }
 
 #[test]
 fn many_groups_share_one_transaction() {
-    // Symptom: table writes grow with the number of budgets. Draws that are due together have to go
-    // together, in batches.
+    // Guards against table writes that grow with the number of budgets. Draws due at the same time
+    // must be batched.
     let mut fleet = fleet(1_000);
     let names: Vec<String> = (0..70).map(|index| format!("salon-{index}")).collect();
     let policies: Vec<fescuewell_budget::Policy> = names
