--- a/crates/fescuewell_budget/examples/footprint.rs
+++ b/crates/fescuewell_budget/examples/footprint.rs
@@ -46,12 +46,12 @@
         }
     }
     let each = started.elapsed() / (ROUNDS as u32 * in_use);
-    let recent_tick = time_step(&mut ledger, table, now + Duration::from_secs(1));
+    let recent_tick = measure_step(&mut ledger, table, now + Duration::from_secs(1));
     for _ in 0..200 {
         now = now + Duration::from_secs(1);
         run_table_steps(&mut ledger, table, now);
     }
-    let later_tick = time_step(&mut ledger, table, now + Duration::from_secs(1));
+    let later_tick = measure_step(&mut ledger, table, now + Duration::from_secs(1));
     println!("{GROUPS} groups known, {in_use} in use, {HOLDERS} holders in each row");
     println!("memory: {known} bytes for each known group, {used} more for each in use");
     println!("hold, settle and bill: {} ns a request", each.as_nanos());
@@ -66,7 +66,7 @@
 }
 
 /// Measures one step that checks every group in use.
-fn time_step(ledger: &mut Ledger, table: &MemoryTable, now: Instant) -> Duration {
+fn measure_step(ledger: &mut Ledger, table: &MemoryTable, now: Instant) -> Duration {
     let started = std::time::Instant::now();
     let step = ledger.next_step(now);
     let elapsed = started.elapsed();
--- a/crates/fescuewell_budget/src/policy.rs
+++ b/crates/fescuewell_budget/src/policy.rs
@@ -52,8 +52,8 @@
         /// Maximum idle tokens of one instance, in percent of the tokens within its reach
         /// (unallocated or idle at it).
         pub share_percent: u8,
-        /// Minimum target of an allowance while [`crate::sizing::MIN_ALLOWANCE_FACTOR`] times as much is
-        /// within reach.
+        /// Minimum target of an allowance, while [`crate::sizing::MIN_ALLOWANCE_FACTOR`] times as
+        /// much is within reach.
         #[serde(rename = "least")]
         pub min_allowance: Tokens,
     }
