--- a/crates/fescuewell_claims/examples/measure.rs
+++ b/crates/fescuewell_claims/examples/measure.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use fescuewell_claims::arbiter::{Arbiter, Settings};
-use fescuewell_claims::courier::{self, Ask, Cost, Courier};
+use fescuewell_claims::client::{self, Ask, Cost, Courier};
 use fescuewell_claims::message::{Assignment, Bill, Claim, Owner, Reply, Request};
 use fescuewell_claims::{message, stream};
 use fescuewell_core::prelude::*;
@@ -332,7 +332,7 @@
 
 fn measure_courier(count: u64) {
     let now = Instant::from_millis(0);
-    let mut courier = Courier::new(courier::Settings::default(), "entry-1.18c5a2f3b7", 7);
+    let mut courier = Courier::new(client::Settings::default(), "entry-1.18c5a2f3b7", 7);
     let before = resident();
     let began = std::time::Instant::now();
     for index in 0..count {
--- a/crates/fescuewell_claims/src/courier.rs
+++ b/crates/fescuewell_claims/src/client.rs
@@ -11,7 +11,7 @@
 //! room for the bill of every request under way.
 //!
 //! ```
-//! use fescuewell_claims::courier::{Ask, Courier, Event, Settings};
+//! use fescuewell_claims::client::{Ask, Courier, Event, Settings};
 //! use fescuewell_claims::message::Reply;
 //! use fescuewell_core::prelude::*;
 //!
--- a/crates/fescuewell_claims/src/lib.rs
+++ b/crates/fescuewell_claims/src/lib.rs
@@ -1,7 +1,7 @@
 //! Request identity: slots, claims, bills and the sweep of dead instances, as pure state machines.
 //!
 //! The space of request identities is cut into slots. One entry instance at a time holds a slot and
-//! arbitrates the requests in it (arbiter); the routers ask it through a [`courier`]. The holder
+//! arbitrates the requests in it (arbiter); the routers ask it through a [`client`]. The holder
 //! keeps each slot's state in a [`ledger`], writes it to the table's log in group commits, and its
 //! successor reads that log before it answers anything. When an instance is terminated, a [`sweep`]
 //! settles what it left open.
@@ -21,7 +21,7 @@
 //! repeated, and any bill that was answered.
 
 pub mod arbiter;
-pub mod courier;
+pub mod client;
 pub mod ledger;
 pub mod message;
 pub mod note;
--- a/crates/fescuewell_claims/tests/courier.rs
+++ b/crates/fescuewell_claims/tests/courier.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use fescuewell_claims::courier::{Ask, Cost, Courier, Event, Settings};
+use fescuewell_claims::client::{Ask, Cost, Courier, Event, Settings};
 use fescuewell_claims::message::{Reply, Request};
 use fescuewell_core::prelude::{Digest, Instant, Tokens};
 
--- a/crates/fescuewell_claims/tests/fleet/world.rs
+++ b/crates/fescuewell_claims/tests/fleet/world.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use fescuewell_claims::arbiter;
-use fescuewell_claims::courier::{self, Ask, Cost, Courier, Event as Learned, Outgoing};
+use fescuewell_claims::client::{self, Ask, Cost, Courier, Event as Learned, Outgoing};
 use fescuewell_claims::message::{Assignment, Known, Owner, Reply, Request};
 use fescuewell_claims::stream;
 use fescuewell_claims::sweep::{self, Action, Progress, Record, Sweep};
@@ -81,9 +81,9 @@
         flush_interval: Duration::from_millis(100),
         ..support::settings()
     };
-    let asking = courier::Settings {
+    let asking = client::Settings {
         slots: SLOTS,
-        ..courier::Settings::default()
+        ..client::Settings::default()
     };
     let seed = (index as u64) << 32 | u64::from(incarnation);
     Instance {
--- a/crates/fescuewell_node/src/admit.rs
+++ b/crates/fescuewell_node/src/admit.rs
@@ -5,7 +5,7 @@
 //! more than what was granted to its routers, at worst to more than was prepaid.
 
 use fescuewell_budget::hold::Shortage;
-use fescuewell_claims::courier::Ask;
+use fescuewell_claims::client::Ask;
 use fescuewell_claims::message::{Known, Owner};
 use fescuewell_core::prelude::*;
 use fescuewell_queue::admission::Entry;
--- a/crates/fescuewell_node/src/node.rs
+++ b/crates/fescuewell_node/src/node.rs
@@ -5,7 +5,7 @@
 
 use fescuewell_budget::ledger::Ledger;
 use fescuewell_claims::arbiter::Arbiter;
-use fescuewell_claims::courier::Courier;
+use fescuewell_claims::client::Courier;
 use fescuewell_core::prelude::*;
 use fescuewell_core::table;
 use fescuewell_document::model::Document;
--- a/crates/fescuewell_node/src/pump.rs
+++ b/crates/fescuewell_node/src/pump.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use fescuewell_budget::message::News;
-use fescuewell_claims::courier::{Event as CourierEvent, Outgoing};
+use fescuewell_claims::client::{Event as CourierEvent, Outgoing};
 use fescuewell_claims::message::{Known, Reply};
 use fescuewell_core::prelude::*;
 use fescuewell_core::table;
--- a/crates/fescuewell_node/src/settings.rs
+++ b/crates/fescuewell_node/src/settings.rs
@@ -12,7 +12,7 @@
     /// Slots held here.
     pub arbiter: fescuewell_claims::arbiter::Settings,
     /// Claims and bills of this instance's own requests.
-    pub courier: fescuewell_claims::courier::Settings,
+    pub courier: fescuewell_claims::client::Settings,
     /// The queue.
     pub queue: fescuewell_queue::admission::Settings,
     /// What this instance keeps running on each backend server.
@@ -58,7 +58,7 @@
                 poll_interval: poll_interval(instances),
                 ..Default::default()
             },
-            courier: fescuewell_claims::courier::Settings {
+            courier: fescuewell_claims::client::Settings {
                 slots: SLOTS,
                 ..Default::default()
             },
--- a/crates/fescuewell_node/src/settle.rs
+++ b/crates/fescuewell_node/src/settle.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fescuewell_claims::courier::Cost;
+use fescuewell_claims::client::Cost;
 use fescuewell_claims::message::Answer;
 use fescuewell_core::prelude::*;
 use fescuewell_queue::limit::Outcome as LimitOutcome;
