--- a/crates/fescuewell_bench/src/capacity/claims.rs
+++ b/crates/fescuewell_bench/src/capacity/claims.rs
@@ -46,7 +46,7 @@
             log: Vec::new(),
         };
         let slots: Vec<SlotKey> = (0..SLOTS).map(SlotKey).collect();
-        holder.arbiter.want(holder.now, &slots);
+        holder.arbiter.set_wanted(holder.now, &slots);
         while holder.arbiter.slots().len() < slots.len() {
             holder.turn();
         }
@@ -74,7 +74,7 @@
         } = self;
         meter::timed(processor, || {
             arbiter.reply(*now, reply);
-            arbiter.take_answers();
+            arbiter.take_replies();
             arbiter.take_notes();
         });
     }
--- a/crates/fescuewell_bench/src/load/audit.rs
+++ b/crates/fescuewell_bench/src/load/audit.rs
@@ -6,7 +6,7 @@
 
 use fescuewell_budget::row;
 use fescuewell_claims::arbiter::{Arbiter, Settings};
-use fescuewell_claims::message::{Known, Phase, Reply, Request, slot_of};
+use fescuewell_claims::message::{Phase, Reply, Request, RequestState, slot_of};
 use fescuewell_core::id::{RequestKey, SlotKey};
 use fescuewell_core::table::{Range, Table, carry_out};
 use fescuewell_core::time::Instant;
@@ -92,7 +92,7 @@
         let lapsed = holders.iter().cloned().collect();
         reader.arbiter.set_lapsed(reader.now, lapsed);
         let all: Vec<SlotKey> = (0..SLOTS).map(SlotKey).collect();
-        reader.arbiter.want(reader.now, &all);
+        reader.arbiter.set_wanted(reader.now, &all);
         for _ in 0..MOST_STEPS {
             if reader.arbiter.slots().len() == usize::from(SLOTS) {
                 return Ok(reader);
@@ -113,7 +113,7 @@
     fn ask(&mut self, slot: SlotKey, request: &Request) -> Result<Reply, Error> {
         self.arbiter.request(self.now, 1, slot, request);
         for _ in 0..MOST_STEPS {
-            if let Some((_, reply)) = self.arbiter.take_answers().pop() {
+            if let Some((_, reply)) = self.arbiter.take_replies().pop() {
                 return Ok(reply);
             }
             self.step();
@@ -125,7 +125,7 @@
         let request = RequestKey::new(record.account, record.id.as_str()).digest();
         let slot = slot_of(request, SLOTS);
         let reply = self.ask(slot, &Request::Lookup { request })?;
-        Ok(matches!(reply, Reply::Known(Known::Done { .. })))
+        Ok(matches!(reply, Reply::Known(RequestState::Done { .. })))
     }
 
     fn add_charges(
--- a/crates/fescuewell_claims/examples/measure.rs
+++ b/crates/fescuewell_claims/examples/measure.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use fescuewell_claims::arbiter::{Arbiter, Settings};
-use fescuewell_claims::client::{self, Ask, Cost, Courier};
+use fescuewell_claims::client::{self, ClaimRequest, Client, Cost};
 use fescuewell_claims::message::{Assignment, Bill, Claim, Owner, Reply, Request};
 use fescuewell_claims::{message, stream};
 use fescuewell_core::prelude::*;
@@ -131,7 +131,7 @@
 fn arbiter(settings: Settings, table: &mut Table, now: &mut Instant) -> Arbiter {
     let mut arbiter = Arbiter::new(settings, "entry-1.18c5a2f3b7", 7);
     let slots: Vec<SlotKey> = (0..SLOTS).map(SlotKey).collect();
-    arbiter.want(*now, &slots);
+    arbiter.set_wanted(*now, &slots);
     while arbiter.slots().len() < slots.len() {
         *now = *now + Duration::from_millis(1);
         if let Some(step) = arbiter.next_step(*now) {
@@ -189,7 +189,7 @@
             let step = arbiter.next_step(now);
             outstanding = step.map(|step| (now + TABLE_DELAY, step));
         }
-        for (ticket, reply) in arbiter.take_answers() {
+        for (ticket, reply) in arbiter.take_replies() {
             if let (Some(since), Reply::Granted { durable: true, .. }) =
                 (asked.remove(&ticket), &reply)
             {
@@ -254,7 +254,7 @@
             arbiter.reply(now, reply);
             table.rows.retain(|key, _| key.starts_with("slot/"));
         }
-        arbiter.take_answers();
+        arbiter.take_replies();
         arbiter.take_notes();
     }
     println!(
@@ -298,7 +298,7 @@
     }
     let written = began.elapsed();
     let mut second = Arbiter::new(settings, "entry-2.18c5a2f3b8", 7);
-    second.want(now, &[SlotKey(0)]);
+    second.set_wanted(now, &[SlotKey(0)]);
     let lapsed = [Arc::from("entry-1.18c5a2f3b7")];
     second.set_lapsed(now, lapsed.into_iter().collect());
     let began = std::time::Instant::now();
@@ -332,11 +332,11 @@
 
 fn measure_courier(count: u64) {
     let now = Instant::from_millis(0);
-    let mut courier = Courier::new(client::Settings::default(), "entry-1.18c5a2f3b7", 7);
+    let mut courier = Client::new(client::Settings::default(), "entry-1.18c5a2f3b7", 7);
     let before = resident();
     let began = std::time::Instant::now();
     for index in 0..count {
-        let ask = Ask {
+        let ask = ClaimRequest {
             request: key(index),
             fingerprint: Digest(1),
             group: "group-1".into(),
--- a/crates/fescuewell_claims/src/arbiter.rs
+++ b/crates/fescuewell_claims/src/arbiter.rs
@@ -1,7 +1,7 @@
 //! The holder of slots: answers routers, and writes what it decided to the table in group commits.
 //!
 //! The machine does no input or output. The caller passes requests in ([`Arbiter::request`]) and
-//! takes answers out ([`Arbiter::take_answers`]); it carries out one table step at a time
+//! takes answers out ([`Arbiter::take_replies`]); it carries out one table step at a time
 //! ([`Arbiter::next_step`]) and returns its result ([`Arbiter::reply`]).
 //!
 //! A holder needs no clock to be safe. Every commit compares the revision of each slot's row, so one
@@ -12,13 +12,13 @@
 //! ```
 //! use std::time::Duration;
 //! use fescuewell_claims::arbiter::{Arbiter, Settings};
-//! use fescuewell_claims::message::{Known, Reply, Request};
+//! use fescuewell_claims::message::{RequestState, Reply, Request};
 //! use fescuewell_core::prelude::*;
 //! use fescuewell_core::table::{Outcome, Reply as TableReply, Step};
 //!
 //! let mut now = Instant::from_millis(0);
 //! let mut arbiter = Arbiter::new(Settings::default(), "entry-1.1f", 7);
-//! arbiter.want(now, &[SlotKey(0)]);
+//! arbiter.set_wanted(now, &[SlotKey(0)]);
 //! // An empty table: every read finds nothing and every commit succeeds.
 //! while !arbiter.holds(SlotKey(0)) {
 //!     now = now + Duration::from_millis(10);
@@ -30,7 +30,7 @@
 //!     arbiter.reply(now, reply);
 //! }
 //! arbiter.request(now, 1, SlotKey(0), &Request::Lookup { request: Digest(0) });
-//! assert_eq!(arbiter.take_answers(), [(1, Reply::Known(Known::Absent))]);
+//! assert_eq!(arbiter.take_replies(), [(1, Reply::Known(RequestState::Absent))]);
 //! ```
 
 mod checkpoint;
@@ -49,7 +49,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-use crate::ledger::View;
+use crate::ledger::Context;
 use crate::message::{Reply, Request};
 use crate::note::Note;
 
@@ -145,7 +145,7 @@
 
     /// Sets the slots that should be held here. Others are handed back once what was decided in them
     /// is durable.
-    pub fn want(&mut self, now: Instant, slots: &[SlotKey]) {
+    pub fn set_wanted(&mut self, now: Instant, slots: &[SlotKey]) {
         let wanted: BTreeSet<SlotKey> = slots.iter().copied().collect();
         if wanted == self.wanted {
             return;
@@ -204,7 +204,7 @@
         self.pending
     }
 
-    /// Decides a request from a router; the answer appears in [`Arbiter::take_answers`] under `ticket`,
+    /// Decides a request from a router; the answer appears in [`Arbiter::take_replies`] under `ticket`,
     /// at once or after a commit.
     pub fn request(&mut self, now: Instant, ticket: u64, slot: SlotKey, request: &Request) {
         let is_full = self.is_full_for(slot, request);
@@ -217,13 +217,13 @@
             self.answers.push((ticket, Reply::Unavailable));
             return;
         }
-        let view = View {
+        let context = Context {
             now,
             terminated: &self.terminated,
             writable: self.writable,
         };
         let known = held.ledger.len();
-        let mut decision = held.ledger.request(&view, request);
+        let mut decision = held.ledger.request(&context, request);
         self.entries += held.ledger.len() - known;
         self.notes.extend(decision.note.take());
         let records = std::mem::take(&mut decision.records);
@@ -330,7 +330,7 @@
     }
 
     /// The answers that may be given now, by ticket.
-    pub fn take_answers(&mut self) -> Vec<(u64, Reply)> {
+    pub fn take_replies(&mut self) -> Vec<(u64, Reply)> {
         std::mem::take(&mut self.answers)
     }
 
--- a/crates/fescuewell_claims/src/arbiter/commit.rs
+++ b/crates/fescuewell_claims/src/arbiter/commit.rs
@@ -224,7 +224,7 @@
                 self.resolve(now, &rows);
                 // A conflict that its rows do not explain would otherwise be repeated without a pause.
                 if self.flight.is_some() {
-                    self.retry_at = now + self.settings.retry;
+                    self.retry_at = now + self.settings.initial_backoff;
                 }
             }
         }
@@ -365,8 +365,8 @@
 
     fn retry_wait(&mut self) -> Duration {
         let doublings = self.failures.saturating_sub(1).min(16);
-        let wait = self.settings.retry.saturating_mul(1 << doublings);
-        let wait = wait.min(self.settings.retry_limit);
+        let wait = self.settings.initial_backoff.saturating_mul(1 << doublings);
+        let wait = wait.min(self.settings.max_backoff);
         // Spread out, so that instances that lost the table together do not come back together.
         wait.mul_f64(self.rng.random_range(0.5..1.0))
     }
@@ -377,7 +377,7 @@
     /// table, or get there with the next commit, while its router will have refused the call. Left
     /// open, it would block the caller's own retry until that router dies.
     fn refuse_waiting(&mut self, now: Instant) {
-        let view = crate::ledger::View {
+        let context = crate::ledger::Context {
             now,
             terminated: &self.terminated,
             writable: false,
@@ -389,7 +389,7 @@
                     continue;
                 };
                 let release = Request::Release { request, owner };
-                let decision = held.ledger.request(&view, &release);
+                let decision = held.ledger.request(&context, &release);
                 self.notes.extend(decision.note);
                 self.pending += decision.records.len();
                 held.push(now, decision.records);
--- a/crates/fescuewell_claims/src/arbiter/settings.rs
+++ b/crates/fescuewell_claims/src/arbiter/settings.rs
@@ -20,7 +20,7 @@
     /// How often the slot rows are read while a wanted slot is held by somebody else.
     pub poll_interval: Duration,
     /// How often they are read otherwise, so that an idle holder learns that its slot was taken.
-    pub lease: Duration,
+    pub idle_poll_interval: Duration,
     /// How long finished requests are kept.
     pub retention: Retention,
     /// How many group commits of a slot are logged, at least, before its whole state is written as a checkpoint;
@@ -36,10 +36,10 @@
     pub slots_per_commit: usize,
     /// Bytes of records in one commit, roughly; the table limits the size of a transaction.
     pub bytes_per_commit: usize,
-    /// Wait after a failure of the table, before its first repetition; doubles up to [`Settings::retry_limit`].
-    pub retry: Duration,
+    /// Wait after a failure of the table, before its first repetition; doubles up to [`Settings::max_backoff`].
+    pub initial_backoff: Duration,
     /// Longest wait between two tries.
-    pub retry_limit: Duration,
+    pub max_backoff: Duration,
     /// Most finished requests looked at in one second for each slot and class.
     pub expire_limit: usize,
 }
@@ -54,7 +54,7 @@
             commit_interval: Duration::from_millis(50),
             flush_interval: Duration::from_millis(500),
             poll_interval: Duration::from_secs(1),
-            lease: Duration::from_secs(15),
+            idle_poll_interval: Duration::from_secs(15),
             retention: Retention::default(),
             checkpoint_every: 256,
             chunk_bytes: 256 * 1024,
@@ -62,8 +62,8 @@
             entry_limit: 200_000,
             slots_per_commit: MOST_ENTRIES / ENTRIES_PER_SLOT,
             bytes_per_commit: 512 * 1024,
-            retry: Duration::from_millis(100),
-            retry_limit: Duration::from_secs(5),
+            initial_backoff: Duration::from_millis(100),
+            max_backoff: Duration::from_secs(5),
             expire_limit: 1_000,
         }
     }
--- a/crates/fescuewell_claims/src/arbiter/take.rs
+++ b/crates/fescuewell_claims/src/arbiter/take.rs
@@ -55,7 +55,7 @@
         let is_missing = self.wanted.iter().any(|slot| !self.held.contains_key(slot));
         let interval = match is_missing || !self.writable {
             true => self.settings.poll_interval,
-            false => self.settings.lease,
+            false => self.settings.idle_poll_interval,
         };
         // Spread out, so that instances that start together do not read together for ever.
         self.next_poll = now + interval.mul_f64(self.rng.random_range(0.75..1.25));
--- a/crates/fescuewell_claims/src/client.rs
+++ b/crates/fescuewell_claims/src/client.rs
@@ -1,25 +1,25 @@
 //! The router's side: carries claims, bills and releases to the holders of slots until they are
 //! answered.
 //!
-//! The caller sends what [`Courier::take_outgoing`] gives and passes answers to
-//! [`Courier::receive`]. A message without an answer is sent again, after a growing wait or at once
+//! The caller sends what [`Client::take_outgoing`] gives and passes answers to
+//! [`Client::receive`]. A message without an answer is sent again, after a growing wait or at once
 //! when its slot has a new holder; `(holder, attempt)` in it makes that harmless.
 //!
-//! Every attempt that [`Courier::claim`] numbers must end in [`Courier::bill`] or
-//! [`Courier::release`], unless its claim was not granted. Until the slot has confirmed that, the
-//! attempt counts against the capacity, so that [`Courier::is_full`] turns true while there is still
+//! Every attempt that [`Client::claim`] numbers must end in [`Client::bill`] or
+//! [`Client::release`], unless its claim was not granted. Until the slot has confirmed that, the
+//! attempt counts against the capacity, so that [`Client::is_full`] turns true while there is still
 //! room for the bill of every request under way.
 //!
 //! ```
-//! use fescuewell_claims::client::{Ask, Courier, Event, Settings};
+//! use fescuewell_claims::client::{ClaimRequest, Client, Event, Settings};
 //! use fescuewell_claims::message::Reply;
 //! use fescuewell_core::prelude::*;
 //!
 //! let now = Instant::from_millis(0);
-//! let mut courier = Courier::new(Settings::default(), "entry-1.1f", 7);
+//! let mut courier = Client::new(Settings::default(), "entry-1.1f", 7);
 //! let request = RequestKey::new("clinic", "job-7").digest();
 //! courier.set_holder(now, courier.slot(request), Some("entry-2".into()));
-//! let ask = Ask {
+//! let ask = ClaimRequest {
 //!     request,
 //!     fingerprint: Digest::of(b"body"),
 //!     group: "signwise".into(),
@@ -47,7 +47,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use crate::message::{Answer, Assignment, Bill, Claim, Owner, Reply, Request, slot_of};
+use crate::message::{Assignment, Bill, Claim, Owner, Reply, Request, StoredResponse, slot_of};
 
 pub use event::Event;
 pub use settings::Settings;
@@ -56,7 +56,7 @@
 
 /// A request for which a claim is asked.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ask {
+pub struct ClaimRequest {
     /// Digest of the request's key.
     pub request: Digest,
     /// Hash of the request's body.
@@ -78,8 +78,8 @@
     pub tokens: Tokens,
     /// Whether a repeat must not run again; see [`Bill::complete`].
     pub complete: bool,
-    /// Answer for repeats of a non-repeatable call.
-    pub answer: Option<Answer>,
+    /// StoredResponse for repeats of a non-repeatable call.
+    pub answer: Option<StoredResponse>,
 }
 
 /// A message to be sent to the holder of a slot.
@@ -97,7 +97,7 @@
 
 /// Carries messages to slots until they are answered.
 #[derive(Debug)]
-pub struct Courier {
+pub struct Client {
     settings: Settings,
     holder: Arc<str>,
     rng: SmallRng,
@@ -113,7 +113,7 @@
     events: Vec<Event>,
 }
 
-impl Courier {
+impl Client {
     /// A courier for the router `holder` (`instance.incarnation`).
     pub fn new<Holder>(settings: Settings, holder: Holder, seed: u64) -> Self
     where
@@ -148,7 +148,7 @@
 
     /// Asks for a claim and returns the number of the attempt, under which the request may later be
     /// assigned, billed or released.
-    pub fn claim(&mut self, now: Instant, ticket: u64, ask: &Ask) -> u32 {
+    pub fn claim(&mut self, now: Instant, ticket: u64, ask: &ClaimRequest) -> u32 {
         let attempt = self.next_attempt;
         self.next_attempt += 1;
         let owner = self.owner(attempt);
@@ -167,9 +167,9 @@
             ticket,
             until: now
                 + if ask.repeatable {
-                    self.settings.patience
+                    self.settings.claim_timeout
                 } else {
-                    self.settings.patience_single
+                    self.settings.non_repeatable_claim_timeout
                 },
             repeatable: ask.repeatable,
         };
@@ -187,8 +187,15 @@
         self.add(now, request, message, Duty::Assign);
     }
 
-    /// Sends the bill of an attempt until it is durable. It is never refused; see [`Courier::is_full`].
-    pub fn bill(&mut self, now: Instant, ticket: u64, ask: &Ask, attempt: u32, cost: Cost) {
+    /// Sends the bill of an attempt until it is durable. It is never refused; see [`Client::is_full`].
+    pub fn bill(
+        &mut self,
+        now: Instant,
+        ticket: u64,
+        ask: &ClaimRequest,
+        attempt: u32,
+        cost: Cost,
+    ) {
         let owner = self.owner(attempt);
         self.begin(&owner);
         let message = Request::Bill(Bill {
@@ -217,7 +224,7 @@
 
     /// Asks what is known of a request.
     pub fn lookup(&mut self, now: Instant, ticket: u64, request: Digest) {
-        let until = now + self.settings.patience;
+        let until = now + self.settings.claim_timeout;
         let message = Request::Lookup { request };
         self.add(now, request, message, Duty::Lookup { ticket, until });
     }
@@ -239,10 +246,10 @@
         }
     }
 
-    /// The messages to send now, at most [`Settings::burst`].
+    /// The messages to send now, at most [`Settings::max_batch`].
     pub fn take_outgoing(&mut self, now: Instant) -> Vec<Outgoing> {
         let mut outgoing = Vec::new();
-        while outgoing.len() < self.settings.burst {
+        while outgoing.len() < self.settings.max_batch {
             let Some(&(due, id)) = self.schedule.first() else {
                 break;
             };
@@ -256,7 +263,7 @@
         outgoing
     }
 
-    /// When [`Courier::take_outgoing`] has something to do next.
+    /// When [`Client::take_outgoing`] has something to do next.
     pub fn next_due(&self) -> Option<Instant> {
         self.schedule.first().map(|&(due, _)| due)
     }
@@ -295,7 +302,7 @@
     }
 
     /// Notes that a message could not be sent or its connection broke.
-    pub fn failed(&mut self, now: Instant, correlation: u64) {
+    pub fn send_failed(&mut self, now: Instant, correlation: u64) {
         self.retry_soon(now, correlation);
     }
 
@@ -334,7 +341,7 @@
         messages
     }
 
-    /// Takes over bills and releases that [`Courier::export_bills`] of a draining router gave.
+    /// Takes over bills and releases that [`Client::export_bills`] of a draining router gave.
     pub fn import_bills(&mut self, now: Instant, messages: Vec<Request>) {
         for message in messages {
             let (request, owner, duty) = match &message {
--- a/crates/fescuewell_claims/src/client/item.rs
+++ b/crates/fescuewell_claims/src/client/item.rs
@@ -3,7 +3,7 @@
 use fescuewell_core::id::{Digest, SlotKey};
 use fescuewell_core::time::Instant;
 
-use super::{Courier, Event, Outgoing};
+use super::{Client, Event, Outgoing};
 use crate::message::{Owner, Request};
 
 /// Why a message is sent.
@@ -46,7 +46,7 @@
     }
 }
 
-impl Courier {
+impl Client {
     pub(super) fn add(&mut self, now: Instant, digest: Digest, request: Request, duty: Duty) {
         let id = self.next_correlation;
         self.next_correlation += 1;
@@ -95,8 +95,11 @@
             return;
         };
         let doublings = item.tries.saturating_sub(1).min(16);
-        let wait = self.settings.redirect_wait.saturating_mul(1 << doublings);
-        let wait = self.jitter(wait.min(self.settings.retry_limit));
+        let wait = self
+            .settings
+            .redirect_backoff
+            .saturating_mul(1 << doublings);
+        let wait = self.jitter(wait.min(self.settings.max_backoff));
         self.reschedule(id, now + wait);
     }
 
@@ -114,7 +117,7 @@
         }
         let slot = item.slot;
         let Some(instance) = self.holders.get(&slot).cloned() else {
-            let wait = self.settings.retry_limit;
+            let wait = self.settings.max_backoff;
             self.reschedule(id, now + wait);
             return None;
         };
@@ -124,7 +127,7 @@
             None => self.settings.bill_timeout,
         };
         let wait = timeout.saturating_mul(1 << doublings);
-        let wait = self.jitter(wait.min(self.settings.retry_limit));
+        let wait = self.jitter(wait.min(self.settings.max_backoff));
         self.reschedule(id, now + wait);
         let item = self.items.get_mut(&id)?;
         item.tries += 1;
--- a/crates/fescuewell_claims/src/ledger.rs
+++ b/crates/fescuewell_claims/src/ledger.rs
@@ -6,7 +6,7 @@
 //! arbiter's business.
 //!
 //! ```
-//! use fescuewell_claims::ledger::{Ledger, View};
+//! use fescuewell_claims::ledger::{Ledger, Context};
 //! use fescuewell_claims::message::{Claim, Owner, Reply, Request};
 //! use fescuewell_core::prelude::*;
 //!
@@ -21,7 +21,7 @@
 //!     lost: None,
 //!     oldest: 1,
 //! });
-//! let decision = ledger.request(&View::at(Instant(0)), &claim);
+//! let decision = ledger.request(&Context::at(Instant(0)), &claim);
 //! assert_eq!(decision.reply, Reply::Granted { attempt: 1, durable: false });
 //! ```
 
@@ -38,7 +38,7 @@
 
 use fescuewell_core::prelude::*;
 
-use crate::message::{Answer, Owner, Reply, Request};
+use crate::message::{Owner, Reply, Request, StoredResponse};
 use crate::note::Note;
 use crate::record::{NameKey, Record, Run};
 
@@ -52,7 +52,7 @@
 
 /// What a decision may depend on besides the ledger.
 #[derive(Debug, Clone, Copy)]
-pub struct View<'a> {
+pub struct Context<'a> {
     /// The present time.
     pub now: Instant,
     /// Routers that the instance list calls terminated.
@@ -61,8 +61,8 @@
     pub writable: bool,
 }
 
-impl View<'static> {
-    /// A view in which nobody is terminated and the table works.
+impl Context<'static> {
+    /// A context in which nobody is terminated and the table works.
     pub fn at(now: Instant) -> Self {
         Self {
             now,
@@ -129,7 +129,7 @@
 pub struct Ledger {
     names: Interner<NameKey>,
     entries: HashMap<Digest, Entry, DigestHasher>,
-    answers: HashMap<Digest, Answer, DigestHasher>,
+    answers: HashMap<Digest, StoredResponse, DigestHasher>,
     streams: HashMap<Digest, StreamId, DigestHasher>,
     totals: BTreeMap<(NameKey, NameKey), Tokens>,
     closed: BTreeMap<NameKey, Closed>,
@@ -139,9 +139,9 @@
 
 impl Ledger {
     /// Decides a request and applies the decision.
-    pub fn request(&mut self, view: &View<'_>, request: &Request) -> Decision {
+    pub fn request(&mut self, context: &Context<'_>, request: &Request) -> Decision {
         let decision = match request {
-            Request::Claim(claim) => self.claim(view, claim),
+            Request::Claim(claim) => self.claim(context, claim),
             Request::Assign {
                 request,
                 owner,
@@ -149,13 +149,13 @@
             } => self.assign(*request, owner, assignment),
             Request::Bill(bill) => self.bill(bill),
             Request::Release { request, owner } => self.release(*request, owner),
-            Request::Settle(settlement) => self.settle(view, settlement),
+            Request::Settle(settlement) => self.settle(context, settlement),
             Request::Close { holder, phase } => self.close(holder, *phase),
             Request::Forget { holder } => self.forget(holder),
             Request::Lookup { request } => self.lookup(*request),
         };
         for record in &decision.records {
-            self.apply(view.now, record);
+            self.apply(context.now, record);
         }
         match request {
             Request::Claim(claim) => self.observe(&claim.owner.holder, claim.oldest),
@@ -259,8 +259,8 @@
         self.closed.get(&holder).is_some_and(|entry| entry.finished)
     }
 
-    fn is_gone(&self, view: &View<'_>, holder: NameKey) -> bool {
-        self.closed.contains_key(&holder) || view.terminated.contains(self.names.name(holder))
+    fn is_gone(&self, context: &Context<'_>, holder: NameKey) -> bool {
+        self.closed.contains_key(&holder) || context.terminated.contains(self.names.name(holder))
     }
 
     /// Whether the run had its final answer long ago: its router has said that nothing at or below
@@ -285,7 +285,7 @@
     fn lookup(&self, request: Digest) -> Decision {
         let known = match self.entries.get(&request) {
             Some(entry) if entry.status != Status::Released => self.known(request, entry),
-            _ => crate::message::Known::Absent,
+            _ => crate::message::RequestState::Absent,
         };
         Decision::now(Reply::Known(known))
     }
--- a/crates/fescuewell_claims/src/ledger/bill.rs
+++ b/crates/fescuewell_claims/src/ledger/bill.rs
@@ -5,8 +5,10 @@
 use fescuewell_core::prelude::*;
 
 use super::entry::{Status, short, stamp};
-use super::{Decision, Entry, Ledger, View};
-use crate::message::{ANSWER_LIMIT, Answer, Bill, Evidence, Owner, Reply, Settlement};
+use super::{Context, Decision, Entry, Ledger};
+use crate::message::{
+    Bill, Evidence, MAX_RESPONSE_BYTES, Owner, Reply, Settlement, StoredResponse,
+};
 use crate::note::Note;
 use crate::record::{Record, Run};
 
@@ -20,7 +22,7 @@
     complete: bool,
     repeatable: bool,
     in_doubt: bool,
-    answer: Option<&'a Answer>,
+    answer: Option<&'a StoredResponse>,
 }
 
 impl Ledger {
@@ -78,7 +80,7 @@
             .with_note(note)
     }
 
-    pub(super) fn settle(&mut self, view: &View<'_>, settlement: &Settlement) -> Decision {
+    pub(super) fn settle(&mut self, context: &Context<'_>, settlement: &Settlement) -> Decision {
         let request = settlement.request;
         let run = self.run(&settlement.owner);
         let nothing = Decision::after_commit(Reply::Billed {
@@ -104,7 +106,7 @@
                 let is_taken_over = entry.is_some_and(|entry| {
                     entry.status == Status::Open
                         && Some(entry.owner) != run
-                        && !self.is_gone(view, entry.owner.holder)
+                        && !self.is_gone(context, entry.owner.holder)
                 });
                 if is_taken_over && !complete {
                     return nothing;
@@ -268,6 +270,6 @@
 
 /// A larger answer is not kept: its repeats are told that the call ran, without it. Memory and log rows stay
 /// bounded whatever a service answers.
-fn is_kept(answer: &Answer) -> bool {
-    answer.body.len() + answer.content_type.len() <= ANSWER_LIMIT
+fn is_kept(answer: &StoredResponse) -> bool {
+    answer.body.len() + answer.content_type.len() <= MAX_RESPONSE_BYTES
 }
--- a/crates/fescuewell_claims/src/ledger/claim.rs
+++ b/crates/fescuewell_claims/src/ledger/claim.rs
@@ -3,14 +3,14 @@
 use fescuewell_core::prelude::*;
 
 use super::entry::{NO_SERVER, Status, short};
-use super::{Decision, Entry, Ledger, View};
-use crate::message::{Assignment, Claim, Known, Owner, Reply};
+use super::{Context, Decision, Entry, Ledger};
+use crate::message::{Assignment, Claim, Owner, Reply, RequestState};
 use crate::note::Note;
 use crate::record::{NameKey, Record, Run};
 use crate::stream;
 
 impl Ledger {
-    pub(super) fn claim(&mut self, view: &View<'_>, claim: &Claim) -> Decision {
+    pub(super) fn claim(&mut self, context: &Context<'_>, claim: &Claim) -> Decision {
         // A claim of a closed router can only be an old message. Granting it would leave a claim
         // that nobody will ever bill or release.
         if self.is_closed(&claim.owner.holder) {
@@ -21,19 +21,19 @@
             if run.is_some_and(|run| self.is_settled(run)) {
                 return Decision::now(Reply::Unavailable);
             }
-            return self.grant(view, claim);
+            return self.grant(context, claim);
         };
         if run == Some(entry.owner) {
             return self.claim_again(claim, &entry);
         }
         if entry.status == Status::Released {
-            return self.grant(view, claim);
+            return self.grant(context, claim);
         }
         if entry.fingerprint != 0 && entry.fingerprint != short(claim.fingerprint) {
-            return Decision::now(Reply::Known(Known::Conflict));
+            return Decision::now(Reply::Known(RequestState::Conflict));
         }
-        if self.may_run_again(view, claim, &entry) {
-            return self.grant(view, claim);
+        if self.may_run_again(context, claim, &entry) {
+            return self.grant(context, claim);
         }
         Decision::now(Reply::Known(self.known(claim.request, &entry)))
     }
@@ -60,14 +60,14 @@
     /// it elsewhere at this moment. When the router is gone and its backend server is known, the
     /// caller is first sent to that stream; only when the server has no record of it (`lost`) does
     /// the request run anew. Whichever run is billed first is the only one charged.
-    fn may_run_again(&self, view: &View<'_>, claim: &Claim, entry: &Entry) -> bool {
+    fn may_run_again(&self, context: &Context<'_>, claim: &Claim, entry: &Entry) -> bool {
         if !entry.repeatable || !claim.repeatable {
             return false;
         }
         match entry.status {
             Status::Released => true,
             Status::Done => !entry.complete,
-            Status::Open if !self.is_gone(view, entry.owner.holder) => false,
+            Status::Open if !self.is_gone(context, entry.owner.holder) => false,
             Status::Open => {
                 let lost = claim.lost.as_ref().and_then(|owner| self.run(owner));
                 entry.server == NO_SERVER || lost == Some(entry.owner)
@@ -75,10 +75,10 @@
         }
     }
 
-    fn grant(&mut self, view: &View<'_>, claim: &Claim) -> Decision {
+    fn grant(&mut self, context: &Context<'_>, claim: &Claim) -> Decision {
         // No table, no claim: what may not be repeated is refused at once rather than left to wait
         // for a commit that may be an hour away.
-        if !claim.repeatable && !view.writable {
+        if !claim.repeatable && !context.writable {
             return Decision::now(Reply::Unavailable);
         }
         let mut records = Vec::with_capacity(3);
@@ -186,13 +186,13 @@
         self.finished(now, request);
     }
 
-    pub(super) fn known(&self, request: Digest, entry: &Entry) -> Known {
+    pub(super) fn known(&self, request: Digest, entry: &Entry) -> RequestState {
         let assignment = self.assignment(request, entry);
         if entry.status == Status::Open {
             let owner = self.owner(entry.owner);
-            return Known::InProgress { owner, assignment };
+            return RequestState::InProgress { owner, assignment };
         }
-        Known::Done {
+        RequestState::Done {
             assignment,
             answer: self.answers.get(&request).cloned(),
             in_doubt: entry.in_doubt || !entry.complete,
--- a/crates/fescuewell_claims/src/ledger/close.rs
+++ b/crates/fescuewell_claims/src/ledger/close.rs
@@ -12,7 +12,7 @@
 
 use super::entry::{Status, stamp};
 use super::{Closed, Decision, Ledger};
-use crate::message::{Open, Phase, Reply};
+use crate::message::{OpenClaim, Phase, Reply};
 use crate::record::{NameKey, Record};
 
 impl Ledger {
@@ -62,13 +62,13 @@
         self.totals.retain(|&(owner, _), _| owner != holder);
     }
 
-    fn open_of(&self, holder: NameKey) -> Vec<Open> {
+    fn open_of(&self, holder: NameKey) -> Vec<OpenClaim> {
         let mut open = Vec::new();
         for (&request, entry) in &self.entries {
             if entry.status != Status::Open || entry.owner.holder != holder {
                 continue;
             }
-            open.push(Open {
+            open.push(OpenClaim {
                 request,
                 attempt: entry.owner.attempt,
                 group: self.names.name(entry.group).clone(),
--- a/crates/fescuewell_claims/src/ledger/compaction.rs
+++ b/crates/fescuewell_claims/src/ledger/compaction.rs
@@ -42,7 +42,7 @@
     /// The oldest unfinished attempt of any other router stays, however long it has been silent: the sweep to
     /// come relies on it to tell old records of settled streams from unbilled ones.
     fn old_closed(&self, now: Instant, retention: &Retention) -> Vec<NameKey> {
-        let keep = retention.single.as_secs() as u32;
+        let keep = retention.non_repeatable.as_secs() as u32;
         let mut in_use: BTreeSet<NameKey> = self.entries.values().flat_map(holders).collect();
         in_use.extend(self.totals.keys().map(|&(holder, _)| holder));
         let now = stamp(now);
--- a/crates/fescuewell_claims/src/ledger/retention.rs
+++ b/crates/fescuewell_claims/src/ledger/retention.rs
@@ -18,14 +18,14 @@
     /// Repeatable calls: a repeat that comes later runs again and is billed again.
     pub repeatable: Duration,
     /// Other calls: a repeat that comes later would run a second time.
-    pub single: Duration,
+    pub non_repeatable: Duration,
 }
 
 impl Default for Retention {
     fn default() -> Self {
         Self {
             repeatable: Duration::from_secs(600),
-            single: Duration::from_secs(24 * 3600),
+            non_repeatable: Duration::from_secs(24 * 3600),
         }
     }
 }
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct Queues {
     repeatable: VecDeque<Due>,
-    single: VecDeque<Due>,
+    non_repeatable: VecDeque<Due>,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -61,7 +61,7 @@
         let due = Due { request, since };
         match repeatable {
             true => self.expiry.repeatable.push_back(due),
-            false => self.expiry.single.push_back(due),
+            false => self.expiry.non_repeatable.push_back(due),
         }
     }
 
@@ -71,14 +71,14 @@
         let now = stamp(now);
         let classes = [
             (true, retention.repeatable.as_secs() as u32),
-            (false, retention.single.as_secs() as u32),
+            (false, retention.non_repeatable.as_secs() as u32),
         ];
         let mut dropped = 0;
         for (repeatable, keep) in classes {
             for _ in 0..limit {
                 let queue = match repeatable {
                     true => &mut self.expiry.repeatable,
-                    false => &mut self.expiry.single,
+                    false => &mut self.expiry.non_repeatable,
                 };
                 let Some(&due) = queue.front() else { break };
                 if due.since.saturating_add(keep) > now {
--- a/crates/fescuewell_claims/src/ledger/snapshot.rs
+++ b/crates/fescuewell_claims/src/ledger/snapshot.rs
@@ -9,7 +9,7 @@
 
 use super::entry::{Status, stamp};
 use super::{Closed, Entry, Ledger};
-use crate::message::Answer;
+use crate::message::StoredResponse;
 use crate::record::NameKey;
 
 /// The row does not hold a checkpoint that this program reads.
@@ -35,7 +35,7 @@
 struct Saved {
     request: Digest,
     entry: Entry,
-    answer: Option<Answer>,
+    answer: Option<StoredResponse>,
     stream: Option<StreamId>,
 }
 
--- a/crates/fescuewell_claims/src/message.rs
+++ b/crates/fescuewell_claims/src/message.rs
@@ -9,7 +9,7 @@
 use fescuewell_core::prelude::*;
 
 /// Most bytes of an answer that a slot keeps for repeats of a non-repeatable call.
-pub const ANSWER_LIMIT: usize = 16 * 1024;
+pub const MAX_RESPONSE_BYTES: usize = 16 * 1024;
 
 /// The slot, out of `slots`, that arbitrates a request.
 ///
@@ -31,12 +31,12 @@
     }
 
     /// The kept answer of a non-repeatable call.
-    pub struct Answer {
+    pub struct StoredResponse {
         /// HTTP status.
         pub status: u16,
         /// Value of `Content-Type`.
         pub content_type: Arc<str>,
-        /// The body, at most [`ANSWER_LIMIT`] bytes.
+        /// The body, at most [`MAX_RESPONSE_BYTES`] bytes.
         pub body: Arc<[u8]>,
     }
 
@@ -87,8 +87,8 @@
         pub complete: bool,
         /// Whether the call may run more than once without harm.
         pub repeatable: bool,
-        /// Answer to give to repeats of a non-repeatable call.
-        pub answer: Option<Answer>,
+        /// StoredResponse to give to repeats of a non-repeatable call.
+        pub answer: Option<StoredResponse>,
         /// The router's oldest unfinished attempt.
         pub oldest: u32,
     }
@@ -102,7 +102,7 @@
             /// Whether it ended by itself, rather than by a cancellation or a failure.
             complete: bool,
             /// The answer of a non-repeatable call, when the server keeps it.
-            answer: Option<Answer>,
+            answer: Option<StoredResponse>,
         },
         /// No record anywhere: the outcome can never be learned.
         InDoubt,
@@ -175,7 +175,7 @@
     }
 
     /// What a slot knows of a request.
-    pub enum Known {
+    pub enum RequestState {
         /// Nothing, or only that it was never sent.
         Absent,
         /// It was claimed with another body.
@@ -192,14 +192,14 @@
             /// Where it ran, as far as known.
             assignment: Option<Assignment>,
             /// The kept answer of a non-repeatable call.
-            answer: Option<Answer>,
+            answer: Option<StoredResponse>,
             /// Whether its outcome could not be learned.
             in_doubt: bool,
         },
     }
 
     /// A claim of a closed router that is neither billed nor released.
-    pub struct Open {
+    pub struct OpenClaim {
         /// Digest of the request's key.
         pub request: Digest,
         /// Number of the attempt.
@@ -225,7 +225,7 @@
             durable: bool,
         },
         /// The claim is not granted, or the answer to a look-up.
-        Known(Known),
+        Known(RequestState),
         /// The assignment was noted, or belongs to a run that is no longer of interest.
         Assigned,
         /// The request's bill is durable.
@@ -240,7 +240,7 @@
             /// Charged to it in this slot, for each group.
             totals: Vec<(Arc<str>, Tokens)>,
             /// Claims that remain open.
-            open: Vec<Open>,
+            open: Vec<OpenClaim>,
         },
         /// The totals were dropped.
         Forgotten,
--- a/crates/fescuewell_claims/src/record.rs
+++ b/crates/fescuewell_claims/src/record.rs
@@ -7,7 +7,7 @@
 
 use fescuewell_core::prelude::*;
 
-use crate::message::Answer;
+use crate::message::StoredResponse;
 
 fescuewell_core::key! {
     /// A name (holder, group, backend server) within one slot, numbered in the order of first use.
@@ -79,8 +79,8 @@
             repeatable: bool,
             /// Whether the outcome could not be learned.
             in_doubt: bool,
-            /// Answer for repeats.
-            answer: Option<Answer>,
+            /// StoredResponse for repeats.
+            answer: Option<StoredResponse>,
         },
         /// A request that was billed before has now been answered whole, by another run.
         Complete {
--- a/crates/fescuewell_claims/src/sweep.rs
+++ b/crates/fescuewell_claims/src/sweep.rs
@@ -5,7 +5,7 @@
 //! 1. *Freezing*: every slot stops granting claims to the router and lists those that are open.
 //! 2. *Listing*: every backend server is asked for the router's streams until none of them runs any
 //!    more. They may run to their end, since a caller's retry may be reading them; after
-//!    [`Settings::patience`] they are cancelled.
+//!    [`Settings::cancel_after`] they are cancelled.
 //! 3. *Settling*: each stream is billed through its slot; the first bill of a request counts.
 //! 4. *Doubting*: claims that are still open without a record anywhere are billed at their hold.
 //! 5. *Finishing*: every slot fixes the router's totals.
@@ -25,7 +25,7 @@
 use fescuewell_core::chart::{Chart, State};
 use fescuewell_core::prelude::*;
 
-use crate::message::{Answer, Evidence, Open, Reply, Request, Settlement, slot_of};
+use crate::message::{Evidence, OpenClaim, Reply, Request, Settlement, StoredResponse, slot_of};
 use crate::note::Note;
 use crate::stream;
 
@@ -37,24 +37,24 @@
     /// Number of slots of the whole fleet.
     pub slots: u16,
     /// How long streams may run on before they are cancelled; longer than the longest answer.
-    pub patience: Duration,
+    pub cancel_after: Duration,
     /// A listing counts only when it was asked for so long after the start: a send that was under way when the
     /// router died may reach its backend server a moment later.
-    pub quiet: Duration,
+    pub listing_delay: Duration,
     /// Time between two listings of one server, and before an unanswered question is repeated.
-    pub retry: Duration,
+    pub retry_interval: Duration,
     /// Most questions under way at once.
-    pub burst: usize,
+    pub max_batch: usize,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
             slots: 64,
-            patience: Duration::from_secs(120),
-            quiet: Duration::from_secs(3),
-            retry: Duration::from_secs(1),
-            burst: 32,
+            cancel_after: Duration::from_secs(120),
+            listing_delay: Duration::from_secs(3),
+            retry_interval: Duration::from_secs(1),
+            max_batch: 32,
         }
     }
 }
@@ -67,12 +67,12 @@
     /// It came to its own end.
     Complete,
     /// It was cancelled or failed.
-    Cut,
+    Interrupted,
 }
 
 /// A backend server's record of one stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Record {
+pub struct Stream {
     /// The id that the router gave it; names the router, the attempt and the request.
     pub stream: StreamId,
     /// Group that pays, given at the send.
@@ -84,13 +84,13 @@
     /// Whether it runs.
     pub progress: Progress,
     /// The answer of a non-repeatable call, when the server keeps it.
-    pub answer: Option<Answer>,
+    pub answer: Option<StoredResponse>,
 }
 
 fescuewell_core::message! {
     /// What the sweep asks its caller to do.
     pub enum Action {
-        /// Ask a backend server for all streams whose ids start with `fw.{holder}.`, answered by [`Sweep::streams`].
+        /// Ask a backend server for all streams whose ids start with `fw.{holder}.`, answered by [`Sweep::record_streams`].
         ListStreams {
             /// Name of the backend server.
             server: Arc<str>,
@@ -103,7 +103,7 @@
             stream: StreamId,
         },
         /// Send this to the holder of a slot, answered by [`Sweep::reply`].
-        Ask {
+        Send {
             /// The slot.
             slot: SlotKey,
             /// To be given back with the answer.
@@ -122,11 +122,11 @@
 
 /// What is known of one backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Server {
+enum ServerState {
     /// To be asked at this time.
-    Ask { at: Instant },
+    Due { at: Instant },
     /// Asked at `sent`.
-    Asked { sent: Instant },
+    Requested { sent: Instant },
     /// None of the router's streams runs there any more.
     Settled,
 }
@@ -150,7 +150,7 @@
 /// let mut sweep = Sweep::new(now, settings, "entry-1.1f", &[]);
 /// let closed = || Reply::Closed { totals: vec![("signwise".into(), Tokens(70))], open: Vec::new() };
 /// for _ in ["freezing", "finishing"] {
-///     let Action::Ask { slot, correlation, .. } = sweep.take_actions(now)[0] else { panic!() };
+///     let Action::Send { slot, correlation, .. } = sweep.take_actions(now)[0] else { panic!() };
 ///     sweep.reply(now, slot, correlation, closed());
 /// }
 /// let actions = sweep.take_actions(now);
@@ -163,13 +163,13 @@
     started: Instant,
     chart: Chart,
     state: State,
-    servers: BTreeMap<Arc<str>, Server>,
+    servers: BTreeMap<Arc<str>, ServerState>,
     /// Slots that have yet to answer in this step, and the question that each was last asked.
     asking: BTreeMap<SlotKey, Option<Question>>,
     next_correlation: u64,
     /// Bills to be sent in this step; the front of each queue is the one asked.
     bills: BTreeMap<SlotKey, VecDeque<Settlement>>,
-    open: BTreeMap<(Digest, u32), Open>,
+    open: BTreeMap<(Digest, u32), OpenClaim>,
     streams: BTreeMap<(Digest, u32), Settlement>,
     totals: BTreeMap<Arc<str>, Tokens>,
     is_announced: bool,
@@ -214,8 +214,10 @@
             holder,
         };
         for server in servers {
-            let at = now + sweep.settings.quiet;
-            sweep.servers.insert(server.clone(), Server::Ask { at });
+            let at = now + sweep.settings.listing_delay;
+            sweep
+                .servers
+                .insert(server.clone(), ServerState::Due { at });
         }
         sweep.ask_all_slots();
         sweep
@@ -258,12 +260,13 @@
     }
 
     /// Takes a backend server's listing, asked for by [`Action::ListStreams`].
-    pub fn streams(&mut self, now: Instant, server: &str, records: &[Record]) {
-        let Some((name, &Server::Asked { .. })) = self.servers.get_key_value(server) else {
+    pub fn record_streams(&mut self, now: Instant, server: &str, records: &[Stream]) {
+        let Some((name, &ServerState::Requested { .. })) = self.servers.get_key_value(server)
+        else {
             return;
         };
         let name = name.clone();
-        let is_impatient = now.since(self.started) >= self.settings.patience;
+        let is_impatient = now.since(self.started) >= self.settings.cancel_after;
         let mut is_running = false;
         for record in records {
             let Some((owner, request)) = stream::parse(&record.stream) else {
@@ -294,10 +297,10 @@
                 },
             });
         }
-        let at = now + self.settings.retry;
+        let at = now + self.settings.retry_interval;
         let next = match is_running {
-            true => Server::Ask { at },
-            false => Server::Settled,
+            true => ServerState::Due { at },
+            false => ServerState::Settled,
         };
         self.servers.insert(name, next);
         self.advance();
@@ -305,21 +308,21 @@
 
     /// Notes that a backend server did not answer; it is asked again later.
     pub fn server_failed(&mut self, now: Instant, server: &str) {
-        let at = now + self.settings.retry;
-        if let Some(state @ &mut Server::Asked { .. }) = self.servers.get_mut(server) {
-            *state = Server::Ask { at };
+        let at = now + self.settings.retry_interval;
+        if let Some(state @ &mut ServerState::Requested { .. }) = self.servers.get_mut(server) {
+            *state = ServerState::Due { at };
         }
     }
 
     /// Notes that a backend server is terminated: its streams have ended and it has no records any more.
     pub fn server_terminated(&mut self, server: &str) {
         if let Some(state) = self.servers.get_mut(server) {
-            *state = Server::Settled;
+            *state = ServerState::Settled;
         }
         self.advance();
     }
 
-    /// Takes the answer of a slot's holder, asked for by [`Action::Ask`].
+    /// Takes the answer of a slot's holder, asked for by [`Action::Send`].
     ///
     /// Only the last question to a slot counts. A late answer to `Freeze` taken for that to `Finish` would give
     /// totals that lack what was billed since, and the budget would take back tokens that were spent.
--- a/crates/fescuewell_claims/src/sweep/steps.rs
+++ b/crates/fescuewell_claims/src/sweep/steps.rs
@@ -2,22 +2,22 @@
 
 use fescuewell_core::prelude::*;
 
-use super::{Action, Evidence, Question, Request, Server, Settlement, Sweep, slot_of};
+use super::{Action, Evidence, Question, Request, ServerState, Settlement, Sweep, slot_of};
 use crate::message::{Owner, Phase};
 
 impl Sweep {
     pub(super) fn list_servers(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        let retry = self.settings.retry;
+        let retry = self.settings.retry_interval;
         for (name, server) in &mut self.servers {
             let is_due = match *server {
-                Server::Ask { at } => at <= now,
-                Server::Asked { sent } => now.since(sent) >= retry,
-                Server::Settled => false,
+                ServerState::Due { at } => at <= now,
+                ServerState::Requested { sent } => now.since(sent) >= retry,
+                ServerState::Settled => false,
             };
-            if !is_due || actions.len() >= self.settings.burst {
+            if !is_due || actions.len() >= self.settings.max_batch {
                 continue;
             }
-            *server = Server::Asked { sent: now };
+            *server = ServerState::Requested { sent: now };
             let server = name.clone();
             actions.push(Action::ListStreams { server });
         }
@@ -26,11 +26,11 @@
     pub(super) fn ask_slots(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let slots: Vec<SlotKey> = self.asking.keys().copied().collect();
         for slot in slots {
-            if actions.len() >= self.settings.burst {
+            if actions.len() >= self.settings.max_batch {
                 return;
             }
             let last = self.asking[&slot];
-            if last.is_some_and(|last| now.since(last.sent) < self.settings.retry) {
+            if last.is_some_and(|last| now.since(last.sent) < self.settings.retry_interval) {
                 continue;
             }
             let Some(request) = self.question(slot) else {
@@ -41,7 +41,7 @@
             let sent = now;
             self.asking
                 .insert(slot, Some(Question { correlation, sent }));
-            actions.push(Action::Ask {
+            actions.push(Action::Send {
                 slot,
                 correlation,
                 request,
@@ -99,7 +99,7 @@
         let are_servers_settled = self
             .servers
             .values()
-            .all(|server| *server == Server::Settled);
+            .all(|server| *server == ServerState::Settled);
         let signal = match self.step() {
             "freezing" if self.asking.is_empty() => "slots_frozen",
             "listing" if are_servers_settled => "servers_settled",
--- a/crates/fescuewell_claims/tests/arbiter.rs
+++ b/crates/fescuewell_claims/tests/arbiter.rs
@@ -2,7 +2,9 @@
 
 mod support;
 
-use fescuewell_claims::message::{ANSWER_LIMIT, Answer, Claim, Known, Reply, Request};
+use fescuewell_claims::message::{
+    Claim, MAX_RESPONSE_BYTES, Reply, Request, RequestState, StoredResponse,
+};
 use fescuewell_claims::note::Note;
 use fescuewell_core::prelude::*;
 
@@ -29,7 +31,7 @@
     let owner = owner("r.1", 1);
     assert_eq!(
         known,
-        Reply::Known(Known::InProgress {
+        Reply::Known(RequestState::InProgress {
             owner,
             assignment: None
         })
@@ -42,7 +44,7 @@
     let mut node = Node::holding("a.1", &mut now, &mut table);
     node.run(&mut now, &mut table, 100);
 
-    let ticket = node.ask(now, &Request::Claim(single("x", "r.1", 1)));
+    let ticket = node.ask(now, &Request::Claim(non_repeatable("x", "r.1", 1)));
     let before = node.answers.get(&ticket).cloned();
     node.turn(now, &mut table);
 
@@ -70,7 +72,7 @@
     let owner = owner("r.1", 1);
     assert_eq!(
         second,
-        Reply::Known(Known::InProgress {
+        Reply::Known(RequestState::InProgress {
             owner,
             assignment: None
         })
@@ -98,8 +100,8 @@
     );
     let afterwards = node.at_once(now, &Request::Claim(other));
 
-    assert_eq!(under_way, Reply::Known(Known::Conflict));
-    assert_eq!(afterwards, Reply::Known(Known::Conflict));
+    assert_eq!(under_way, Reply::Known(RequestState::Conflict));
+    assert_eq!(afterwards, Reply::Known(RequestState::Conflict));
 }
 
 #[test]
@@ -149,7 +151,7 @@
 fn a_repeat_of_a_single_call_gets_the_kept_answer_from_the_next_holder() {
     let (mut now, mut table) = (Instant::from_millis(0), Table::default());
     let mut node = Node::holding("a.1", &mut now, &mut table);
-    let answer = Answer {
+    let answer = StoredResponse {
         status: 201,
         content_type: "application/json".into(),
         body: b"{\"booked\":true}"[..].into(),
@@ -158,13 +160,17 @@
     paid.answer = Some(answer.clone());
     paid.repeatable = false;
 
-    node.after_commit(&mut now, &mut table, &Request::Claim(single("x", "r.1", 1)));
+    node.after_commit(
+        &mut now,
+        &mut table,
+        &Request::Claim(non_repeatable("x", "r.1", 1)),
+    );
     node.after_commit(&mut now, &mut table, &Request::Bill(paid));
     let mut successor = Node::new("b.1", settings());
     successor.take(&mut now, &mut table, &["a.1"]);
-    let reply = successor.at_once(now, &Request::Claim(single("x", "s.1", 1)));
+    let reply = successor.at_once(now, &Request::Claim(non_repeatable("x", "s.1", 1)));
 
-    let done = Known::Done {
+    let done = RequestState::Done {
         assignment: None,
         answer: Some(answer),
         in_doubt: false,
@@ -178,7 +184,7 @@
     let mut node = Node::holding("a.1", &mut now, &mut table);
 
     node.at_once(now, &Request::Claim(claim("x", "r.1", 1)));
-    node.arbiter.want(now, &[]);
+    node.arbiter.set_wanted(now, &[]);
     let refused = node.at_once(now, &Request::Claim(claim("y", "r.1", 2)));
     node.run(&mut now, &mut table, 200);
     let mut successor = Node::new("b.1", settings());
@@ -187,7 +193,10 @@
 
     assert_eq!(refused, Reply::NotHolder);
     assert!(node.arbiter.is_idle());
-    assert!(matches!(known, Reply::Known(Known::InProgress { .. })));
+    assert!(matches!(
+        known,
+        Reply::Known(RequestState::InProgress { .. })
+    ));
 }
 
 #[test]
@@ -196,16 +205,16 @@
     let mut node = Node::holding("a.1", &mut now, &mut table);
     let mut paid = bill("x", "r.1", 1, 5);
     paid.repeatable = false;
-    paid.answer = Some(Answer {
+    paid.answer = Some(StoredResponse {
         status: 200,
         content_type: "text/plain".into(),
-        body: vec![b'x'; ANSWER_LIMIT].into(),
+        body: vec![b'x'; MAX_RESPONSE_BYTES].into(),
     });
 
     node.after_commit(&mut now, &mut table, &Request::Bill(paid));
-    let repeat = node.at_once(now, &Request::Claim(single("x", "s.1", 1)));
+    let repeat = node.at_once(now, &Request::Claim(non_repeatable("x", "s.1", 1)));
 
-    let done = Known::Done {
+    let done = RequestState::Done {
         assignment: None,
         answer: None,
         in_doubt: false,
@@ -222,7 +231,7 @@
     // Cause: only held slots were handed back, and the one in between was not held yet.
     let (mut now, mut table) = (Instant::from_millis(0), Table::default());
     let mut first = Node::new("a.1", settings());
-    first.arbiter.want(now, &[SLOT]);
+    first.arbiter.set_wanted(now, &[SLOT]);
     for _ in ["poll", "take"] {
         let step = first.arbiter.next_step(now).expect("a slot is missing");
         let reply = table.carry_out(&step);
@@ -230,10 +239,10 @@
     }
     assert!(!table.rows.is_empty() && !first.arbiter.holds(SLOT));
 
-    first.arbiter.want(now, &[]);
+    first.arbiter.set_wanted(now, &[]);
     first.run(&mut now, &mut table, 1_000);
     let mut second = Node::new("b.1", settings());
-    second.arbiter.want(now, &[SLOT]);
+    second.arbiter.set_wanted(now, &[SLOT]);
     second.run(&mut now, &mut table, 5_000);
 
     assert!(second.arbiter.holds(SLOT));
--- a/crates/fescuewell_claims/tests/courier.rs
+++ b/crates/fescuewell_claims/tests/courier.rs
@@ -4,24 +4,24 @@
 
 use std::time::Duration;
 
-use fescuewell_claims::client::{Ask, Cost, Courier, Event, Settings};
+use fescuewell_claims::client::{ClaimRequest, Client, Cost, Event, Settings};
 use fescuewell_claims::message::{Reply, Request};
 use fescuewell_core::prelude::{Digest, Instant, Tokens};
 
 use support::*;
 
-fn courier(holder: &str) -> Courier {
+fn courier(holder: &str) -> Client {
     let settings = Settings {
         slots: 1,
         ..Settings::default()
     };
-    let mut courier = Courier::new(settings, holder, 7);
+    let mut courier = Client::new(settings, holder, 7);
     courier.set_holder(Instant::from_millis(0), SLOT, Some("a".into()));
     courier
 }
 
-fn ask(id: &str, repeatable: bool) -> Ask {
-    Ask {
+fn ask(id: &str, repeatable: bool) -> ClaimRequest {
+    ClaimRequest {
         request: digest(id),
         fingerprint: Digest::of(b"body"),
         group: "signwise".into(),
@@ -44,7 +44,7 @@
 }
 
 /// Sends everything that is due to the node, lets it commit, and passes the answers back.
-fn exchange(courier: &mut Courier, node: &mut Node, now: &mut Instant, table: &mut Table) {
+fn exchange(courier: &mut Client, node: &mut Node, now: &mut Instant, table: &mut Table) {
     let mut tickets = Vec::new();
     for outgoing in courier.take_outgoing(*now) {
         let ticket = node.ask(*now, &outgoing.request);
@@ -109,7 +109,7 @@
     courier.receive(now, claim.correlation, late);
     let events = courier.take_events();
     exchange(&mut courier, &mut node, &mut now, &mut table);
-    let retry = Request::Claim(single("x", "s.1", 1));
+    let retry = Request::Claim(non_repeatable("x", "s.1", 1));
     let retried = node.after_commit(&mut now, &mut table, &retry);
 
     assert_eq!(events, [Event::ClaimTimedOut { ticket: 5, attempt }]);
@@ -163,7 +163,7 @@
         capacity: 3,
         ..Settings::default()
     };
-    let mut courier = Courier::new(settings, "r.1", 7);
+    let mut courier = Client::new(settings, "r.1", 7);
     courier.set_holder(now, SLOT, Some("a".into()));
 
     let mut attempts = Vec::new();
--- a/crates/fescuewell_claims/tests/fleet/world.rs
+++ b/crates/fescuewell_claims/tests/fleet/world.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 
 use fescuewell_claims::arbiter;
-use fescuewell_claims::client::{self, Ask, Cost, Courier, Event as Learned, Outgoing};
-use fescuewell_claims::message::{Assignment, Known, Owner, Reply, Request};
+use fescuewell_claims::client::{self, ClaimRequest, Client, Cost, Event as Learned, Outgoing};
+use fescuewell_claims::message::{Assignment, Owner, Reply, Request, RequestState};
 use fescuewell_claims::stream;
-use fescuewell_claims::sweep::{self, Action, Progress, Record, Sweep};
+use fescuewell_claims::sweep::{self, Action, Progress, Stream, Sweep};
 use fescuewell_core::prelude::*;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -29,7 +29,7 @@
 /// One attempt at a request, as an all-seeing observer knows it.
 struct Attempt {
     key: usize,
-    ask: Ask,
+    ask: ClaimRequest,
     owner: Owner,
     router: usize,
     server: Option<Arc<str>>,
@@ -42,7 +42,7 @@
     name: Arc<str>,
     incarnation: u32,
     node: Node,
-    courier: Courier,
+    courier: Client,
     is_paused: bool,
     /// Questions whose answer the node owes: ticket, asking instance, its name then, correlation.
     owed: BTreeMap<u64, (usize, Arc<str>, u64)>,
@@ -52,7 +52,7 @@
 
 struct Server {
     name: Arc<str>,
-    records: Vec<Record>,
+    records: Vec<Stream>,
 }
 
 pub(crate) struct World {
@@ -88,7 +88,7 @@
     let seed = (index as u64) << 32 | u64::from(incarnation);
     Instance {
         node: Node::new(&name, settings),
-        courier: Courier::new(asking, name.clone(), seed),
+        courier: Client::new(asking, name.clone(), seed),
         name,
         incarnation,
         is_paused: false,
@@ -167,7 +167,7 @@
         }
         let ticket = self.attempts.len() as u64;
         let body: &[u8] = if other_body { b"other" } else { b"body" };
-        let ask = Ask {
+        let ask = ClaimRequest {
             request: support::digest(&format!("x{key}")),
             fingerprint: Digest::of(body),
             group: "signwise".into(),
@@ -201,7 +201,7 @@
         }
         let server = &mut self.servers[index % SERVERS];
         let id = stream::id(&attempt.owner, request);
-        server.records.push(Record {
+        server.records.push(Stream {
             stream: id.clone(),
             group: attempt.ask.group.clone(),
             hold: attempt.ask.hold,
@@ -236,7 +236,7 @@
         record.progress = if is_whole {
             Progress::Complete
         } else {
-            Progress::Cut
+            Progress::Interrupted
         };
         let (owner, _) = stream::parse(&record.stream).expect("it is one of ours");
         let position = self
@@ -277,9 +277,9 @@
     fn start_sweep(&mut self, holder: Arc<str>) {
         let settings = sweep::Settings {
             slots: SLOTS,
-            patience: Duration::from_secs(2),
-            quiet: Duration::from_millis(500),
-            retry: Duration::from_millis(300),
+            cancel_after: Duration::from_secs(2),
+            listing_delay: Duration::from_millis(500),
+            retry_interval: Duration::from_millis(300),
             ..sweep::Settings::default()
         };
         let servers: Vec<Arc<str>> = self
@@ -372,7 +372,7 @@
                 .map(SlotKey)
                 .collect();
             let arbiter = &mut instance.node.arbiter;
-            arbiter.want(self.now, &wanted);
+            arbiter.set_wanted(self.now, &wanted);
             arbiter.set_lapsed(self.now, lapsed.clone());
             arbiter.set_terminated(self.now, self.terminated.clone());
             for slot in 0..SLOTS {
@@ -491,10 +491,10 @@
         }
     }
 
-    fn refused(&mut self, index: usize, known: Known) {
+    fn refused(&mut self, index: usize, known: RequestState) {
         let attempt = &mut self.attempts[index];
         attempt.is_bill_durable = true;
-        let Known::InProgress {
+        let RequestState::InProgress {
             owner,
             assignment: Some(assignment),
         } = known
@@ -523,7 +523,7 @@
         match action {
             Action::ListStreams { server } => {
                 match self.servers.iter().find(|entry| entry.name == server) {
-                    Some(entry) => sweep.streams(self.now, &server, &entry.records),
+                    Some(entry) => sweep.record_streams(self.now, &server, &entry.records),
                     None => sweep.server_terminated(&server),
                 }
             }
@@ -532,11 +532,11 @@
                 let records = entry.map(|entry| entry.records.iter_mut());
                 for record in records.into_iter().flatten() {
                     if record.stream == stream {
-                        record.progress = Progress::Cut;
+                        record.progress = Progress::Interrupted;
                     }
                 }
             }
-            Action::Ask {
+            Action::Send {
                 slot,
                 correlation,
                 request,
--- a/crates/fescuewell_claims/tests/support/mod.rs
+++ b/crates/fescuewell_claims/tests/support/mod.rs
@@ -176,7 +176,7 @@
 
     /// Takes the only slot, from the holders in `lapsed` if need be.
     pub fn take(&mut self, now: &mut Instant, table: &mut Table, lapsed: &[&str]) {
-        self.arbiter.want(*now, &[SLOT]);
+        self.arbiter.set_wanted(*now, &[SLOT]);
         self.arbiter.set_lapsed(*now, names(lapsed));
         for _ in 0..100 {
             if self.arbiter.holds(SLOT) {
@@ -206,7 +206,7 @@
     }
 
     pub fn collect(&mut self) {
-        self.answers.extend(self.arbiter.take_answers());
+        self.answers.extend(self.arbiter.take_replies());
         self.notes.extend(self.arbiter.take_notes());
     }
 
@@ -253,7 +253,7 @@
         commit_interval: Duration::from_millis(50),
         flush_interval: Duration::from_millis(50),
         poll_interval: Duration::from_millis(100),
-        lease: Duration::from_secs(1),
+        idle_poll_interval: Duration::from_secs(1),
         ..Settings::default()
     }
 }
@@ -288,7 +288,7 @@
 }
 
 /// A claim of a call that may not be repeated.
-pub fn single(id: &str, holder: &str, attempt: u32) -> Claim {
+pub fn non_repeatable(id: &str, holder: &str, attempt: u32) -> Claim {
     Claim {
         repeatable: false,
         ..claim(id, holder, attempt)
--- a/crates/fescuewell_claims/tests/sweep.rs
+++ b/crates/fescuewell_claims/tests/sweep.rs
@@ -6,10 +6,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fescuewell_claims::message::{Assignment, Claim, Known, Reply, Request};
+use fescuewell_claims::message::{Assignment, Claim, Reply, Request, RequestState};
 use fescuewell_claims::note::Note;
 use fescuewell_claims::stream;
-use fescuewell_claims::sweep::{Action, Progress, Record, Settings, Sweep};
+use fescuewell_claims::sweep::{Action, Progress, Settings, Stream, Sweep};
 use fescuewell_core::prelude::*;
 
 use support::*;
@@ -20,7 +20,7 @@
     table: Table,
     node: Node,
     /// Records of each backend server that answers.
-    servers: BTreeMap<Arc<str>, Vec<Record>>,
+    servers: BTreeMap<Arc<str>, Vec<Stream>>,
 }
 
 impl World {
@@ -64,7 +64,7 @@
         tokens: u64,
         progress: Progress,
     ) {
-        let record = Record {
+        let record = Stream {
             stream: stream::id(&owner(holder, attempt), digest(id)),
             group: "signwise".into(),
             hold: Tokens(500),
@@ -78,7 +78,7 @@
     fn sweep(&self) -> Sweep {
         let settings = Settings {
             slots: 1,
-            patience: Duration::from_secs(30),
+            cancel_after: Duration::from_secs(30),
             ..Settings::default()
         };
         let servers: Vec<Arc<str>> = self.servers.keys().cloned().collect();
@@ -102,17 +102,17 @@
     fn carry_out(&mut self, sweep: &mut Sweep, action: Action) {
         match action {
             Action::ListStreams { server } => match self.servers.get(&server) {
-                Some(records) => sweep.streams(self.now, &server, records),
+                Some(records) => sweep.record_streams(self.now, &server, records),
                 None => sweep.server_failed(self.now, &server),
             },
             Action::Cancel { server, stream } => {
                 for record in self.servers.get_mut(&server).expect("it is listed") {
                     if record.stream == stream {
-                        record.progress = Progress::Cut;
+                        record.progress = Progress::Interrupted;
                     }
                 }
             }
-            Action::Ask {
+            Action::Send {
                 slot,
                 correlation,
                 request,
@@ -224,7 +224,7 @@
     world.record("e1", "x", "r.1", 1, 40, Progress::Complete);
     let mut sweep = world.sweep();
     let first = sweep.take_actions(world.now).remove(0);
-    let Action::Ask {
+    let Action::Send {
         slot,
         correlation,
         request,
@@ -255,7 +255,7 @@
     // Cause: the sweep bills whatever it finds.
     let mut world = World::new(&["e1"]);
     world.ask(&Request::Claim(claim("x", "r.1", 1)));
-    world.record("e1", "x", "r.1", 1, 40, Progress::Cut);
+    world.record("e1", "x", "r.1", 1, 40, Progress::Interrupted);
     let now = world.now;
     world.node.arbiter.set_terminated(now, names(&["r.1"]));
 
@@ -299,7 +299,7 @@
         server: "e1".into(),
         stream: stream::id(&first, digest("x")),
     });
-    let under_way = Reply::Known(Known::InProgress {
+    let under_way = Reply::Known(RequestState::InProgress {
         owner: first,
         assignment,
     });
@@ -320,18 +320,21 @@
     // the sweep.
     // Cause: a claim without an outcome is taken for one that did not run.
     let mut world = World::new(&[]);
-    world.ask(&Request::Claim(single("x", "r.1", 1)));
+    world.ask(&Request::Claim(non_repeatable("x", "r.1", 1)));
     let now = world.now;
     world.node.arbiter.set_terminated(now, names(&["r.1"]));
 
-    let before = world.ask(&Request::Claim(single("x", "s.1", 5)));
+    let before = world.ask(&Request::Claim(non_repeatable("x", "s.1", 5)));
     let mut sweep = world.sweep();
     let charged = world.run(&mut sweep, 60);
-    let after = world.ask(&Request::Claim(single("x", "s.1", 6)));
+    let after = world.ask(&Request::Claim(non_repeatable("x", "s.1", 6)));
 
-    assert!(matches!(before, Reply::Known(Known::InProgress { .. })));
+    assert!(matches!(
+        before,
+        Reply::Known(RequestState::InProgress { .. })
+    ));
     assert_eq!(charged, Some(500));
-    let unknown = Known::Done {
+    let unknown = RequestState::Done {
         assignment: None,
         answer: None,
         in_doubt: true,
@@ -361,7 +364,7 @@
     assert_eq!(second, billed(0));
     assert!(matches!(
         third,
-        Reply::Known(Known::Done {
+        Reply::Known(RequestState::Done {
             in_doubt: false,
             ..
         })
@@ -393,7 +396,7 @@
 #[test]
 fn an_attempt_sent_to_two_servers_is_charged_for_the_one_that_ended() {
     let mut world = World::new(&["e1", "e2"]);
-    world.record("e1", "x", "r.1", 1, 90, Progress::Cut);
+    world.record("e1", "x", "r.1", 1, 90, Progress::Interrupted);
     world.record("e2", "x", "r.1", 1, 60, Progress::Complete);
 
     let mut sweep = world.sweep();
--- a/crates/fescuewell_claims/tests/table_faults.rs
+++ b/crates/fescuewell_claims/tests/table_faults.rs
@@ -7,7 +7,7 @@
 
 use fescuewell_claims::arbiter::Settings;
 use fescuewell_claims::ledger::Retention;
-use fescuewell_claims::message::{Bill, Known, Phase, Reply, Request};
+use fescuewell_claims::message::{Bill, Phase, Reply, Request, RequestState};
 use fescuewell_claims::note::Note;
 use fescuewell_claims::record::{Batch, Record};
 use fescuewell_core::prelude::*;
@@ -46,7 +46,7 @@
     node.run(&mut now, &mut table, 100);
     let commits = table.commits;
 
-    let ticket = node.ask(now, &Request::Claim(single("x", "r.1", 1)));
+    let ticket = node.ask(now, &Request::Claim(non_repeatable("x", "r.1", 1)));
     table.fault = Fault::LosesReplies;
     let step = node.arbiter.next_step(now).expect("a commit is due");
     let lost = table.carry_out(&step);
@@ -100,7 +100,7 @@
     node.at_once(now, &Request::Claim(claim("w", "r.1", 1)));
     node.run(&mut now, &mut table, 200);
 
-    let refused = node.at_once(now, &Request::Claim(single("x", "r.1", 2)));
+    let refused = node.at_once(now, &Request::Claim(non_repeatable("x", "r.1", 2)));
     let served = node.at_once(now, &Request::Claim(claim("y", "r.1", 3)));
     let kept = node.at_once(now, &Request::Bill(bill("y", "r.1", 3, 70)));
     let repeat = node.at_once(now, &Request::Claim(claim("y", "s.1", 1)));
@@ -118,7 +118,7 @@
         }
     );
     assert_eq!(kept, Reply::Unavailable);
-    assert!(matches!(repeat, Reply::Known(Known::Done { .. })));
+    assert!(matches!(repeat, Reply::Known(RequestState::Done { .. })));
     assert_eq!(durable, billed(70));
 }
 
@@ -132,12 +132,12 @@
     node.run(&mut now, &mut table, 100);
 
     table.fault = Fault::LosesReplies;
-    let refused = node.ask(now, &Request::Claim(single("x", "r.1", 1)));
+    let refused = node.ask(now, &Request::Claim(non_repeatable("x", "r.1", 1)));
     node.run(&mut now, &mut table, 300);
     table.fault = Fault::None;
     node.run(&mut now, &mut table, 1_000);
-    let late_copy = node.at_once(now, &Request::Claim(single("x", "r.1", 1)));
-    let retry = single("x", "s.1", 1);
+    let late_copy = node.at_once(now, &Request::Claim(non_repeatable("x", "r.1", 1)));
+    let retry = non_repeatable("x", "s.1", 1);
     let retried = node.after_commit(&mut now, &mut table, &Request::Claim(retry));
 
     assert_eq!(node.answers[&refused], Reply::Unavailable);
@@ -161,10 +161,10 @@
     let mut paused = Node::holding("a.1", &mut now, &mut table);
     paused.run(&mut now, &mut table, 100);
 
-    let ticket = paused.ask(now, &Request::Claim(single("x", "r.1", 1)));
+    let ticket = paused.ask(now, &Request::Claim(non_repeatable("x", "r.1", 1)));
     let mut successor = Node::new("b.1", settings());
     successor.take(&mut now, &mut table, &["a.1"]);
-    let other = single("x", "s.1", 1);
+    let other = non_repeatable("x", "s.1", 1);
     let granted = successor.after_commit(&mut now, &mut table, &Request::Claim(other));
     paused.run(&mut now, &mut table, 300);
 
@@ -243,7 +243,7 @@
     let mut node = Node::holding("a.1", &mut now, &mut table);
     node.run(&mut now, &mut table, 100);
 
-    let ticket = node.ask(now, &Request::Claim(single("x", "r.1", 1)));
+    let ticket = node.ask(now, &Request::Claim(non_repeatable("x", "r.1", 1)));
     table.fault = Fault::Busy;
     node.turn(now, &mut table);
     table.fault = Fault::None;
@@ -377,7 +377,7 @@
     let (mut now, mut table) = (Instant::from_millis(0), Table::default());
     let mut node = Node::holding("a.1", &mut now, &mut table);
 
-    node.arbiter.want(now, &[]);
+    node.arbiter.set_wanted(now, &[]);
     table.fault = Fault::LosesReplies;
     node.turn(now, &mut table);
     table.fault = Fault::None;
@@ -394,14 +394,14 @@
     let settings = Settings::default();
     let slots: Vec<SlotKey> = (0..settings.slots).map(SlotKey).collect();
     let mut node = Node::new("a.1", settings);
-    node.arbiter.want(now, &slots);
+    node.arbiter.set_wanted(now, &slots);
     node.run(&mut now, &mut table, 2_000);
     for slot in slots {
         let claim = Request::Claim(claim("a request", "a.1", 1));
         node.ask_slot(now, slot, &claim);
     }
 
-    node.arbiter.want(now, &[]);
+    node.arbiter.set_wanted(now, &[]);
     node.run(&mut now, &mut table, 2_000);
 
     assert!(node.arbiter.is_idle());
@@ -445,10 +445,10 @@
     let late_copy = node.after_commit(&mut now, &mut table, &first);
 
     assert!(
-        matches!(kept, Reply::Known(Known::Done { .. })),
+        matches!(kept, Reply::Known(RequestState::Done { .. })),
         "the router may still send it again"
     );
-    assert_eq!(dropped, Reply::Known(Known::Absent));
+    assert_eq!(dropped, Reply::Known(RequestState::Absent));
     assert_eq!(late_copy, billed(0));
 }
 
@@ -461,8 +461,8 @@
     let mut node = Node::holding("a.1", &mut now, &mut table);
 
     let released = node.after_commit(&mut now, &mut table, &release("x", "r.1", 1));
-    let late = node.at_once(now, &Request::Claim(single("x", "r.1", 1)));
-    let retry = single("x", "r.1", 2);
+    let late = node.at_once(now, &Request::Claim(non_repeatable("x", "r.1", 1)));
+    let retry = non_repeatable("x", "r.1", 2);
     let retried = node.after_commit(&mut now, &mut table, &Request::Claim(retry));
 
     assert_eq!(released, Reply::Released);
@@ -484,13 +484,13 @@
     let (mut now, mut table) = (Instant::from_millis(0), Table::default());
     let mut node = Node::holding("a.1", &mut now, &mut table);
     for attempt in 1..=3 {
-        let claim = single(&format!("x{attempt}"), "r.1", attempt);
+        let claim = non_repeatable(&format!("x{attempt}"), "r.1", attempt);
         node.after_commit(&mut now, &mut table, &Request::Claim(claim));
     }
     table.rows.remove("slotlog/0000/0000000000000002");
 
     let mut successor = Node::new("b.1", settings());
-    successor.arbiter.want(now, &[SLOT]);
+    successor.arbiter.set_wanted(now, &[SLOT]);
     successor.arbiter.set_lapsed(now, names(&["a.1"]));
     successor.run(&mut now, &mut table, 1_000);
 
--- a/crates/fescuewell_node/src/admit.rs
+++ b/crates/fescuewell_node/src/admit.rs
@@ -5,8 +5,8 @@
 //! more than what was granted to its routers, at worst to more than was prepaid.
 
 use fescuewell_budget::hold::Shortage;
-use fescuewell_claims::client::Ask;
-use fescuewell_claims::message::{Known, Owner};
+use fescuewell_claims::client::ClaimRequest;
+use fescuewell_claims::message::{Owner, RequestState};
 use fescuewell_core::prelude::*;
 use fescuewell_queue::admission::Entry;
 use fescuewell_queue::deadline::latest_start;
@@ -170,16 +170,16 @@
     }
 
     /// The request is known already.
-    pub(crate) fn claim_known(&mut self, ticket: Ticket, known: Known) {
+    pub(crate) fn claim_known(&mut self, ticket: Ticket, known: RequestState) {
         self.forget_grant(ticket);
         let wait = std::time::Duration::from_secs(RETRY_IN_PROGRESS);
         match known {
-            Known::Absent => self.claim(ticket),
-            Known::Conflict => self.refuse(ticket, Refusal::new(Code::Conflict)),
-            Known::InProgress { owner, .. } if self.is_over(&owner) => {
+            RequestState::Absent => self.claim(ticket),
+            RequestState::Conflict => self.refuse(ticket, Refusal::new(Code::Conflict)),
+            RequestState::InProgress { owner, .. } if self.is_over(&owner) => {
                 self.reclaims.insert(ticket);
             }
-            Known::InProgress { owner, assignment } => match assignment {
+            RequestState::InProgress { owner, assignment } => match assignment {
                 Some(assignment) if self.is_model(ticket) => {
                     self.attach(ticket, Some(owner), &assignment.server, &assignment.stream);
                 }
@@ -191,7 +191,7 @@
                     Refusal::new(Code::InProgress).with_retry_after(wait),
                 ),
             },
-            Known::Done {
+            RequestState::Done {
                 assignment,
                 answer,
                 in_doubt,
@@ -390,8 +390,8 @@
 }
 
 /// What the slot is asked for a request.
-pub(crate) fn ask_for(record: &Record) -> Ask {
-    Ask {
+pub(crate) fn ask_for(record: &Record) -> ClaimRequest {
+    ClaimRequest {
         request: record.arrival.key.digest(),
         fingerprint: record.arrival.fingerprint,
         group: record.arrival.group.clone(),
--- a/crates/fescuewell_node/src/event.rs
+++ b/crates/fescuewell_node/src/event.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use fescuewell_claims::message::Answer;
+use fescuewell_claims::message::StoredResponse;
 use fescuewell_core::platform::Listing;
 use fescuewell_core::prelude::*;
 use fescuewell_core::table;
@@ -44,7 +44,7 @@
         /// Whether it came to its own end rather than being cancelled or failing.
         pub complete: bool,
         /// The answer of a call that may not be repeated, when the server keeps it.
-        pub answer: Option<Answer>,
+        pub answer: Option<StoredResponse>,
         /// Tokens used until now.
         pub used: Tokens,
     }
--- a/crates/fescuewell_node/src/node.rs
+++ b/crates/fescuewell_node/src/node.rs
@@ -5,7 +5,7 @@
 
 use fescuewell_budget::ledger::Ledger;
 use fescuewell_claims::arbiter::Arbiter;
-use fescuewell_claims::client::Courier;
+use fescuewell_claims::client::Client;
 use fescuewell_core::prelude::*;
 use fescuewell_core::table;
 use fescuewell_document::model::Document;
@@ -56,7 +56,7 @@
     pub(crate) book: Book,
     pub(crate) ledger: Ledger,
     pub(crate) arbiter: Arbiter,
-    pub(crate) courier: Courier,
+    pub(crate) courier: Client,
     pub(crate) admission: Admission,
     pub(crate) retries: retry::Budget,
     pub(crate) quarantine: Quarantine,
@@ -101,7 +101,7 @@
             book: Book::default(),
             ledger: Ledger::new(settings.budget.clone(), holder.clone(), seed ^ 1),
             arbiter: Arbiter::new(settings.arbiter.clone(), holder.clone(), seed ^ 2),
-            courier: Courier::new(settings.courier.clone(), holder.clone(), seed ^ 3),
+            courier: Client::new(settings.courier.clone(), holder.clone(), seed ^ 3),
             admission: Admission::new(settings.queue.clone(), seed ^ 4),
             retries: retry::Budget::new(settings.retry),
             quarantine: Quarantine::default(),
--- a/crates/fescuewell_node/src/pump.rs
+++ b/crates/fescuewell_node/src/pump.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use fescuewell_budget::message::News;
-use fescuewell_claims::client::{Event as CourierEvent, Outgoing};
-use fescuewell_claims::message::{Known, Reply};
+use fescuewell_claims::client::{Event as ClientEvent, Outgoing};
+use fescuewell_claims::message::{Reply, RequestState};
 use fescuewell_core::prelude::*;
 use fescuewell_core::table;
 use fescuewell_membership::drain::{Action as DrainAction, Remaining};
@@ -96,7 +96,7 @@
             request,
         };
         if !self.send_to(&instance, message) {
-            self.courier.failed(self.now, correlation);
+            self.courier.send_failed(self.now, correlation);
         }
     }
 
@@ -121,7 +121,7 @@
     }
 
     fn carry_answers(&mut self) -> bool {
-        let answers = self.arbiter.take_answers();
+        let answers = self.arbiter.take_replies();
         let moved = !answers.is_empty();
         for (number, reply) in answers {
             let Some(asker) = self.askers.remove(&number) else {
@@ -159,27 +159,27 @@
         moved
     }
 
-    fn courier_event(&mut self, event: CourierEvent) {
+    fn courier_event(&mut self, event: ClientEvent) {
         match event {
-            CourierEvent::ClaimAnswered {
+            ClientEvent::ClaimAnswered {
                 ticket,
                 attempt,
                 result,
             } => {
                 self.claim_answered(Ticket(ticket), attempt, result);
             }
-            CourierEvent::ClaimTimedOut { ticket, .. }
-            | CourierEvent::ClaimUnavailable { ticket, .. } => {
+            ClientEvent::ClaimTimedOut { ticket, .. }
+            | ClientEvent::ClaimUnavailable { ticket, .. } => {
                 self.claim_unavailable(Ticket(ticket))
             }
-            CourierEvent::BillDurable {
+            ClientEvent::BillDurable {
                 ticket, charged, ..
             } => self.billed(Ticket(ticket), charged),
-            CourierEvent::LookedUp { ticket, known } => self.looked_up(Ticket(ticket), known),
+            ClientEvent::LookedUp { ticket, known } => self.looked_up(Ticket(ticket), known),
         }
     }
 
-    fn claim_answered(&mut self, ticket: Ticket, attempt: u32, result: Result<bool, Known>) {
+    fn claim_answered(&mut self, ticket: Ticket, attempt: u32, result: Result<bool, RequestState>) {
         let record = self.book.get(ticket);
         let is_present = record
             .and_then(|record| record.grant)
@@ -440,7 +440,7 @@
         // A draining instance goes on holding what falls to it, until it has given everything back: when
         // all instances drain at once there is nobody else to record their last bills.
         if self.keeper.update(now, view) && !self.has_released_slots {
-            self.arbiter.want(now, &self.keeper.mine());
+            self.arbiter.set_wanted(now, &self.keeper.mine());
         }
         self.members.set_watch(self.keeper.watch().clone());
         for slot in 0..self.settings.slots {
@@ -494,7 +494,7 @@
                 DrainAction::ReturnAllowances => self.ledger.close(self.now),
                 DrainAction::ReleaseSlots => {
                     self.has_released_slots = true;
-                    self.arbiter.want(self.now, &[]);
+                    self.arbiter.set_wanted(self.now, &[]);
                 }
                 DrainAction::Farewell => self.members.set_state(self.now, State::Gone),
                 DrainAction::Exit { .. } => self.actions.push(Action::Exit),
@@ -519,7 +519,7 @@
         self.courier.lookup(self.now, ticket.0, key.digest());
     }
 
-    fn looked_up(&mut self, ticket: Ticket, known: Option<Known>) {
+    fn looked_up(&mut self, ticket: Ticket, known: Option<RequestState>) {
         if !self.lookups.remove(&ticket) {
             return;
         }
@@ -527,15 +527,15 @@
         self.decide(ticket, verdict);
     }
 
-    fn verdict_of_lookup(&self, known: Option<Known>) -> crate::request::Verdict {
+    fn verdict_of_lookup(&self, known: Option<RequestState>) -> crate::request::Verdict {
         use crate::request::Verdict;
         let assignment = match known {
-            Some(Known::InProgress { assignment, .. }) => assignment,
-            Some(Known::Done {
+            Some(RequestState::InProgress { assignment, .. }) => assignment,
+            Some(RequestState::Done {
                 answer: Some(answer),
                 ..
             }) => return Verdict::Stored(answer),
-            Some(Known::Done { assignment, .. }) => assignment,
+            Some(RequestState::Done { assignment, .. }) => assignment,
             _ => None,
         };
         let place = assignment
--- a/crates/fescuewell_node/src/request.rs
+++ b/crates/fescuewell_node/src/request.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fescuewell_claims::message::Answer;
+use fescuewell_claims::message::StoredResponse;
 use fescuewell_core::prelude::*;
 
 fescuewell_core::key! {
@@ -73,7 +73,7 @@
             stream: StreamId,
         },
         /// Answer with what is kept of the first run.
-        Stored(Answer),
+        Stored(StoredResponse),
     }
 
     /// Where an attempt goes and within which bounds.
@@ -109,7 +109,7 @@
             /// Output tokens alone.
             output: u32,
             /// The answer, kept for repeats of a call that may not run twice.
-            answer: Option<Answer>,
+            answer: Option<StoredResponse>,
         },
         /// Provably no byte was sent: another attempt may be made.
         NotSent,
--- a/crates/fescuewell_node/src/settle.rs
+++ b/crates/fescuewell_node/src/settle.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use fescuewell_claims::client::Cost;
-use fescuewell_claims::message::Answer;
+use fescuewell_claims::message::StoredResponse;
 use fescuewell_core::prelude::*;
 use fescuewell_queue::limit::Outcome as LimitOutcome;
 use fescuewell_routing::server::{Outcome, Ticket as RouteTicket};
@@ -22,7 +22,7 @@
 struct Charge {
     cost: Tokens,
     is_complete: bool,
-    answer: Option<Answer>,
+    answer: Option<StoredResponse>,
 }
 
 impl Node {
--- a/crates/fescuewell_node/src/sweeping.rs
+++ b/crates/fescuewell_node/src/sweeping.rs
@@ -8,7 +8,7 @@
 
 use fescuewell_budget::reclaim::Reclaim;
 use fescuewell_claims::message::{Reply, Request, slot_of};
-use fescuewell_claims::sweep::{Action as SweepAction, Progress, Record, Settings, Sweep};
+use fescuewell_claims::sweep::{Action as SweepAction, Progress, Settings, Stream, Sweep};
 use fescuewell_core::platform::{Listing, Role, State};
 use fescuewell_core::prelude::*;
 use fescuewell_core::table;
@@ -143,7 +143,7 @@
                     stream,
                 });
             }
-            SweepAction::Ask {
+            SweepAction::Send {
                 slot,
                 correlation,
                 request,
@@ -208,8 +208,8 @@
         match streams {
             None => sweep.server_failed(self.now, server),
             Some(streams) => {
-                let records: Vec<Record> = streams.into_iter().map(record).collect();
-                sweep.streams(self.now, server, &records);
+                let records: Vec<Stream> = streams.into_iter().map(record).collect();
+                sweep.record_streams(self.now, server, &records);
             }
         }
     }
@@ -247,13 +247,13 @@
     }
 }
 
-fn record(stream: StreamRecord) -> Record {
+fn record(stream: StreamRecord) -> Stream {
     let progress = match (stream.done, stream.complete) {
         (false, _) => Progress::Running,
         (true, true) => Progress::Complete,
-        (true, false) => Progress::Cut,
+        (true, false) => Progress::Interrupted,
     };
-    Record {
+    Stream {
         stream: stream.stream,
         group: stream.group,
         hold: stream.hold,
--- a/crates/fescuewell_node/tests/common/backend.rs
+++ b/crates/fescuewell_node/tests/common/backend.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-use fescuewell_claims::message::Answer;
+use fescuewell_claims::message::StoredResponse;
 use fescuewell_core::prelude::*;
 use fescuewell_node::prelude::*;
 
@@ -42,7 +42,7 @@
     /// Whether it was cancelled.
     pub cut: bool,
     /// Answer of a call that may not be repeated.
-    pub answer: Option<Answer>,
+    pub answer: Option<StoredResponse>,
 }
 
 /// All backend servers.
--- a/crates/fescuewell_node/tests/common/plane.rs
+++ b/crates/fescuewell_node/tests/common/plane.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fescuewell_claims::message::Answer;
+use fescuewell_claims::message::StoredResponse;
 use fescuewell_core::prelude::*;
 use fescuewell_node::prelude::*;
 use rand::Rng;
@@ -141,7 +141,7 @@
         };
         let cost = Tokens(self.random.random_range(1..=assignment.hold.0.max(1)));
         let cost = if repeatable { cost } else { assignment.hold };
-        let answer = (!repeatable).then(|| Answer {
+        let answer = (!repeatable).then(|| StoredResponse {
             status: 200,
             content_type: "text/plain".into(),
             body: b"filed"[..].into(),
@@ -167,7 +167,7 @@
     }
 }
 
-fn done(cost: Tokens, answer: Option<Answer>) -> End {
+fn done(cost: Tokens, answer: Option<StoredResponse>) -> End {
     End::Done {
         cost,
         output: cost.0 as u32,
--- a/crates/fescuewell_router/src/call.rs
+++ b/crates/fescuewell_router/src/call.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use fescuewell_claims::message::{ANSWER_LIMIT, Answer};
+use fescuewell_claims::message::{MAX_RESPONSE_BYTES, StoredResponse};
 use fescuewell_core::prelude::*;
 use fescuewell_http::upstream::{Client, Error, Exchange, Target, Timeouts};
 use fescuewell_node::request::{Assignment, End};
@@ -50,7 +50,7 @@
     /// For the decision thread.
     pub end: End,
     /// The service's answer.
-    pub answer: Option<Answer>,
+    pub answer: Option<StoredResponse>,
 }
 
 impl Call<'_> {
@@ -77,8 +77,8 @@
         }
     }
 
-    fn done(&self, answer: Answer) -> Outcome {
-        let is_kept = !self.repeatable && answer.body.len() <= ANSWER_LIMIT;
+    fn done(&self, answer: StoredResponse) -> Outcome {
+        let is_kept = !self.repeatable && answer.body.len() <= MAX_RESPONSE_BYTES;
         Outcome {
             end: End::Done {
                 cost: self.price,
@@ -121,7 +121,7 @@
         })
     }
 
-    async fn record(&self, assignment: &Assignment) -> Option<Answer> {
+    async fn record(&self, assignment: &Assignment) -> Option<StoredResponse> {
         let request = http::Request::builder()
             .uri(format!("/calls/{}", assignment.stream))
             .body(Bytes::new())
@@ -140,7 +140,7 @@
         if value["ran"] != true {
             return None;
         }
-        Some(Answer {
+        Some(StoredResponse {
             body: value["answer"].to_string().into_bytes().into(),
             ..record
         })
@@ -167,13 +167,13 @@
     Outcome { end, answer: None }
 }
 
-async fn read(exchange: Exchange) -> Option<Answer> {
+async fn read(exchange: Exchange) -> Option<StoredResponse> {
     let status = exchange.status.as_u16();
     let content_type = exchange.headers.get(CONTENT_TYPE);
     let content_type = content_type.and_then(|value| value.to_str().ok());
     let content_type: Arc<str> = content_type.unwrap_or("application/json").into();
     let body = exchange.whole(LARGEST_ANSWER).await.ok()?;
-    Some(Answer {
+    Some(StoredResponse {
         status,
         content_type,
         body: body.as_ref().into(),
--- a/crates/fescuewell_router/src/plane.rs
+++ b/crates/fescuewell_router/src/plane.rs
@@ -8,7 +8,7 @@
 
 use arc_swap::ArcSwap;
 use bytes::Bytes;
-use fescuewell_claims::message::Answer;
+use fescuewell_claims::message::StoredResponse;
 use fescuewell_core::prelude::*;
 use fescuewell_document::lookup::Index;
 use fescuewell_http::listener::{Handler, Reply, Request, spawn};
@@ -408,7 +408,7 @@
     Digest::of(&bytes)
 }
 
-fn status_of(answer: &Answer) -> StatusCode {
+fn status_of(answer: &StoredResponse) -> StatusCode {
     StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK)
 }
 
--- a/crates/fescuewell_router/src/plane/service.rs
+++ b/crates/fescuewell_router/src/plane/service.rs
@@ -1,7 +1,7 @@
 //! Calls of plain services.
 
 use bytes::Bytes;
-use fescuewell_claims::message::Answer;
+use fescuewell_claims::message::StoredResponse;
 use fescuewell_core::prelude::*;
 use fescuewell_http::listener::{Reply, Request};
 use fescuewell_node::event::Event as NodeEvent;
@@ -90,7 +90,7 @@
     matches!(end, fescuewell_node::request::End::Lost { .. })
 }
 
-fn send_answer(reply: Reply, answer: &Answer, id: &str) {
+fn send_answer(reply: Reply, answer: &StoredResponse, id: &str) {
     let mut headers = HeaderMap::new();
     if let Ok(value) = HeaderValue::from_str(&answer.content_type) {
         headers.insert(CONTENT_TYPE, value);
--- a/crates/fescuewell_router/src/settings.rs
+++ b/crates/fescuewell_router/src/settings.rs
@@ -209,7 +209,7 @@
         let mut node = fescuewell_node::settings::Settings::sized(self.fleet);
         node.most_requests = self.limits.requests;
         node.arbiter.commit_interval = Duration::from_millis(timing.commit_interval_ms);
-        node.courier.patience = Duration::from_millis(timing.claim_patience_ms);
+        node.courier.claim_timeout = Duration::from_millis(timing.claim_patience_ms);
         node.members.list_lag = Duration::from_millis(timing.list_lag_ms);
         node.members.isolation_limit = Duration::from_millis(timing.isolation_ms);
         node.members.lease = Duration::from_millis(timing.lease_ms);
--- a/tests/scenario/audit.rs
+++ b/tests/scenario/audit.rs
@@ -5,7 +5,7 @@
 
 use fescuewell::claims::arbiter::row::SlotRow;
 use fescuewell::claims::arbiter::{Arbiter, Settings};
-use fescuewell::claims::message::{Known, Phase, Reply, Request};
+use fescuewell::claims::message::{Phase, Reply, Request, RequestState};
 use fescuewell::core::id::{Digest, SlotKey};
 use fescuewell::core::table::{Range, Row, Table, carry_out};
 use fescuewell::core::time::Instant;
@@ -38,7 +38,7 @@
             .arbiter
             .set_lapsed(audit.now, holders.into_iter().collect());
         let all: Vec<SlotKey> = (0..SLOTS).map(SlotKey).collect();
-        audit.arbiter.want(audit.now, &all);
+        audit.arbiter.set_wanted(audit.now, &all);
         while audit.arbiter.slots().len() < usize::from(SLOTS) {
             audit.step();
         }
@@ -72,7 +72,7 @@
     fn ask(&mut self, slot: SlotKey, request: &Request) -> Reply {
         self.arbiter.request(self.now, 1, slot, request);
         loop {
-            if let Some((_, reply)) = self.arbiter.take_answers().pop() {
+            if let Some((_, reply)) = self.arbiter.take_replies().pop() {
                 return reply;
             }
             self.step();
@@ -80,7 +80,7 @@
     }
 
     /// What is known of a request.
-    pub fn lookup(&mut self, request: Digest) -> Known {
+    pub fn lookup(&mut self, request: Digest) -> RequestState {
         let slot = fescuewell::claims::message::slot_of(request, SLOTS);
         match self.ask(slot, &Request::Lookup { request }) {
             Reply::Known(known) => known,
--- a/tests/scenario/runner.rs
+++ b/tests/scenario/runner.rs
@@ -23,7 +23,7 @@
 use std::error::Error;
 use std::thread::JoinHandle;
 
-use fescuewell::claims::message::Known;
+use fescuewell::claims::message::RequestState;
 use fescuewell::core::id::RequestKey;
 use fescuewell::core::platform::State;
 use fescuewell::core::tokens::Tokens;
@@ -407,7 +407,7 @@
             };
             *seen.entry(sent.group).or_default() += if sent.is_chat { tokens } else { 0 };
             let key = RequestKey::new(sent.account, id.as_str());
-            if !matches!(audit.lookup(key.digest()), Known::Done { .. }) {
+            if !matches!(audit.lookup(key.digest()), RequestState::Done { .. }) {
                 unbilled.push(id.clone());
             }
         }
