--- a/crates/fescuewell_bench/src/capacity/claims.rs
+++ b/crates/fescuewell_bench/src/capacity/claims.rs
@@ -161,7 +161,7 @@
         cost: Tokens(407),
         complete: true,
         repeatable: claim.repeatable,
-        answer: None,
+        response: None,
         oldest: 1,
     })
 }
--- a/crates/fescuewell_claims/examples/measure.rs
+++ b/crates/fescuewell_claims/examples/measure.rs
@@ -123,7 +123,7 @@
         cost: Tokens(407),
         complete: true,
         repeatable: claim.repeatable,
-        answer: None,
+        response: None,
         oldest: 1,
     })
 }
@@ -347,7 +347,7 @@
         let cost = Cost {
             tokens: Tokens(407),
             complete: true,
-            answer: None,
+            response: None,
         };
         courier.bill(now, index, &ask, index as u32 + 1, cost);
     }
--- a/crates/fescuewell_claims/src/arbiter.rs
+++ b/crates/fescuewell_claims/src/arbiter.rs
@@ -1,7 +1,7 @@
 //! The holder of slots: answers routers, and writes what it decided to the table in group commits.
 //!
 //! The machine does no input or output. The caller passes requests in ([`Arbiter::request`]) and
-//! takes answers out ([`Arbiter::take_replies`]); it carries out one table step at a time
+//! takes replies out ([`Arbiter::take_replies`]); it carries out one table step at a time
 //! ([`Arbiter::next_step`]) and returns its result ([`Arbiter::reply`]).
 //!
 //! A holder needs no clock to be safe. Every commit compares the revision of each slot's row, so one
@@ -106,7 +106,7 @@
     cursor: SlotKey,
     pending: usize,
     entries: usize,
-    answers: Vec<(u64, Reply)>,
+    replies: Vec<(u64, Reply)>,
     notes: Vec<Note>,
 }
 
@@ -138,7 +138,7 @@
             cursor: SlotKey::default(),
             pending: 0,
             entries: 0,
-            answers: Vec::new(),
+            replies: Vec::new(),
             notes: Vec::new(),
         }
     }
@@ -210,11 +210,11 @@
         let is_full = self.is_full_for(slot, request);
         let wanted = self.wanted.contains(&slot);
         let Some(held) = self.held.get_mut(&slot).filter(|_| wanted) else {
-            self.answers.push((ticket, Reply::NotHolder));
+            self.replies.push((ticket, Reply::NotHolder));
             return;
         };
         if is_full {
-            self.answers.push((ticket, Reply::Unavailable));
+            self.replies.push((ticket, Reply::Unavailable));
             return;
         }
         let context = Context {
@@ -233,13 +233,13 @@
         // holder would leave its caller with "unknown" for ever; half a second of that is too long.
         held.is_urgent |= matches!(request, Request::Bill(bill) if !bill.repeatable);
         if !decision.after_commit || held.is_clean() {
-            self.answers.push((ticket, decision.reply));
+            self.replies.push((ticket, decision.reply));
             return;
         }
         // The bill or release is kept for the first commit after the outage. Its sender keeps it too,
         // so that a ticket held open all that time would carry no news.
         if !self.writable {
-            self.answers.push((ticket, Reply::Unavailable));
+            self.replies.push((ticket, Reply::Unavailable));
             return;
         }
         let new_claim = match request {
@@ -331,7 +331,7 @@
 
     /// The answers that may be given now, by ticket.
     pub fn take_replies(&mut self) -> Vec<(u64, Reply)> {
-        std::mem::take(&mut self.answers)
+        std::mem::take(&mut self.replies)
     }
 
     /// What is to be logged.
@@ -359,7 +359,7 @@
         self.pending -= held.pending.len();
         self.entries -= held.ledger.len();
         for waiting in held.waiting {
-            self.answers.push((waiting.ticket, Reply::NotHolder));
+            self.replies.push((waiting.ticket, Reply::NotHolder));
         }
         self.notes.push(Note::SlotLost { slot, dropped });
     }
--- a/crates/fescuewell_claims/src/arbiter/commit.rs
+++ b/crates/fescuewell_claims/src/arbiter/commit.rs
@@ -307,7 +307,7 @@
             }
             held.row = row;
         }
-        self.answers.extend(held.commit(part.records));
+        self.replies.extend(held.commit(part.records));
         if !part.is_release {
             return;
         }
@@ -317,7 +317,7 @@
             self.pending -= held.pending.len();
             self.entries -= held.ledger.len();
             for waiting in held.waiting {
-                self.answers.push((waiting.ticket, Reply::NotHolder));
+                self.replies.push((waiting.ticket, Reply::NotHolder));
             }
         }
         self.seen = None;
@@ -384,7 +384,7 @@
         };
         for held in self.held.values_mut() {
             for waiting in std::mem::take(&mut held.waiting) {
-                self.answers.push((waiting.ticket, Reply::Unavailable));
+                self.replies.push((waiting.ticket, Reply::Unavailable));
                 let Some((request, owner)) = waiting.new_claim else {
                     continue;
                 };
@@ -442,9 +442,9 @@
 fn size(record: &Record) -> usize {
     match record {
         Record::Bill {
-            answer: Some(answer),
+            response: Some(response),
             ..
-        } => RECORD_BYTES + answer.body.len(),
+        } => RECORD_BYTES + response.body.len(),
         Record::Name(name) => name.len(),
         _ => RECORD_BYTES,
     }
--- a/crates/fescuewell_claims/src/arbiter/held.rs
+++ b/crates/fescuewell_claims/src/arbiter/held.rs
@@ -113,14 +113,14 @@
     /// Notes that `count` more records are durable and takes the answers that waited for them.
     pub(super) fn commit(&mut self, count: u64) -> Vec<(u64, Reply)> {
         self.durable += count;
-        let mut answers = Vec::new();
+        let mut replies = Vec::new();
         while let Some(waiting) = self.waiting.front() {
             if waiting.upto > self.durable {
                 break;
             }
             let waiting = self.waiting.pop_front().expect("there is a front");
-            answers.push((waiting.ticket, waiting.reply));
+            replies.push((waiting.ticket, waiting.reply));
         }
-        answers
+        replies
     }
 }
--- a/crates/fescuewell_claims/src/client.rs
+++ b/crates/fescuewell_claims/src/client.rs
@@ -2,7 +2,7 @@
 //! answered.
 //!
 //! The caller sends what [`Client::take_outgoing`] gives and passes answers to
-//! [`Client::receive`]. A message without an answer is sent again, after a growing wait or at once
+//! [`Client::receive`]. A message without an response is sent again, after a growing wait or at once
 //! when its slot has a new holder; `(holder, attempt)` in it makes that harmless.
 //!
 //! Every attempt that [`Client::claim`] numbers must end in [`Client::bill`] or
@@ -79,7 +79,7 @@
     /// Whether a repeat must not run again; see [`Bill::complete`].
     pub complete: bool,
     /// StoredResponse for repeats of a non-repeatable call.
-    pub answer: Option<StoredResponse>,
+    pub response: Option<StoredResponse>,
 }
 
 /// A message to be sent to the holder of a slot.
@@ -207,7 +207,7 @@
             cost: cost.tokens,
             complete: cost.complete,
             repeatable: ask.repeatable,
-            answer: cost.answer,
+            response: cost.response,
             oldest: 0,
         });
         let ticket = Some(ticket);
--- a/crates/fescuewell_claims/src/ledger.rs
+++ b/crates/fescuewell_claims/src/ledger.rs
@@ -129,7 +129,7 @@
 pub struct Ledger {
     names: Interner<NameKey>,
     entries: HashMap<Digest, Entry, DigestHasher>,
-    answers: HashMap<Digest, StoredResponse, DigestHasher>,
+    responses: HashMap<Digest, StoredResponse, DigestHasher>,
     streams: HashMap<Digest, StreamId, DigestHasher>,
     totals: BTreeMap<(NameKey, NameKey), Tokens>,
     closed: BTreeMap<NameKey, Closed>,
--- a/crates/fescuewell_claims/src/ledger/bill.rs
+++ b/crates/fescuewell_claims/src/ledger/bill.rs
@@ -22,7 +22,7 @@
     complete: bool,
     repeatable: bool,
     in_doubt: bool,
-    answer: Option<&'a StoredResponse>,
+    response: Option<&'a StoredResponse>,
 }
 
 impl Ledger {
@@ -51,7 +51,7 @@
             complete: bill.complete,
             repeatable: bill.repeatable,
             in_doubt: false,
-            answer: bill.answer.as_ref(),
+            response: bill.response.as_ref(),
         })
     }
 
@@ -95,7 +95,7 @@
             Evidence::Stream {
                 cost,
                 complete,
-                answer,
+                response,
             } => {
                 let is_settled = run.is_some_and(|run| self.is_settled(run));
                 if entry.is_none() && is_settled {
@@ -120,7 +120,7 @@
                     complete: *complete,
                     repeatable: entry.is_none_or(|entry| entry.repeatable),
                     in_doubt: false,
-                    answer: answer.as_ref(),
+                    response: response.as_ref(),
                 })
             }
         }
@@ -158,7 +158,7 @@
             complete: false,
             repeatable: entry.repeatable,
             in_doubt: true,
-            answer: None,
+            response: None,
         })
     }
 
@@ -184,7 +184,10 @@
             complete: charge.complete,
             repeatable: charge.repeatable,
             in_doubt: charge.in_doubt,
-            answer: charge.answer.filter(|answer| is_kept(answer)).cloned(),
+            response: charge
+                .response
+                .filter(|response| is_kept(response))
+                .cloned(),
         });
         let request = charge.request;
         let owner = charge.owner.clone();
@@ -211,7 +214,7 @@
             complete,
             repeatable,
             in_doubt,
-            answer,
+            response,
             ..
         } = record
         else {
@@ -245,8 +248,8 @@
         self.entries.insert(request, entry);
         let total = self.totals.entry((run.holder, *group)).or_default();
         *total += *charged;
-        if let Some(answer) = answer {
-            self.answers.insert(request, answer.clone());
+        if let Some(response) = response {
+            self.responses.insert(request, response.clone());
         }
         if !goes_on {
             self.finished(now, request);
@@ -270,6 +273,6 @@
 
 /// A larger answer is not kept: its repeats are told that the call ran, without it. Memory and log rows stay
 /// bounded whatever a service answers.
-fn is_kept(answer: &StoredResponse) -> bool {
-    answer.body.len() + answer.content_type.len() <= MAX_RESPONSE_BYTES
+fn is_kept(response: &StoredResponse) -> bool {
+    response.body.len() + response.content_type.len() <= MAX_RESPONSE_BYTES
 }
--- a/crates/fescuewell_claims/src/ledger/claim.rs
+++ b/crates/fescuewell_claims/src/ledger/claim.rs
@@ -194,7 +194,7 @@
         }
         RequestState::Done {
             assignment,
-            answer: self.answers.get(&request).cloned(),
+            response: self.responses.get(&request).cloned(),
             in_doubt: entry.in_doubt || !entry.complete,
         }
     }
--- a/crates/fescuewell_claims/src/ledger/compaction.rs
+++ b/crates/fescuewell_claims/src/ledger/compaction.rs
@@ -71,7 +71,7 @@
     fn drop_unnamed(&mut self, moved: &BTreeMap<NameKey, NameKey>) {
         self.entries
             .retain(|_, entry| names(entry).all(|name| moved.contains_key(&name)));
-        self.answers
+        self.responses
             .retain(|request, _| self.entries.contains_key(request));
         self.streams
             .retain(|request, _| self.entries.contains_key(request));
--- a/crates/fescuewell_claims/src/ledger/retention.rs
+++ b/crates/fescuewell_claims/src/ledger/retention.rs
@@ -108,7 +108,7 @@
             return false;
         }
         self.entries.remove(&request);
-        self.answers.remove(&request);
+        self.responses.remove(&request);
         self.streams.remove(&request);
         true
     }
--- a/crates/fescuewell_claims/src/ledger/snapshot.rs
+++ b/crates/fescuewell_claims/src/ledger/snapshot.rs
@@ -35,7 +35,7 @@
 struct Saved {
     request: Digest,
     entry: Entry,
-    answer: Option<StoredResponse>,
+    response: Option<StoredResponse>,
     stream: Option<StreamId>,
 }
 
@@ -50,7 +50,7 @@
             entries.push(Saved {
                 request: *request,
                 entry,
-                answer: self.answers.get(request).cloned(),
+                response: self.responses.get(request).cloned(),
                 stream: self.streams.get(request).cloned(),
             });
         }
@@ -80,8 +80,8 @@
             let mut entry = saved.entry;
             entry.touched = stamp.saturating_sub(entry.touched);
             ledger.entries.insert(saved.request, entry);
-            if let Some(answer) = saved.answer {
-                ledger.answers.insert(saved.request, answer);
+            if let Some(response) = saved.response {
+                ledger.responses.insert(saved.request, response);
             }
             if let Some(stream) = saved.stream {
                 ledger.streams.insert(saved.request, stream);
--- a/crates/fescuewell_claims/src/message.rs
+++ b/crates/fescuewell_claims/src/message.rs
@@ -88,7 +88,7 @@
         /// Whether the call may run more than once without harm.
         pub repeatable: bool,
         /// StoredResponse to give to repeats of a non-repeatable call.
-        pub answer: Option<StoredResponse>,
+        pub response: Option<StoredResponse>,
         /// The router's oldest unfinished attempt.
         pub oldest: u32,
     }
@@ -102,7 +102,7 @@
             /// Whether it ended by itself, rather than by a cancellation or a failure.
             complete: bool,
             /// The answer of a non-repeatable call, when the server keeps it.
-            answer: Option<StoredResponse>,
+            response: Option<StoredResponse>,
         },
         /// No record anywhere: the outcome can never be learned.
         InDoubt,
@@ -192,7 +192,7 @@
             /// Where it ran, as far as known.
             assignment: Option<Assignment>,
             /// The kept answer of a non-repeatable call.
-            answer: Option<StoredResponse>,
+            response: Option<StoredResponse>,
             /// Whether its outcome could not be learned.
             in_doubt: bool,
         },
--- a/crates/fescuewell_claims/src/record.rs
+++ b/crates/fescuewell_claims/src/record.rs
@@ -80,7 +80,7 @@
             /// Whether the outcome could not be learned.
             in_doubt: bool,
             /// StoredResponse for repeats.
-            answer: Option<StoredResponse>,
+            response: Option<StoredResponse>,
         },
         /// A request that was billed before has now been answered whole, by another run.
         Complete {
--- a/crates/fescuewell_claims/src/sweep.rs
+++ b/crates/fescuewell_claims/src/sweep.rs
@@ -84,7 +84,7 @@
     /// Whether it runs.
     pub progress: Progress,
     /// The answer of a non-repeatable call, when the server keeps it.
-    pub answer: Option<StoredResponse>,
+    pub response: Option<StoredResponse>,
 }
 
 fescuewell_core::message! {
@@ -293,7 +293,7 @@
                 evidence: Evidence::Stream {
                     cost: record.tokens,
                     complete: record.progress == Progress::Complete,
-                    answer: record.answer.clone(),
+                    response: record.response.clone(),
                 },
             });
         }
--- a/crates/fescuewell_claims/tests/arbiter.rs
+++ b/crates/fescuewell_claims/tests/arbiter.rs
@@ -45,12 +45,12 @@
     node.run(&mut now, &mut table, 100);
 
     let ticket = node.ask(now, &Request::Claim(non_repeatable("x", "r.1", 1)));
-    let before = node.answers.get(&ticket).cloned();
+    let before = node.replies.get(&ticket).cloned();
     node.turn(now, &mut table);
 
     assert_eq!(before, None);
     assert_eq!(
-        node.answers[&ticket],
+        node.replies[&ticket],
         Reply::Granted {
             attempt: 1,
             durable: true
@@ -151,13 +151,13 @@
 fn a_repeat_of_a_single_call_gets_the_kept_answer_from_the_next_holder() {
     let (mut now, mut table) = (Instant::from_millis(0), Table::default());
     let mut node = Node::holding("a.1", &mut now, &mut table);
-    let answer = StoredResponse {
+    let response = StoredResponse {
         status: 201,
         content_type: "application/json".into(),
         body: b"{\"booked\":true}"[..].into(),
     };
     let mut paid = bill("x", "r.1", 1, 5);
-    paid.answer = Some(answer.clone());
+    paid.response = Some(response.clone());
     paid.repeatable = false;
 
     node.after_commit(
@@ -172,7 +172,7 @@
 
     let done = RequestState::Done {
         assignment: None,
-        answer: Some(answer),
+        response: Some(response),
         in_doubt: false,
     };
     assert_eq!(reply, Reply::Known(done));
@@ -205,7 +205,7 @@
     let mut node = Node::holding("a.1", &mut now, &mut table);
     let mut paid = bill("x", "r.1", 1, 5);
     paid.repeatable = false;
-    paid.answer = Some(StoredResponse {
+    paid.response = Some(StoredResponse {
         status: 200,
         content_type: "text/plain".into(),
         body: vec![b'x'; MAX_RESPONSE_BYTES].into(),
@@ -216,7 +216,7 @@
 
     let done = RequestState::Done {
         assignment: None,
-        answer: None,
+        response: None,
         in_doubt: false,
     };
     assert_eq!(repeat, Reply::Known(done));
--- a/crates/fescuewell_claims/tests/courier.rs
+++ b/crates/fescuewell_claims/tests/courier.rs
@@ -35,7 +35,7 @@
     Cost {
         tokens: Tokens(tokens),
         complete: true,
-        answer: None,
+        response: None,
     }
 }
 
@@ -52,7 +52,7 @@
     }
     node.run(now, table, 200);
     for (ticket, correlation) in tickets {
-        let reply = node.answers.remove(&ticket).expect("an answer");
+        let reply = node.replies.remove(&ticket).expect("an answer");
         courier.receive(*now, correlation, reply);
     }
 }
--- a/crates/fescuewell_claims/tests/fleet/world.rs
+++ b/crates/fescuewell_claims/tests/fleet/world.rs
@@ -207,7 +207,7 @@
             hold: attempt.ask.hold,
             tokens: attempt.ask.hold,
             progress: Progress::Running,
-            answer: None,
+            response: None,
         });
         let server = server.name.clone();
         let assignment = Assignment {
@@ -257,7 +257,7 @@
         let cost = Cost {
             tokens: attempt.ask.hold,
             complete: is_whole,
-            answer: None,
+            response: None,
         };
         let number = attempt.owner.attempt;
         instance
@@ -424,7 +424,7 @@
 
     /// Lets every holder of slots decide, write and answer.
     fn work(&mut self) {
-        let mut answers = Vec::new();
+        let mut replies = Vec::new();
         for instance in &mut self.instances {
             if instance.is_paused {
                 continue;
@@ -438,13 +438,13 @@
                     .insert(ticket, (from, name, outgoing.correlation));
             }
             instance.node.turn(self.now, &mut self.table);
-            for (ticket, reply) in std::mem::take(&mut instance.node.answers) {
+            for (ticket, reply) in std::mem::take(&mut instance.node.replies) {
                 if let Some((from, name, correlation)) = instance.owed.remove(&ticket) {
-                    answers.push((from, name, correlation, reply));
+                    replies.push((from, name, correlation, reply));
                 }
             }
         }
-        for (from, name, correlation, reply) in answers {
+        for (from, name, correlation, reply) in replies {
             let is_lost = self.is_network_bad && self.rng.random_bool(0.3);
             let router = &mut self.instances[from];
             if !is_lost && router.name == name {
@@ -568,7 +568,7 @@
         let ticket = holder.node.ask_slot(self.now, slot, request);
         self.now = self.now + Duration::from_millis(60);
         holder.node.turn(self.now, &mut self.table);
-        holder.node.answers.remove(&ticket)
+        holder.node.replies.remove(&ticket)
     }
 
     /// Mends everything, lets all end, then kills every router and sweeps it.
--- a/crates/fescuewell_claims/tests/support/mod.rs
+++ b/crates/fescuewell_claims/tests/support/mod.rs
@@ -60,11 +60,11 @@
     pub fn carry_out(&mut self, step: &Step) -> table::Reply {
         let reason: Arc<str> = "fault".into();
         match self.fault {
-            Fault::None => self.answer(step),
+            Fault::None => self.execute(step),
             Fault::Down => table::Reply::Failed(Error::Unreachable { reason }),
             Fault::Busy => table::Reply::Failed(Error::Busy),
             Fault::LosesReplies => {
-                self.answer(step);
+                self.execute(step);
                 table::Reply::Failed(Error::Unknown { reason })
             }
             Fault::Delays => {
@@ -83,7 +83,7 @@
         }
     }
 
-    fn answer(&mut self, step: &Step) -> table::Reply {
+    fn execute(&mut self, step: &Step) -> table::Reply {
         match step {
             Step::Read { keys } => {
                 let rows = keys.iter().filter_map(|key| self.rows.get(key)).cloned();
@@ -152,7 +152,7 @@
 /// One instance with an arbiter.
 pub struct Node {
     pub arbiter: Arbiter,
-    pub answers: BTreeMap<u64, Reply>,
+    pub replies: BTreeMap<u64, Reply>,
     pub notes: Vec<Note>,
     next_ticket: u64,
 }
@@ -161,7 +161,7 @@
     pub fn new(name: &str, settings: Settings) -> Self {
         Self {
             arbiter: Arbiter::new(settings, name, 7),
-            answers: BTreeMap::new(),
+            replies: BTreeMap::new(),
             notes: Vec::new(),
             next_ticket: 1,
         }
@@ -206,7 +206,7 @@
     }
 
     pub fn collect(&mut self) {
-        self.answers.extend(self.arbiter.take_replies());
+        self.replies.extend(self.arbiter.take_replies());
         self.notes.extend(self.arbiter.take_notes());
     }
 
@@ -226,7 +226,7 @@
     /// The answer, which must be there already.
     pub fn at_once(&mut self, now: Instant, request: &Request) -> Reply {
         let ticket = self.ask(now, request);
-        self.answers
+        self.replies
             .remove(&ticket)
             .expect("the answer needs no commit")
     }
@@ -240,7 +240,7 @@
     ) -> Reply {
         let ticket = self.ask(*now, request);
         self.run(now, table, 300);
-        self.answers
+        self.replies
             .remove(&ticket)
             .expect("the answer is there after a commit")
     }
@@ -306,7 +306,7 @@
         cost: Tokens(cost),
         complete: true,
         repeatable: true,
-        answer: None,
+        response: None,
         oldest: 0,
     }
 }
--- a/crates/fescuewell_claims/tests/sweep.rs
+++ b/crates/fescuewell_claims/tests/sweep.rs
@@ -70,7 +70,7 @@
             hold: Tokens(500),
             tokens: Tokens(tokens),
             progress,
-            answer: None,
+            response: None,
         };
         self.servers.entry(server.into()).or_default().push(record);
     }
@@ -336,7 +336,7 @@
     assert_eq!(charged, Some(500));
     let unknown = RequestState::Done {
         assignment: None,
-        answer: None,
+        response: None,
         in_doubt: true,
     };
     assert_eq!(after, Reply::Known(unknown));
--- a/crates/fescuewell_claims/tests/table_faults.rs
+++ b/crates/fescuewell_claims/tests/table_faults.rs
@@ -58,7 +58,7 @@
         attempt: 1,
         durable: true,
     };
-    assert_eq!(node.answers.get(&ticket), Some(&granted));
+    assert_eq!(node.replies.get(&ticket), Some(&granted));
     assert_eq!(table.commits, commits + 1);
 }
 
@@ -84,7 +84,7 @@
     node.arbiter.reply(now, rows);
     node.run(&mut now, &mut table, 300);
 
-    assert_eq!(node.answers.get(&ticket), Some(&billed(70)));
+    assert_eq!(node.replies.get(&ticket), Some(&billed(70)));
     assert!(node.arbiter.holds(SLOT));
     assert_eq!(totals(&mut node, &mut now, &mut table, "r.1"), [70]);
 }
@@ -140,7 +140,7 @@
     let retry = non_repeatable("x", "s.1", 1);
     let retried = node.after_commit(&mut now, &mut table, &Request::Claim(retry));
 
-    assert_eq!(node.answers[&refused], Reply::Unavailable);
+    assert_eq!(node.replies[&refused], Reply::Unavailable);
     assert_eq!(late_copy, Reply::Unavailable);
     assert_eq!(
         retried,
@@ -175,7 +175,7 @@
             durable: true
         }
     );
-    assert_eq!(paused.answers[&ticket], Reply::NotHolder);
+    assert_eq!(paused.replies[&ticket], Reply::NotHolder);
     let is_lost = |note: &Note| matches!(note, Note::SlotLost { dropped: 3, .. });
     assert!(paused.notes.iter().any(is_lost), "{:?}", paused.notes);
 }
@@ -209,7 +209,7 @@
     let bill = Request::Bill(bill("x", "r.1", 1, 70));
     let again = successor.after_commit(&mut now, &mut table, &bill);
 
-    assert_eq!(paused.answers[&unanswered], Reply::NotHolder);
+    assert_eq!(paused.replies[&unanswered], Reply::NotHolder);
     assert_eq!(again, billed(70));
 }
 
@@ -250,7 +250,7 @@
     node.run(&mut now, &mut table, 500);
 
     assert_eq!(
-        node.answers[&ticket],
+        node.replies[&ticket],
         Reply::Granted {
             attempt: 1,
             durable: true
--- a/crates/fescuewell_node/src/admit.rs
+++ b/crates/fescuewell_node/src/admit.rs
@@ -193,7 +193,7 @@
             },
             RequestState::Done {
                 assignment,
-                answer,
+                response: answer,
                 in_doubt,
             } => {
                 if let Some(answer) = answer {
--- a/crates/fescuewell_node/src/pump.rs
+++ b/crates/fescuewell_node/src/pump.rs
@@ -532,7 +532,7 @@
         let assignment = match known {
             Some(RequestState::InProgress { assignment, .. }) => assignment,
             Some(RequestState::Done {
-                answer: Some(answer),
+                response: Some(answer),
                 ..
             }) => return Verdict::Stored(answer),
             Some(RequestState::Done { assignment, .. }) => assignment,
--- a/crates/fescuewell_node/src/settle.rs
+++ b/crates/fescuewell_node/src/settle.rs
@@ -183,7 +183,7 @@
         let cost = Cost {
             tokens: owed,
             complete: charge.is_complete,
-            answer: charge.answer,
+            response: charge.answer,
         };
         self.courier
             .bill(now, ticket.0, &ask_for(record), grant.attempt, cost);
--- a/crates/fescuewell_node/src/sweeping.rs
+++ b/crates/fescuewell_node/src/sweeping.rs
@@ -259,6 +259,6 @@
         hold: stream.hold,
         tokens: stream.used,
         progress,
-        answer: stream.answer,
+        response: stream.answer,
     }
 }
