--- a/crates/fescuewell_claims/src/arbiter.rs
+++ b/crates/fescuewell_claims/src/arbiter.rs
@@ -1,13 +1,15 @@
-//! The holder of slots: answers routers, and writes what it decided to the table in group commits.
+//! The holder of slots: decides requests from routers and writes the decisions to the table in
+//! group commits.
 //!
-//! The machine does no input or output. The caller passes requests in ([`Arbiter::request`]) and
-//! takes replies out ([`Arbiter::take_replies`]); it carries out one table step at a time
-//! ([`Arbiter::next_step`]) and returns its result ([`Arbiter::reply`]).
+//! The state machine performs no I/O. The caller passes requests in ([`Arbiter::request`]) and
+//! takes replies out ([`Arbiter::take_replies`]). It executes one table step at a time
+//! ([`Arbiter::next_step`]) and returns the result ([`Arbiter::reply`]).
 //!
-//! A holder needs no clock to be safe. Every commit compares the revision of each slot's row, so one
-//! that was paused while another instance took its slots over can make nothing durable any more; and
-//! nothing that may not be repeated is answered before its commit has returned. What a paused holder
-//! may still answer from memory, a grant of a repeatable call, is arbitrated again by the bill.
+//! Safety does not depend on clocks. Every commit compares the revision of each slot's row, so a
+//! holder that was paused while another instance took its slots can no longer make anything
+//! durable. Requests that must not be repeated get their reply only after their commit has
+//! returned. A paused holder may still grant a repeatable request from memory; the duplicate is
+//! resolved when the request is billed.
 //!
 //! ```
 //! use std::time::Duration;
@@ -55,18 +57,18 @@
 
 pub use settings::Settings;
 
-use commit::Flight;
+use commit::GroupCommit;
 use held::Held;
 use row::SlotRow;
 use take::Loading;
 
-/// Which table step is under way.
+/// The table step in progress.
 #[derive(Debug)]
 enum Outstanding {
     Poll,
     Take(Vec<(SlotKey, SlotRow)>),
-    LoadBase(SlotKey),
-    LoadTail(SlotKey),
+    LoadCheckpoint(SlotKey),
+    LoadLog(SlotKey),
     Chunk(SlotKey),
     Trim {
         slot: SlotKey,
@@ -77,32 +79,32 @@
     Recheck,
 }
 
-/// The slots that one instance holds.
+/// Holds slots for one instance and decides the requests in them.
 #[derive(Debug)]
 pub struct Arbiter {
     settings: Settings,
     holder: Arc<str>,
     rng: SmallRng,
     wanted: BTreeSet<SlotKey>,
-    /// Slots whose rows do not make sense; they are left alone until the process ends.
+    /// Slots whose rows are invalid. They are not taken again until the process restarts.
     damaged: BTreeSet<SlotKey>,
     lapsed: BTreeSet<Arc<str>>,
     terminated: BTreeSet<Arc<str>>,
     held: BTreeMap<SlotKey, Held>,
     loading: BTreeMap<SlotKey, Loading>,
-    /// Slot rows as last read, while they are fresh enough to act on.
-    seen: Option<BTreeMap<SlotKey, (SlotRow, u64)>>,
+    /// Slot rows from the last poll, until one of them is known to be outdated.
+    polled_rows: Option<BTreeMap<SlotKey, (SlotRow, u64)>>,
     outstanding: Option<Outstanding>,
-    flight: Option<Flight>,
+    in_flight: Option<GroupCommit>,
     next_commit: Instant,
     next_poll: Instant,
     next_expire: Instant,
-    /// No table step before this, after a failure.
+    /// Earliest time of the next table step after a failure.
     retry_at: Instant,
     failures: u32,
-    /// Whether the table took the last step.
+    /// Whether the last table step succeeded.
     writable: bool,
-    /// The slot after which the next commit starts to look for records.
+    /// The last slot of the previous commit; the next one starts with the slot after it.
     cursor: SlotKey,
     pending: usize,
     entries: usize,
@@ -111,7 +113,7 @@
 }
 
 impl Arbiter {
-    /// An arbiter without slots. `holder` is `instance.incarnation` of this instance.
+    /// Creates an arbiter that holds no slots. `holder` is this instance's `instance.incarnation`.
     pub fn new<Holder>(settings: Settings, holder: Holder, seed: u64) -> Self
     where
         Holder: Into<Arc<str>>,
@@ -126,9 +128,9 @@
             terminated: BTreeSet::new(),
             held: BTreeMap::new(),
             loading: BTreeMap::new(),
-            seen: None,
+            polled_rows: None,
             outstanding: None,
-            flight: None,
+            in_flight: None,
             next_commit: Instant::default(),
             next_poll: Instant::default(),
             next_expire: Instant::default(),
@@ -143,8 +145,7 @@
         }
     }
 
-    /// Sets the slots that should be held here. Others are handed back once what was decided in them
-    /// is durable.
+    /// Sets the slots to hold. Other held slots are released once their decisions are durable.
     pub fn set_wanted(&mut self, now: Instant, slots: &[SlotKey]) {
         let wanted: BTreeSet<SlotKey> = slots.iter().copied().collect();
         if wanted == self.wanted {
@@ -154,7 +155,8 @@
         self.next_poll = self.next_poll.min(now);
     }
 
-    /// Sets the instances whose slots may be taken. Taking a slot is safe even from one that lives.
+    /// Sets the holders whose slots may be taken over. Taking a slot is safe even if its holder is
+    /// still alive.
     pub fn set_lapsed(&mut self, now: Instant, lapsed: BTreeSet<Arc<str>>) {
         if lapsed == self.lapsed {
             return;
@@ -163,49 +165,50 @@
         self.next_poll = self.next_poll.min(now);
     }
 
-    /// Sets the routers that the instance list calls terminated.
+    /// Sets the routers that the instance list reports as terminated.
     pub fn set_terminated(&mut self, _now: Instant, terminated: BTreeSet<Arc<str>>) {
         self.terminated = terminated;
     }
 
-    /// Whether requests in `slot` are answered here.
+    /// Whether this instance decides requests in `slot`.
     pub fn holds(&self, slot: SlotKey) -> bool {
         self.held.contains_key(&slot) && self.wanted.contains(&slot)
     }
 
-    /// Epoch under which `slot`'s row names this holder; it does so also while the slot is being handed back.
+    /// The epoch under which `slot`'s row names this holder, including while the slot is being
+    /// released.
     pub fn epoch(&self, slot: SlotKey) -> Option<Epoch> {
         self.held.get(&slot).map(|held| held.row.epoch)
     }
 
-    /// The slots that are answered here.
+    /// The slots in which this instance decides requests.
     pub fn slots(&self) -> Vec<SlotKey> {
         let held = self.held.keys().copied();
         held.filter(|slot| self.wanted.contains(slot)).collect()
     }
 
-    /// Whether no slot is held, not even one that is being handed back.
+    /// Whether no slot is held, loading or being released.
     pub fn is_idle(&self) -> bool {
         self.held.is_empty() && self.loading.is_empty()
     }
 
-    /// Whether the table took the last step.
+    /// Whether the last table step succeeded.
     pub fn is_writable(&self) -> bool {
         self.writable
     }
 
-    /// How many requests are kept in memory.
+    /// The number of requests in memory.
     pub fn entries(&self) -> usize {
         self.entries
     }
 
-    /// How many decided records are not durable yet.
+    /// The number of records that are decided but not yet durable.
     pub fn pending(&self) -> usize {
         self.pending
     }
 
-    /// Decides a request from a router; the answer appears in [`Arbiter::take_replies`] under `ticket`,
-    /// at once or after a commit.
+    /// Decides a request from a router. The reply appears in [`Arbiter::take_replies`] under
+    /// `ticket`, immediately or after a commit.
     pub fn request(&mut self, now: Instant, ticket: u64, slot: SlotKey, request: &Request) {
         let is_full = self.is_full_for(slot, request);
         let wanted = self.wanted.contains(&slot);
@@ -229,15 +232,16 @@
         let records = std::mem::take(&mut decision.records);
         self.pending += records.len();
         held.push(now, records);
-        // Until the outcome of a call that may not be repeated is durable, the death of both its router and this
-        // holder would leave its caller with "unknown" for ever; half a second of that is too long.
+        // Until the outcome of a non-repeatable call is durable, losing both its router and this
+        // holder would leave the caller with an unknown outcome forever. Half a second is too long
+        // a window.
         held.is_urgent |= matches!(request, Request::Bill(bill) if !bill.repeatable);
         if !decision.after_commit || held.is_clean() {
             self.replies.push((ticket, decision.reply));
             return;
         }
-        // The bill or release is kept for the first commit after the outage. Its sender keeps it too,
-        // so that a ticket held open all that time would carry no news.
+        // The bill or release is written with the first commit after the outage. The sender keeps
+        // it and sends it again, so there is no use in holding the ticket open meanwhile.
         if !self.writable {
             self.replies.push((ticket, Reply::Unavailable));
             return;
@@ -248,10 +252,10 @@
             }
             _ => None,
         };
-        held.wait(ticket, decision, new_claim);
+        held.defer(ticket, decision, new_claim);
     }
 
-    /// Memory stays bounded through an outage of any length: what has no room here stays with its sender.
+    /// Limits memory use during an outage of any length; a rejected request stays with its sender.
     fn is_full_for(&self, slot: SlotKey, request: &Request) -> bool {
         if matches!(request, Request::Lookup { .. }) {
             return false;
@@ -262,7 +266,7 @@
         if self.entries < self.settings.entry_limit {
             return false;
         }
-        // The bill of a known request takes no more room, and makes it possible to drop the request later.
+        // Billing a known request takes no extra memory and allows the request to expire later.
         let held = self.held.get(&slot);
         match (request.subject(), held) {
             (Some(digest), Some(held)) => !held.ledger.contains(digest),
@@ -270,7 +274,7 @@
         }
     }
 
-    /// The next table step to carry out, if there is one and none is under way.
+    /// Returns the next table step to execute, unless one is already in progress.
     pub fn next_step(&mut self, now: Instant) -> Option<table::Step> {
         self.expire(now);
         if self.outstanding.is_some() || now < self.retry_at {
@@ -286,7 +290,7 @@
         Some(step)
     }
 
-    /// Takes the result of the step under way.
+    /// Processes the result of the step in progress.
     pub fn reply(&mut self, now: Instant, reply: table::Reply) {
         let Some(outstanding) = self.outstanding.take() else {
             return;
@@ -298,7 +302,7 @@
             }
             reply => reply,
         };
-        self.table_answered();
+        self.table_succeeded();
         match (outstanding, reply) {
             (Outstanding::Commit, table::Reply::Outcome(outcome)) => {
                 self.committed(now, outcome);
@@ -308,11 +312,11 @@
             (Outstanding::Take(slots), table::Reply::Outcome(outcome)) => {
                 self.taken(now, slots, &outcome);
             }
-            (Outstanding::LoadBase(slot), table::Reply::Rows(rows)) => {
-                self.base_loaded(now, slot, &rows);
+            (Outstanding::LoadCheckpoint(slot), table::Reply::Rows(rows)) => {
+                self.checkpoint_loaded(now, slot, &rows);
             }
-            (Outstanding::LoadTail(slot), table::Reply::Rows(rows)) => {
-                self.tail_loaded(now, slot, &rows);
+            (Outstanding::LoadLog(slot), table::Reply::Rows(rows)) => {
+                self.log_loaded(now, slot, &rows);
             }
             (Outstanding::Chunk(slot), table::Reply::Outcome(_)) => self.chunk_written(slot),
             (
@@ -323,18 +327,18 @@
                 },
                 table::Reply::Outcome(_),
             ) => self.trimmed(slot, garbage, trim_from),
-            // An answer of the wrong kind says nothing; the step is decided on anew.
-            (Outstanding::Commit, _) => self.flight_unknown(),
+            // A reply of the wrong type carries no information; the step is scheduled again.
+            (Outstanding::Commit, _) => self.mark_outcome_unknown(),
             _ => {}
         }
     }
 
-    /// The answers that may be given now, by ticket.
+    /// Takes the replies that are ready, with their tickets.
     pub fn take_replies(&mut self) -> Vec<(u64, Reply)> {
         std::mem::take(&mut self.replies)
     }
 
-    /// What is to be logged.
+    /// Takes the notes to be logged.
     pub fn take_notes(&mut self) -> Vec<Note> {
         std::mem::take(&mut self.notes)
     }
@@ -350,8 +354,8 @@
         }
     }
 
-    /// Gives up a slot that another instance has taken.
-    fn lose(&mut self, slot: SlotKey) {
+    /// Drops a slot that another instance has taken.
+    fn drop_lost(&mut self, slot: SlotKey) {
         let Some(held) = self.held.remove(&slot) else {
             return;
         };
--- a/crates/fescuewell_claims/src/arbiter/checkpoint.rs
+++ b/crates/fescuewell_claims/src/arbiter/checkpoint.rs
@@ -1,5 +1,5 @@
-//! Checkpoints, written in rows of bounded size while the slot goes on, and the removal of what they make
-//! superfluous.
+//! Checkpoints, written in chunks of bounded size while the slot keeps serving, and deletion of the
+//! rows that they make obsolete.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -11,23 +11,23 @@
 use super::row::{checkpoint_prefix, log_key};
 use super::{Arbiter, Outstanding};
 
-/// Rows removed at once.
-const TRIM_LIMIT: usize = 64;
+/// Maximum number of rows deleted in one transaction.
+const MAX_DELETES_PER_TRIM: usize = 64;
 
-/// A checkpoint under way. It is in force once the slot's row names it.
+/// A checkpoint being written. It becomes active once the slot's row refers to it.
 #[derive(Debug)]
 pub(super) struct Checkpoint {
-    /// It covers the log up to this number.
+    /// Number of the last log row that it covers.
     pub(super) number: u64,
     pub(super) chunks: u32,
     pub(super) bytes: u64,
-    /// Size of the log that it replaces.
+    /// Size of the log rows that it replaces.
     pub(super) log_bytes: u64,
     unwritten: VecDeque<(Arc<str>, Arc<[u8]>)>,
 }
 
 impl Checkpoint {
-    /// The ledger as it is, which the log up to `number` leads to.
+    /// Takes a snapshot of the ledger, which includes the log up to row `number`.
     pub(super) fn new(
         now: Instant,
         slot: SlotKey,
@@ -63,7 +63,8 @@
             let Some((key, value)) = checkpoint.and_then(|entry| entry.unwritten.front()) else {
                 continue;
             };
-            // No compare: nobody reads the row before the slot's row names it, which a replaced holder cannot do.
+            // No compare is needed: nobody reads the chunk until the slot's row refers to it, and a
+            // replaced holder cannot write that row.
             let transaction = Transaction::default().with_put(key.clone(), value.clone());
             return Some((Outstanding::Chunk(slot), Step::Commit(transaction)));
         }
@@ -79,10 +80,15 @@
 
     pub(super) fn next_trim_step(&mut self) -> Option<(Outstanding, Step)> {
         for (&slot, held) in &self.held {
-            let mut keys: Vec<Arc<str>> = held.garbage.iter().take(TRIM_LIMIT).cloned().collect();
+            let mut keys: Vec<Arc<str>> = held
+                .garbage
+                .iter()
+                .take(MAX_DELETES_PER_TRIM)
+                .cloned()
+                .collect();
             let garbage = keys.len();
             let mut trim_from = held.trim_from;
-            while trim_from <= held.row.base && keys.len() < TRIM_LIMIT {
+            while trim_from <= held.row.base && keys.len() < MAX_DELETES_PER_TRIM {
                 keys.push(log_key(slot, trim_from));
                 trim_from += 1;
             }
@@ -93,7 +99,8 @@
             for key in keys {
                 transaction.writes.push(table::Write::Delete { key });
             }
-            // No compare: rows that a checkpoint in force covers are superfluous whoever holds the slot.
+            // No compare is needed: rows covered by the active checkpoint are obsolete whoever
+            // holds the slot.
             let outstanding = Outstanding::Trim {
                 slot,
                 garbage,
@@ -113,8 +120,8 @@
 }
 
 impl Held {
-    /// Puts a checkpoint in force: the rows of the former one are superfluous.
-    pub(super) fn adopt(&mut self, slot: SlotKey, checkpoint: &Checkpoint) {
+    /// Makes a checkpoint the active one and marks the rows of the previous one as obsolete.
+    pub(super) fn activate_checkpoint(&mut self, slot: SlotKey, checkpoint: &Checkpoint) {
         let former = checkpoint_prefix(slot, self.row.base_epoch, self.row.base);
         for index in 0..self.row.chunks {
             self.garbage.push(format!("{former}{index:08x}").into());
--- a/crates/fescuewell_claims/src/arbiter/commit.rs
+++ b/crates/fescuewell_claims/src/arbiter/commit.rs
@@ -1,4 +1,4 @@
-//! The group commit: one transaction for what was decided in all slots since the last one.
+//! Group commit: one transaction with all records decided since the previous commit, across slots.
 
 use std::time::Duration;
 
@@ -14,119 +14,120 @@
 use crate::note::Note;
 use crate::record::{Batch, Record};
 
-/// After so many answers of "over the limit" in a row the table counts as down.
-const BUSY_LIMIT: u32 = 3;
+/// Number of consecutive [`table::Error::Busy`] failures after which the table is treated as down.
+const BUSY_REPLIES_UNTIL_DOWN: u32 = 3;
 
-/// Size of a record in the log without an answer, roughly, in bytes.
-const RECORD_BYTES: usize = 64;
+/// Approximate size of a log record without a stored response.
+const APPROX_RECORD_BYTES: usize = 64;
 
-/// What one commit holds of one slot.
+/// The part of a group commit that belongs to one slot.
 #[derive(Debug)]
-struct Part {
+struct SlotCommit {
     slot: SlotKey,
-    /// Revision of the slot's row that the commit requires.
+    /// Revision of the slot's row that the commit compares.
     revision: u64,
     commit: u64,
     records: u64,
-    /// The log row, with its number and size.
+    /// Number and size of the log row.
     log: Option<(u64, u64)>,
-    /// The slot's new row, when it changes.
+    /// The slot's new row, if the commit changes it.
     row: Option<SlotRow>,
     is_release: bool,
 }
 
-/// A commit under way. It stays as it is until its outcome is known, and is sent again unchanged:
-/// whichever copy comes first wins, and the others fail on the revision.
+/// A group commit in progress. It is retried unchanged until its outcome is known: the first copy
+/// to arrive takes effect, and the others fail on the revision.
 #[derive(Debug)]
-pub(super) struct Flight {
+pub(super) struct GroupCommit {
     transaction: Transaction,
-    parts: Vec<Part>,
-    /// A reply was lost: read the rows back before the next try.
+    parts: Vec<SlotCommit>,
+    /// Whether a reply was lost, so that the rows must be read back before a retry.
     is_unknown: bool,
 }
 
-/// What a slot's row says of a commit whose reply was lost.
-enum Verdict {
+/// The outcome of a commit for one slot, as read from the slot's rows.
+enum SlotOutcome {
     Committed(u64),
-    NotYet,
+    NotApplied,
     Lost,
 }
 
-impl Part {
+impl SlotCommit {
     fn log_key(&self) -> Option<std::sync::Arc<str>> {
         self.log.map(|(number, _)| log_key(self.slot, number))
     }
 
-    fn verdict(&self, rows: &[Row]) -> Verdict {
+    fn outcome_in(&self, rows: &[Row]) -> SlotOutcome {
         let find = |key: &str| rows.iter().find(|row| &*row.key == key);
         let log = self.log_key().and_then(|key| find(&key));
         if let Some(row) = log {
-            // Anybody else's row under this number means that the log went on without this instance.
+            // A row with this number from another writer means that another instance has taken the
+            // slot.
             let batch = postcard::from_bytes::<Batch>(&row.value);
             let is_own = batch.is_ok_and(|batch| batch.commit == self.commit);
             return match is_own {
-                true => Verdict::Committed(row.revision),
-                false => Verdict::Lost,
+                true => SlotOutcome::Committed(row.revision),
+                false => SlotOutcome::Lost,
             };
         }
         let Some(row) = find(&slot_key(self.slot)) else {
-            return Verdict::Lost;
+            return SlotOutcome::Lost;
         };
         if row.revision == self.revision {
-            return Verdict::NotYet;
+            return SlotOutcome::NotApplied;
         }
         match postcard::from_bytes::<SlotRow>(&row.value) {
             Ok(found) if self.row.is_some() && found.commit == self.commit => {
-                Verdict::Committed(row.revision)
+                SlotOutcome::Committed(row.revision)
             }
-            _ => Verdict::Lost,
+            _ => SlotOutcome::Lost,
         }
     }
 }
 
 impl Arbiter {
     pub(super) fn next_commit_step(&mut self, now: Instant) -> Option<(Outstanding, Step)> {
-        if self.flight.is_none() && now >= self.next_commit {
-            self.flight = self.build_flight(now);
+        if self.in_flight.is_none() && now >= self.next_commit {
+            self.in_flight = self.build_commit(now);
         }
-        let flight = self.flight.as_ref()?;
-        // The reply may have been lost after the write took effect. Sending the records again under another
-        // number would log them twice; the commit's own id in the row tells.
-        if flight.is_unknown {
-            let mut keys = Vec::with_capacity(2 * flight.parts.len());
-            for part in &flight.parts {
+        let in_flight = self.in_flight.as_ref()?;
+        // The write may have taken effect although its reply was lost. Writing the records again
+        // under a new number would log them twice, so the commit id in the row is checked first.
+        if in_flight.is_unknown {
+            let mut keys = Vec::with_capacity(2 * in_flight.parts.len());
+            for part in &in_flight.parts {
                 keys.push(slot_key(part.slot));
                 keys.extend(part.log_key());
             }
             return Some((Outstanding::Recheck, Step::Read { keys }));
         }
-        let step = Step::Commit(flight.transaction.clone());
+        let step = Step::Commit(in_flight.transaction.clone());
         Some((Outstanding::Commit, step))
     }
 
-    fn build_flight(&mut self, now: Instant) -> Option<Flight> {
+    fn build_commit(&mut self, now: Instant) -> Option<GroupCommit> {
         let (slots, is_all) = self.due_slots(now);
         let last = *slots.last()?;
         let commit = self.rng.random();
         let mut transaction = Transaction::default();
         let mut parts = Vec::with_capacity(slots.len());
-        let mut room = self.settings.bytes_per_commit;
+        let mut bytes_left = self.settings.bytes_per_commit;
         for slot in slots {
-            let part = self.build_part(now, slot, commit, &mut room, &mut transaction);
+            let part = self.build_slot_commit(now, slot, commit, &mut bytes_left, &mut transaction);
             parts.extend(part);
         }
         self.cursor = last;
-        if is_all && room > 0 {
+        if is_all && bytes_left > 0 {
             self.next_commit = now + self.settings.commit_interval;
         }
-        Some(Flight {
+        Some(GroupCommit {
             transaction,
             parts,
             is_unknown: false,
         })
     }
 
-    /// Slots that are due, from the cursor on, and whether these are all.
+    /// Returns the slots that are due, starting after the cursor, and whether the list is complete.
     fn due_slots(&self, now: Instant) -> (Vec<SlotKey>, bool) {
         let after = self.held.range(SlotKey(self.cursor.0.wrapping_add(1))..);
         let before = self.held.range(..=self.cursor);
@@ -146,24 +147,24 @@
         (slots, true)
     }
 
-    fn build_part(
+    fn build_slot_commit(
         &mut self,
         now: Instant,
         slot: SlotKey,
         commit: u64,
-        room: &mut usize,
+        bytes_left: &mut usize,
         transaction: &mut Transaction,
-    ) -> Option<Part> {
-        if *room == 0 {
+    ) -> Option<SlotCommit> {
+        if *bytes_left == 0 {
             return None;
         }
         let is_wanted = self.wanted.contains(&slot);
         let held = self.held.get_mut(&slot)?;
-        let mut records = take_records(&mut held.pending, room);
+        let mut records = take_records(&mut held.pending, bytes_left);
         self.pending -= records.len();
         let is_drained = held.pending.is_empty();
         held.is_urgent &= !is_drained;
-        held.since = held.since.filter(|_| !is_drained);
+        held.pending_since = held.pending_since.filter(|_| !is_drained);
         let is_release = !is_wanted && is_drained;
         let is_checkpoint = is_drained && is_wanted && is_checkpoint_due(held, &self.settings);
         if is_checkpoint {
@@ -173,7 +174,7 @@
         let count = records.len() as u64;
         let mut log = None;
         if !records.is_empty() {
-            let number = held.last + 1;
+            let number = held.last_row + 1;
             let value = encode(&Batch { commit, records });
             log = Some((number, value.len() as u64));
             transaction.compares.push(table::Compare {
@@ -183,7 +184,7 @@
             push_put(transaction, log_key(slot, number), value);
         }
         if is_checkpoint {
-            let (number, bytes) = log.unwrap_or((held.last, 0));
+            let (number, bytes) = log.unwrap_or((held.last_row, 0));
             let log_bytes = held.log_bytes + bytes;
             let chunk = self.settings.chunk_bytes;
             let checkpoint = Checkpoint::new(now, slot, held, number, chunk, log_bytes);
@@ -196,7 +197,7 @@
         let revision = held.revision;
         let key = slot_key(slot);
         transaction.compares.push(table::Compare { key, revision });
-        Some(Part {
+        Some(SlotCommit {
             slot,
             revision,
             commit,
@@ -210,20 +211,25 @@
     pub(super) fn committed(&mut self, now: Instant, outcome: Outcome) {
         match outcome {
             Outcome::Committed { revision } => {
-                let Some(flight) = self.flight.take() else {
+                let Some(in_flight) = self.in_flight.take() else {
                     return;
                 };
-                let slots = flight.parts.len();
-                let records = flight.parts.iter().map(|part| part.records as usize).sum();
-                for part in flight.parts {
-                    self.part_committed(part, revision);
+                let slots = in_flight.parts.len();
+                let records = in_flight
+                    .parts
+                    .iter()
+                    .map(|part| part.records as usize)
+                    .sum();
+                for part in in_flight.parts {
+                    self.slot_committed(part, revision);
                 }
                 self.notes.push(Note::Committed { records, slots });
             }
             Outcome::Conflict { rows } => {
                 self.resolve(now, &rows);
-                // A conflict that its rows do not explain would otherwise be repeated without a pause.
-                if self.flight.is_some() {
+                // Without this wait, a conflict that the returned rows do not explain would be
+                // retried in a busy loop.
+                if self.in_flight.is_some() {
                     self.retry_at = now + self.settings.initial_backoff;
                 }
             }
@@ -234,54 +240,55 @@
         self.resolve(now, rows);
     }
 
-    pub(super) fn flight_unknown(&mut self) {
-        if let Some(flight) = &mut self.flight {
-            flight.is_unknown = true;
+    pub(super) fn mark_outcome_unknown(&mut self) {
+        if let Some(in_flight) = &mut self.in_flight {
+            in_flight.is_unknown = true;
         }
     }
 
-    /// Sorts out a commit by its slots' rows as they are now.
+    /// Determines the outcome of a commit for each slot from the slots' current rows.
     fn resolve(&mut self, now: Instant, rows: &[Row]) {
-        let Some(mut flight) = self.flight.take() else {
+        let Some(mut in_flight) = self.in_flight.take() else {
             return;
         };
-        let mut not_yet = Vec::new();
+        let mut not_applied = Vec::new();
         let mut is_any_lost = false;
-        for part in flight.parts {
-            match part.verdict(rows) {
-                Verdict::Committed(revision) => self.part_committed(part, revision),
-                Verdict::NotYet => not_yet.push(part),
-                Verdict::Lost => {
+        for part in in_flight.parts {
+            match part.outcome_in(rows) {
+                SlotOutcome::Committed(revision) => self.slot_committed(part, revision),
+                SlotOutcome::NotApplied => not_applied.push(part),
+                SlotOutcome::Lost => {
                     is_any_lost = true;
-                    self.lose(part.slot);
+                    self.drop_lost(part.slot);
                 }
             }
         }
-        if not_yet.is_empty() {
+        if not_applied.is_empty() {
             return;
         }
-        flight.parts = not_yet;
-        flight.is_unknown = false;
+        in_flight.parts = not_applied;
+        in_flight.is_unknown = false;
         if is_any_lost {
-            // No copy of the former transaction can take effect any more, since the lost slot's revision
-            // never comes back. The other slots' parts may therefore be put into a new one.
-            flight.transaction = self.without_lost(&flight);
+            // The old transaction can no longer take effect, since the lost slot's compared
+            // revision never returns. The other slots can therefore be committed in a new
+            // transaction.
+            in_flight.transaction = self.without_lost(&in_flight);
             self.next_commit = now;
         }
-        self.flight = Some(flight);
+        self.in_flight = Some(in_flight);
     }
 
-    /// The flight's transaction, less the rows of slots that are no longer held.
-    fn without_lost(&self, flight: &Flight) -> Transaction {
+    /// Returns the transaction in progress without the entries of slots that were lost.
+    fn without_lost(&self, in_flight: &GroupCommit) -> Transaction {
         let mut kept = Transaction::default();
-        for part in &flight.parts {
+        for part in &in_flight.parts {
             let slot = slot_key(part.slot);
             let log = part.log_key();
             let is_own = |key: &std::sync::Arc<str>| *key == slot || Some(key) == log.as_ref();
-            let compares = flight.transaction.compares.iter();
+            let compares = in_flight.transaction.compares.iter();
             kept.compares
                 .extend(compares.filter(|compare| is_own(&compare.key)).cloned());
-            for write in &flight.transaction.writes {
+            for write in &in_flight.transaction.writes {
                 if matches!(write, table::Write::Put { key, .. } if is_own(key)) {
                     kept.writes.push(write.clone());
                 }
@@ -290,12 +297,12 @@
         kept
     }
 
-    fn part_committed(&mut self, part: Part, revision: u64) {
+    fn slot_committed(&mut self, part: SlotCommit, revision: u64) {
         let Some(held) = self.held.get_mut(&part.slot) else {
             return;
         };
         if let Some((number, bytes)) = part.log {
-            held.last = number;
+            held.last_row = number;
             held.log_bytes += bytes;
         }
         if let Some(row) = part.row {
@@ -303,24 +310,24 @@
             if row.base != held.row.base
                 && let Some(checkpoint) = held.checkpoint.take()
             {
-                held.adopt(part.slot, &checkpoint);
+                held.activate_checkpoint(part.slot, &checkpoint);
             }
             held.row = row;
         }
-        self.replies.extend(held.commit(part.records));
+        self.replies.extend(held.mark_durable(part.records));
         if !part.is_release {
             return;
         }
         let slot = part.slot;
         if let Some(held) = self.held.remove(&slot) {
-            // Decided after the commit was built, while the slot was wanted again for a moment.
+            // Records decided after the commit was built, if the slot was briefly wanted again.
             self.pending -= held.pending.len();
             self.entries -= held.ledger.len();
             for waiting in held.waiting {
                 self.replies.push((waiting.ticket, Reply::NotHolder));
             }
         }
-        self.seen = None;
+        self.polled_rows = None;
         self.notes.push(Note::SlotReleased { slot });
     }
 
@@ -335,15 +342,15 @@
         let is_commit = matches!(outstanding, Outstanding::Commit);
         let is_unknown = matches!(error, table::Error::Unknown { .. });
         if is_commit && is_unknown {
-            self.flight_unknown();
+            self.mark_outcome_unknown();
         }
-        // One lost reply is no outage: the read-back follows at once, and those who wait are only refused when
-        // it fails too.
+        // A single lost reply is not an outage: the rows are read back at once, and waiting
+        // requests are refused only if that fails too.
         if is_commit && is_unknown && self.failures == 1 {
             self.retry_at = now;
             return;
         }
-        if matches!(error, table::Error::Busy) && self.failures < BUSY_LIMIT {
+        if matches!(error, table::Error::Busy) && self.failures < BUSY_REPLIES_UNTIL_DOWN {
             return;
         }
         if self.writable {
@@ -355,7 +362,7 @@
         self.refuse_waiting(now);
     }
 
-    pub(super) fn table_answered(&mut self) {
+    pub(super) fn table_succeeded(&mut self) {
         self.failures = 0;
         if !self.writable {
             self.notes.push(Note::TableUp);
@@ -367,15 +374,16 @@
         let doublings = self.failures.saturating_sub(1).min(16);
         let wait = self.settings.initial_backoff.saturating_mul(1 << doublings);
         let wait = wait.min(self.settings.max_backoff);
-        // Spread out, so that instances that lost the table together do not come back together.
+        // Jitter, so that instances that lost the table at the same time do not retry at the same
+        // time.
         wait.mul_f64(self.rng.random_range(0.5..1.0))
     }
 
-    /// Tells everybody who waits for a commit that there is none.
+    /// Replies `Unavailable` to all requests that wait for a commit.
     ///
-    /// A claim that was to be granted is given up in the same breath: its record may already be in the
-    /// table, or get there with the next commit, while its router will have refused the call. Left
-    /// open, it would block the caller's own retry until that router dies.
+    /// Claims that were about to be granted are released in the same step. Their records may
+    /// already be in the table, or be written by the next commit, although the router refuses the
+    /// call. An open claim would block the caller's retry until that router terminates.
     fn refuse_waiting(&mut self, now: Instant) {
         let context = crate::ledger::Context {
             now,
@@ -398,15 +406,15 @@
     }
 }
 
-/// Not while another one is being written; the former one is still in force then.
+/// No new checkpoint starts while one is being written; the previous one stays active until then.
 fn is_checkpoint_due(held: &Held, settings: &Settings) -> bool {
-    let rows = held.last + 1 - held.row.base;
+    let rows = held.last_row + 1 - held.row.base;
     held.checkpoint.is_none()
         && rows >= settings.checkpoint_every
         && held.log_bytes >= held.base_bytes
 }
 
-/// The slot's row after the commit, if it changes.
+/// Returns the slot's row after the commit, if the commit changes it.
 fn next_row(held: &Held, commit: u64, is_release: bool) -> Option<SlotRow> {
     let checkpoint = held.checkpoint.as_ref().filter(|entry| entry.is_written());
     if !is_release && checkpoint.is_none() {
@@ -427,26 +435,29 @@
     Some(row)
 }
 
-fn take_records(pending: &mut std::collections::VecDeque<Record>, room: &mut usize) -> Vec<Record> {
+fn take_records(
+    pending: &mut std::collections::VecDeque<Record>,
+    bytes_left: &mut usize,
+) -> Vec<Record> {
     let mut records = Vec::new();
-    while *room > 0 {
+    while *bytes_left > 0 {
         let Some(record) = pending.pop_front() else {
             break;
         };
-        *room = room.saturating_sub(size(&record));
+        *bytes_left = bytes_left.saturating_sub(approx_bytes(&record));
         records.push(record);
     }
     records
 }
 
-fn size(record: &Record) -> usize {
+fn approx_bytes(record: &Record) -> usize {
     match record {
         Record::Bill {
             response: Some(response),
             ..
-        } => RECORD_BYTES + response.body.len(),
+        } => APPROX_RECORD_BYTES + response.body.len(),
         Record::Name(name) => name.len(),
-        _ => RECORD_BYTES,
+        _ => APPROX_RECORD_BYTES,
     }
 }
 
--- a/crates/fescuewell_claims/src/arbiter/settings.rs
+++ b/crates/fescuewell_claims/src/arbiter/settings.rs
@@ -1,4 +1,4 @@
-//! How an arbiter behaves.
+//! Settings of an arbiter.
 
 use std::time::Duration;
 
@@ -6,45 +6,52 @@
 
 use crate::ledger::Retention;
 
-/// How an arbiter behaves.
+/// Settings of an arbiter.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Number of slots of the whole fleet.
+    /// Number of slots in the fleet.
     pub slots: u16,
-    /// Least time between two group commits: their number per second is at most its inverse, whatever the
-    /// request rate. A non-repeatable call waits for about half of it.
+    /// Minimum time between two group commits, which limits the commit rate at any request rate. A
+    /// non-repeatable call waits for about half of it.
     pub commit_interval: Duration,
-    /// How long records for which no call waits are collected. Each slot with records costs a row, so that a
-    /// fleet writes at most `slots / flush_interval` rows per second, and one for each non-repeatable call.
+    /// How long records for which no call waits are collected before they are written. Each slot
+    /// with records costs one row per commit, so a fleet writes at most `slots / flush_interval`
+    /// rows per second plus one for each non-repeatable call.
     pub flush_interval: Duration,
-    /// How often the slot rows are read while a wanted slot is held by somebody else.
+    /// Interval between polls of the slot rows while another instance holds a wanted slot or the
+    /// table is down.
     pub poll_interval: Duration,
-    /// How often they are read otherwise, so that an idle holder learns that its slot was taken.
+    /// Interval between polls otherwise, so that an idle holder learns that its slot was taken.
     pub idle_poll_interval: Duration,
     /// How long finished requests are kept.
     pub retention: Retention,
-    /// How many group commits of a slot are logged, at least, before its whole state is written as a checkpoint;
-    /// the log is also let grow to the size of the last checkpoint, so that no byte is written more than twice.
+    /// Minimum number of log rows before a slot's state is written as a checkpoint. The log also
+    /// grows at least to the size of the previous checkpoint, so that no byte is written more than
+    /// twice.
     pub checkpoint_every: u64,
-    /// Size of a row of a checkpoint, in bytes; the table limits the size of a row.
+    /// Size of a checkpoint row in bytes; the table limits the size of a row.
     pub chunk_bytes: usize,
-    /// Most decided records that wait for the table; beyond it askers keep what they have.
+    /// Maximum number of records that wait to be written. Beyond it, requests are rejected and stay
+    /// with their senders.
     pub pending_limit: usize,
-    /// Most requests kept in memory; beyond it claims and bills are answered `Unavailable`.
+    /// Maximum number of requests in memory. Beyond it, claims and bills of unknown requests get
+    /// the reply `Unavailable`.
     pub entry_limit: usize,
-    /// Most slots in one commit: two conditions and two writes each at most, and the table limits a transaction's entries.
+    /// Maximum number of slots in one commit. A slot adds up to two compares and two writes, and
+    /// the table limits the entries of a transaction.
     pub slots_per_commit: usize,
-    /// Bytes of records in one commit, roughly; the table limits the size of a transaction.
+    /// Approximate limit on the bytes of records in one commit; the table limits the size of a
+    /// transaction.
     pub bytes_per_commit: usize,
-    /// Wait after a failure of the table, before its first repetition; doubles up to [`Settings::max_backoff`].
+    /// Wait before the first retry after a table failure. Doubles up to [`Settings::max_backoff`].
     pub initial_backoff: Duration,
-    /// Longest wait between two tries.
+    /// Maximum wait between retries.
     pub max_backoff: Duration,
-    /// Most finished requests looked at in one second for each slot and class.
+    /// Maximum number of finished requests checked for expiry per second, slot and class.
     pub expire_limit: usize,
 }
 
-/// Conditions and writes of one slot in a commit.
+/// Compares and writes that one slot can add to a commit.
 const ENTRIES_PER_SLOT: usize = 4;
 
 impl Default for Settings {
--- a/crates/fescuewell_claims/src/arbiter/take.rs
+++ b/crates/fescuewell_claims/src/arbiter/take.rs
@@ -1,4 +1,4 @@
-//! Taking slots and reading their logs.
+//! Taking slots and loading their checkpoints and logs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -17,23 +17,23 @@
 use crate::note::Note;
 use crate::record::Batch;
 
-/// Most slots taken in one transaction.
-const TAKE_LIMIT: usize = 32;
+/// Maximum number of slots taken in one transaction.
+const MAX_SLOTS_PER_TAKE: usize = 32;
 
-/// Log rows read at once.
-const PAGE: u32 = 64;
+/// Number of log rows read in one scan.
+const LOG_ROWS_PER_SCAN: u32 = 64;
 
-/// Rows of checkpoints read at once; they are larger.
-const CHUNK_PAGE: u32 = 8;
+/// Number of checkpoint rows read in one scan; they are larger than log rows.
+const CHECKPOINT_ROWS_PER_SCAN: u32 = 8;
 
-/// A slot that was taken and whose log is being read.
+/// A slot that has been taken and is being loaded.
 #[derive(Debug)]
 pub(super) struct Loading {
     row: SlotRow,
     revision: u64,
     ledger: Ledger,
-    is_base_read: bool,
-    /// The checkpoint's rows read so far, and rows of other checkpoints.
+    is_checkpoint_read: bool,
+    /// Rows of the active checkpoint read so far, and keys of rows of other checkpoints.
     chunks: Vec<Row>,
     garbage: Vec<Arc<str>>,
     after: Option<Arc<str>>,
@@ -57,18 +57,18 @@
             true => self.settings.poll_interval,
             false => self.settings.idle_poll_interval,
         };
-        // Spread out, so that instances that start together do not read together for ever.
+        // Jitter, so that instances that start together do not keep polling together.
         self.next_poll = now + interval.mul_f64(self.rng.random_range(0.75..1.25));
         Some((Outstanding::Poll, Step::Scan(Range::prefix(SLOT_PREFIX))))
     }
 
     fn take_step(&mut self) -> Option<(Outstanding, Step)> {
-        let seen = self.seen.take()?;
+        let seen = self.polled_rows.take()?;
         let mut transaction = Transaction::default();
         let mut slots = Vec::new();
-        // A slot that is this instance's by its row, but neither held nor wanted any more, is taken once more in
-        // order to be handed back: its reply was lost. Nobody else may take it from an instance that lives, so
-        // that its requests would find no holder for ever.
+        // A slot whose row names this instance, but which is neither held nor wanted, is taken
+        // again in order to be released: the reply to its take was lost. No other instance may take
+        // a slot from a live one, so its requests would never find a holder.
         let ours = seen
             .iter()
             .filter(|(_, (row, _))| row.holder.as_ref() == Some(&self.holder));
@@ -77,7 +77,7 @@
             .chain(self.wanted.iter().copied())
             .collect();
         for slot in candidates {
-            if slots.len() == TAKE_LIMIT {
+            if slots.len() == MAX_SLOTS_PER_TAKE {
                 break;
             }
             let known = seen.get(&slot);
@@ -100,11 +100,12 @@
         if slots.is_empty() {
             return None;
         }
-        self.seen = Some(seen);
+        self.polled_rows = Some(seen);
         Some((Outstanding::Take(slots), Step::Commit(transaction)))
     }
 
-    /// Nobody's, a lapsed instance's, or this instance's own from a take whose reply was lost.
+    /// Whether a slot has no holder, a lapsed one, or is this instance's own from a take whose
+    /// reply was lost.
     fn is_free(&self, known: Option<&(SlotRow, u64)>) -> bool {
         let Some((row, _)) = known else {
             return true;
@@ -124,7 +125,8 @@
             let Ok(content) = postcard::from_bytes::<SlotRow>(&row.value) else {
                 let reason: Arc<str> = "the slot's row is unreadable".into();
                 self.notes.push(Note::SlotDamaged { slot, reason });
-                // Neither taken nor overwritten: somebody may still be able to read it.
+                // The slot is neither taken nor overwritten: another version may be able to read
+                // the row.
                 self.wanted.remove(&slot);
                 continue;
             };
@@ -135,12 +137,12 @@
             let is_ours = seen
                 .get(&slot)
                 .is_some_and(|(_, revision)| *revision == self.held[&slot].revision);
-            if !is_ours && self.flight.is_none() {
-                self.lose(slot);
+            if !is_ours && self.in_flight.is_none() {
+                self.drop_lost(slot);
                 self.next_poll = now;
             }
         }
-        self.seen = Some(seen);
+        self.polled_rows = Some(seen);
     }
 
     pub(super) fn taken(
@@ -150,8 +152,8 @@
         outcome: &Outcome,
     ) {
         let Outcome::Committed { revision } = outcome else {
-            // Somebody else was faster in at least one of them.
-            self.seen = None;
+            // Another instance has taken at least one of the slots.
+            self.polled_rows = None;
             self.next_poll = now;
             return;
         };
@@ -161,7 +163,7 @@
                 row,
                 revision: *revision,
                 ledger: Ledger::default(),
-                is_base_read: false,
+                is_checkpoint_read: false,
                 chunks: Vec::new(),
                 garbage: Vec::new(),
                 after: None,
@@ -175,57 +177,57 @@
 
     pub(super) fn next_load_step(&mut self) -> Option<(Outstanding, Step)> {
         let (&slot, loading) = self.loading.first_key_value()?;
-        if !loading.is_base_read {
+        if !loading.is_checkpoint_read {
             let range = Range {
                 prefix: base_prefix(slot),
                 after: loading.after.clone(),
-                limit: CHUNK_PAGE,
+                limit: CHECKPOINT_ROWS_PER_SCAN,
             };
-            return Some((Outstanding::LoadBase(slot), Step::Scan(range)));
+            return Some((Outstanding::LoadCheckpoint(slot), Step::Scan(range)));
         }
         let range = Range {
             prefix: log_prefix(slot),
             after: loading.after.clone(),
-            limit: PAGE,
+            limit: LOG_ROWS_PER_SCAN,
         };
-        Some((Outstanding::LoadTail(slot), Step::Scan(range)))
+        Some((Outstanding::LoadLog(slot), Step::Scan(range)))
     }
 
-    pub(super) fn base_loaded(&mut self, now: Instant, slot: SlotKey, rows: &[Row]) {
+    pub(super) fn checkpoint_loaded(&mut self, now: Instant, slot: SlotKey, rows: &[Row]) {
         let Some(loading) = self.loading.get_mut(&slot) else {
             return;
         };
-        let in_force = checkpoint_prefix(slot, loading.row.base_epoch, loading.row.base);
+        let current = checkpoint_prefix(slot, loading.row.base_epoch, loading.row.base);
         for row in rows {
             loading.after = Some(row.key.clone());
-            match row.key.starts_with(&*in_force) {
+            match row.key.starts_with(&*current) {
                 true => loading.chunks.push(row.clone()),
-                // Left behind by a holder that was replaced before its checkpoint came into force.
+                // Left behind by a holder that was replaced before its checkpoint became active.
                 false => loading.garbage.push(row.key.clone()),
             }
         }
-        if rows.len() == CHUNK_PAGE as usize {
+        if rows.len() == CHECKPOINT_ROWS_PER_SCAN as usize {
             return;
         }
-        loading.is_base_read = true;
+        loading.is_checkpoint_read = true;
         loading.after = None;
         if loading.row.base == 0 {
             return;
         }
         let chunks = std::mem::take(&mut loading.chunks);
-        let is_whole = chunks.len() == loading.row.chunks as usize;
+        let is_complete = chunks.len() == loading.row.chunks as usize;
         let content: Vec<u8> = chunks
             .iter()
             .flat_map(|row| row.value.iter().copied())
             .collect();
         loading.base_bytes = content.len() as u64;
         match Snapshot::decode(&content) {
-            Ok(snapshot) if is_whole => loading.ledger = Ledger::restore(now, snapshot),
+            Ok(snapshot) if is_complete => loading.ledger = Ledger::restore(now, snapshot),
             _ => self.damaged(slot, "the checkpoint is incomplete or unreadable"),
         }
     }
 
-    pub(super) fn tail_loaded(&mut self, now: Instant, slot: SlotKey, rows: &[Row]) {
+    pub(super) fn log_loaded(&mut self, now: Instant, slot: SlotKey, rows: &[Row]) {
         let Some(loading) = self.loading.get_mut(&slot) else {
             return;
         };
@@ -238,7 +240,7 @@
             if number <= loading.row.base {
                 continue;
             }
-            // The log is read after the slot was taken, so that no former holder can add to it.
+            // The log is read after the slot was taken, so no previous holder can append to it.
             let batch = postcard::from_bytes::<Batch>(&row.value);
             let is_next = number == loading.applied + 1;
             let (true, Ok(batch)) = (is_next, batch) else {
@@ -251,7 +253,7 @@
                 loading.ledger.apply(now, record);
             }
         }
-        if rows.len() < PAGE as usize {
+        if rows.len() < LOG_ROWS_PER_SCAN as usize {
             self.loaded(slot);
         }
     }
@@ -284,8 +286,8 @@
         });
     }
 
-    /// Gives up a slot whose rows do not make sense. Answering from half a log could grant a call a
-    /// second time.
+    /// Drops a slot whose rows are invalid. Deciding requests from an incomplete log could grant a
+    /// call twice.
     fn damaged(&mut self, slot: SlotKey, reason: &str) {
         self.loading.remove(&slot);
         self.wanted.remove(&slot);
--- a/crates/fescuewell_claims/src/ledger.rs
+++ b/crates/fescuewell_claims/src/ledger.rs
@@ -1,9 +1,8 @@
 //! The state of one slot: which requests are claimed, billed or released, and what each router was
 //! charged.
 //!
-//! [`Ledger::request`] takes a decision, applies it and returns the [`Record`]s that describe it;
-//! [`Ledger::apply`] replays such records. Whether and when a decision is durable is the
-//! arbiter's business.
+//! [`Ledger::request`] decides a request, applies the decision and returns the [`Record`]s that
+//! describe it; [`Ledger::apply`] replays such records. The arbiter makes decisions durable.
 //!
 //! ```
 //! use fescuewell_claims::ledger::{Ledger, Context};
@@ -48,42 +47,42 @@
 
 use entry::{DigestHasher, Status};
 
-static NOBODY: BTreeSet<Arc<str>> = BTreeSet::new();
+static NO_TERMINATED: BTreeSet<Arc<str>> = BTreeSet::new();
 
-/// What a decision may depend on besides the ledger.
+/// Inputs of a decision besides the ledger itself.
 #[derive(Debug, Clone, Copy)]
 pub struct Context<'a> {
-    /// The present time.
+    /// The current time.
     pub now: Instant,
-    /// Routers that the instance list calls terminated.
+    /// Routers that the instance list reports as terminated.
     pub terminated: &'a BTreeSet<Arc<str>>,
-    /// Whether the table took the last write.
+    /// Whether the last table step succeeded.
     pub writable: bool,
 }
 
 impl Context<'static> {
-    /// A context in which nobody is terminated and the table works.
+    /// A context with no terminated routers and a working table.
     pub fn at(now: Instant) -> Self {
         Self {
             now,
-            terminated: &NOBODY,
+            terminated: &NO_TERMINATED,
             writable: true,
         }
     }
 }
 
-/// What became of a request.
+/// The outcome of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Decision {
-    /// What to answer.
+    /// The reply to send.
     pub reply: Reply,
-    /// What to write to the log; already applied.
+    /// Records to write to the log. They are already applied.
     pub records: Vec<Record>,
-    /// The answer may only be given once all records of the slot up to here are durable.
+    /// Whether the reply must wait until all records of the slot so far are durable.
     pub after_commit: bool,
-    /// The answer grants a claim that did not exist before.
+    /// Whether the reply grants a claim that did not exist before.
     pub new_claim: bool,
-    /// For the log.
+    /// A note to be logged.
     pub note: Option<Note>,
 }
 
@@ -116,11 +115,11 @@
     }
 }
 
-/// A router closed by the sweep.
+/// A terminated router that the sweep has closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 struct Closed {
     finished: bool,
-    /// Time stamp of the last step, in seconds.
+    /// Timestamp of the last step, in seconds.
     since: u32,
 }
 
@@ -158,14 +157,14 @@
             self.apply(context.now, record);
         }
         match request {
-            Request::Claim(claim) => self.observe(&claim.owner.holder, claim.oldest),
-            Request::Bill(bill) => self.observe(&bill.owner.holder, bill.oldest),
+            Request::Claim(claim) => self.observe_oldest(&claim.owner.holder, claim.oldest),
+            Request::Bill(bill) => self.observe_oldest(&bill.owner.holder, bill.oldest),
             _ => {}
         }
         decision
     }
 
-    /// Replays one record. Records must come in the order in which they were decided.
+    /// Replays one record. Records must be applied in the order in which they were decided.
     pub fn apply(&mut self, now: Instant, record: &Record) {
         match record {
             Record::Name(name) => {
@@ -191,12 +190,12 @@
         }
     }
 
-    /// Whether a request is known.
+    /// Whether the request is known.
     pub fn contains(&self, request: Digest) -> bool {
         self.entries.contains_key(&request)
     }
 
-    /// How many requests are known.
+    /// The number of known requests.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
@@ -206,7 +205,7 @@
         self.entries.is_empty()
     }
 
-    /// What one router was charged, for each group.
+    /// The tokens charged to one router, by group.
     pub fn totals(&self, holder: &str) -> Vec<(Arc<str>, Tokens)> {
         let Some(holder) = self.names.get(holder) else {
             return Vec::new();
@@ -241,7 +240,7 @@
         })
     }
 
-    /// The number of a name; a new one is put into `records` first.
+    /// Returns the key of a name. A new name is interned and added to `records`.
     fn name(&mut self, records: &mut Vec<Record>, name: &Arc<str>) -> NameKey {
         if let Some(key) = self.names.get(name) {
             return key;
@@ -263,18 +262,17 @@
         self.closed.contains_key(&holder) || context.terminated.contains(self.names.name(holder))
     }
 
-    /// Whether the run had its final answer long ago: its router has said that nothing at or below
-    /// it is unfinished.
+    /// Whether the attempt finished earlier, according to its router's oldest unfinished attempt.
     ///
-    /// Without this a message that was held up, or a backend server's old record found by a sweep,
-    /// would be billed a second time after the request's entry had been dropped; one would see the
-    /// charged total exceed the router's own count.
+    /// Without this check, a delayed message or a backend server's old stream record found by a
+    /// sweep would be billed a second time once the request's entry has expired, and the charged
+    /// total would exceed the router's own count.
     fn is_settled(&self, run: Run) -> bool {
         let oldest = self.oldest.get(&run.holder).copied().unwrap_or(0);
         run.attempt < oldest
     }
 
-    fn observe(&mut self, holder: &str, oldest: u32) {
+    fn observe_oldest(&mut self, holder: &str, oldest: u32) {
         let Some(holder) = self.names.get(holder) else {
             return;
         };
--- a/crates/fescuewell_claims/src/ledger/bill.rs
+++ b/crates/fescuewell_claims/src/ledger/bill.rs
@@ -1,10 +1,11 @@
-//! Bills, from routers and from the sweep. The first bill of a request is charged, whoever sends it.
+//! Bills from routers and from the sweep. Only the first bill of a request is charged, whoever
+//! sends it.
 
 use std::sync::Arc;
 
 use fescuewell_core::prelude::*;
 
-use super::entry::{Status, short, stamp};
+use super::entry::{Status, timestamp_s, truncate};
 use super::{Context, Decision, Entry, Ledger};
 use crate::message::{
     Bill, Evidence, MAX_RESPONSE_BYTES, Owner, Reply, Settlement, StoredResponse,
@@ -12,7 +13,7 @@
 use crate::note::Note;
 use crate::record::{Record, Run};
 
-/// What is put on record of a run that is billed first.
+/// The contents of a request's first bill.
 struct Charge<'a> {
     request: Digest,
     fingerprint: u64,
@@ -31,9 +32,10 @@
         if let Some(entry) = self.entries.get(&bill.request).copied()
             && entry.billed
         {
-            return self.bill_again(bill, run, &entry);
+            return self.repeat_bill(bill, run, &entry);
         }
-        // The entry was dropped after this bill had been answered: an old copy of the message.
+        // The entry has expired since this bill was confirmed, so this is an old copy of the
+        // message.
         let is_known = self.entries.contains_key(&bill.request);
         if !is_known && run.is_some_and(|run| self.is_settled(run)) {
             return Decision::after_commit(Reply::Billed {
@@ -42,11 +44,11 @@
         }
         self.charge(&Charge {
             request: bill.request,
-            fingerprint: short(bill.fingerprint),
+            fingerprint: truncate(bill.fingerprint),
             group: &bill.group,
             owner: &bill.owner,
-            // The stream is cut at the hold, so a higher figure is a fault of the router's; the budget only
-            // covers the hold.
+            // The stream is cut off at the hold, so a higher cost is an error in the router. The
+            // budget only covers the hold.
             charged: bill.cost.min(bill.hold),
             complete: bill.complete,
             repeatable: bill.repeatable,
@@ -55,8 +57,9 @@
         })
     }
 
-    /// The request has its bill: the same run is told again what it was charged, another one nothing.
-    fn bill_again(&mut self, bill: &Bill, run: Option<Run>, entry: &Entry) -> Decision {
+    /// Handles a further bill of a billed request. The attempt that was charged gets the same reply
+    /// again; any other attempt is charged nothing.
+    fn repeat_bill(&mut self, bill: &Bill, run: Option<Run>, entry: &Entry) -> Decision {
         if run == Some(entry.biller) {
             return Decision::after_commit(Reply::Billed {
                 charged: entry.charged,
@@ -83,7 +86,7 @@
     pub(super) fn settle(&mut self, context: &Context<'_>, settlement: &Settlement) -> Decision {
         let request = settlement.request;
         let run = self.run(&settlement.owner);
-        let nothing = Decision::after_commit(Reply::Billed {
+        let not_charged = Decision::after_commit(Reply::Billed {
             charged: Tokens::ZERO,
         });
         let entry = self.entries.get(&request).copied();
@@ -91,7 +94,7 @@
             return self.settle_billed(request, run, &entry);
         }
         match &settlement.evidence {
-            Evidence::InDoubt => self.settle_in_doubt(request, &settlement.owner, nothing),
+            Evidence::InDoubt => self.settle_in_doubt(request, &settlement.owner, not_charged),
             Evidence::Stream {
                 cost,
                 complete,
@@ -99,17 +102,17 @@
             } => {
                 let is_settled = run.is_some_and(|run| self.is_settled(run));
                 if entry.is_none() && is_settled {
-                    return nothing;
+                    return not_charged;
                 }
-                // A cut-off run whose request a living router has taken over: that router's bill is the
-                // one that counts.
+                // If a live router has taken over the request of an interrupted attempt, that
+                // router's bill is the one that counts.
                 let is_taken_over = entry.is_some_and(|entry| {
                     entry.status == Status::Open
                         && Some(entry.owner) != run
                         && !self.is_gone(context, entry.owner.holder)
                 });
                 if is_taken_over && !complete {
-                    return nothing;
+                    return not_charged;
                 }
                 self.charge(&Charge {
                     request,
@@ -126,7 +129,8 @@
         }
     }
 
-    /// A claim that went on after an earlier run had been billed ends here without another charge.
+    /// Closes a claim that stayed open after an earlier attempt had been billed, without another
+    /// charge.
     fn settle_billed(&self, request: Digest, run: Option<Run>, entry: &Entry) -> Decision {
         let is_same = run == Some(entry.biller);
         let charged = if is_same { entry.charged } else { Tokens::ZERO };
@@ -139,14 +143,19 @@
         }
     }
 
-    /// Charges the hold of a claim that is still open and still belongs to the closed router; a claim that
-    /// has passed to another router meanwhile is that router's to bill.
-    fn settle_in_doubt(&mut self, request: Digest, owner: &Owner, nothing: Decision) -> Decision {
+    /// Charges the hold of a claim that is still open and still belongs to the closed router. A
+    /// claim that another router has taken over is billed by that router.
+    fn settle_in_doubt(
+        &mut self,
+        request: Digest,
+        owner: &Owner,
+        not_charged: Decision,
+    ) -> Decision {
         let run = self.run(owner);
         let entry = self.entries.get(&request).copied();
         let entry = entry.filter(|entry| entry.status == Status::Open && Some(entry.owner) == run);
         let Some(entry) = entry else {
-            return nothing;
+            return not_charged;
         };
         let group = self.names.name(entry.group).clone();
         self.charge(&Charge {
@@ -166,8 +175,8 @@
         let mut records = Vec::with_capacity(3);
         let group = self.name(&mut records, charge.group);
         let holder = self.name(&mut records, &charge.owner.holder);
-        // What was allowed to this router has been returned to the budget by now. The request keeps its
-        // one bill, but there is no allowance left from which to charge it.
+        // The router's allowance has already been returned to the budget. The bill is recorded, but
+        // there is no allowance left to charge it to.
         let is_too_late = self.is_finished(holder);
         let charged = if is_too_late {
             Tokens::ZERO
@@ -186,7 +195,7 @@
             in_doubt: charge.in_doubt,
             response: charge
                 .response
-                .filter(|response| is_kept(response))
+                .filter(|response| fits_limit(response))
                 .cloned(),
         });
         let request = charge.request;
@@ -237,10 +246,11 @@
         entry.in_doubt = *in_doubt;
         entry.complete = *complete;
         entry.repeatable = *repeatable;
-        entry.touched = stamp(now);
-        // A part of an answer was billed while another router runs the request: its claim goes on.
-        let goes_on = entry.status == Status::Open && entry.owner != *run && !complete;
-        if !goes_on {
+        entry.touched = timestamp_s(now);
+        // A partial response was billed while another router runs the request, so that router's
+        // claim stays open.
+        let claim_continues = entry.status == Status::Open && entry.owner != *run && !complete;
+        if !claim_continues {
             entry.owner = *run;
             entry.group = *group;
             entry.status = Status::Done;
@@ -251,8 +261,8 @@
         if let Some(response) = response {
             self.responses.insert(request, response.clone());
         }
-        if !goes_on {
-            self.finished(now, request);
+        if !claim_continues {
+            self.schedule_expiry(now, request);
         }
     }
 
@@ -267,12 +277,12 @@
         entry.complete = true;
         entry.in_doubt = false;
         entry.status = Status::Done;
-        self.finished(now, request);
+        self.schedule_expiry(now, request);
     }
 }
 
-/// A larger answer is not kept: its repeats are told that the call ran, without it. Memory and log rows stay
-/// bounded whatever a service answers.
-fn is_kept(response: &StoredResponse) -> bool {
+/// Whether a response is small enough to be stored, which bounds memory and log rows. Repeats of a
+/// call with a larger response only learn that the call ran.
+fn fits_limit(response: &StoredResponse) -> bool {
     response.body.len() + response.content_type.len() <= MAX_RESPONSE_BYTES
 }
--- a/crates/fescuewell_claims/src/ledger/claim.rs
+++ b/crates/fescuewell_claims/src/ledger/claim.rs
@@ -2,7 +2,7 @@
 
 use fescuewell_core::prelude::*;
 
-use super::entry::{NO_SERVER, Status, short};
+use super::entry::{NO_SERVER, Status, truncate};
 use super::{Context, Decision, Entry, Ledger};
 use crate::message::{Assignment, Claim, Owner, Reply, RequestState};
 use crate::note::Note;
@@ -11,8 +11,8 @@
 
 impl Ledger {
     pub(super) fn claim(&mut self, context: &Context<'_>, claim: &Claim) -> Decision {
-        // A claim of a closed router can only be an old message. Granting it would leave a claim
-        // that nobody will ever bill or release.
+        // A claim from a closed router can only be a delayed message. If it were granted, nobody
+        // would ever bill or release it.
         if self.is_closed(&claim.owner.holder) {
             return Decision::now(Reply::Unavailable);
         }
@@ -24,12 +24,12 @@
             return self.grant(context, claim);
         };
         if run == Some(entry.owner) {
-            return self.claim_again(claim, &entry);
+            return self.repeat_claim(claim, &entry);
         }
         if entry.status == Status::Released {
             return self.grant(context, claim);
         }
-        if entry.fingerprint != 0 && entry.fingerprint != short(claim.fingerprint) {
+        if entry.fingerprint != 0 && entry.fingerprint != truncate(claim.fingerprint) {
             return Decision::now(Reply::Known(RequestState::Conflict));
         }
         if self.may_run_again(context, claim, &entry) {
@@ -38,8 +38,8 @@
         Decision::now(Reply::Known(self.known(claim.request, &entry)))
     }
 
-    /// The same run asks again, because its answer was lost or late.
-    fn claim_again(&self, claim: &Claim, entry: &Entry) -> Decision {
+    /// Handles a claim that the same attempt sends again because the reply was lost or late.
+    fn repeat_claim(&self, claim: &Claim, entry: &Entry) -> Decision {
         let granted = Reply::Granted {
             attempt: entry.owner.attempt,
             durable: !entry.repeatable,
@@ -47,19 +47,19 @@
         match entry.status {
             Status::Open if entry.repeatable => Decision::now(granted),
             Status::Open => Decision::after_commit(granted),
-            // The router gave this run up, or was told that it was not recorded. A late copy of the
-            // claim must not bring it back: no bill or release would ever follow.
+            // The router released this attempt, or was told that its claim was not recorded. A
+            // delayed copy of the claim must not reopen it, since no bill or release would follow.
             Status::Released => Decision::now(Reply::Unavailable),
             Status::Done => Decision::now(Reply::Known(self.known(claim.request, entry))),
         }
     }
 
-    /// Whether a claimed or billed request is given to another router.
+    /// Whether a claimed or billed request is granted to another router.
     ///
-    /// Only a repeatable one ever is, and not while its router lives: that router may be retrying
-    /// it elsewhere at this moment. When the router is gone and its backend server is known, the
-    /// caller is first sent to that stream; only when the server has no record of it (`lost`) does
-    /// the request run anew. Whichever run is billed first is the only one charged.
+    /// Only a repeatable request is, and not while its router is alive, since that router may be
+    /// retrying it elsewhere. If the router is gone and its backend server is known, the caller is
+    /// directed to that stream first; the request runs again only if the server has no record of
+    /// the stream (`lost`). Only the attempt that is billed first is charged.
     fn may_run_again(&self, context: &Context<'_>, claim: &Claim, entry: &Entry) -> bool {
         if !entry.repeatable || !claim.repeatable {
             return false;
@@ -76,8 +76,8 @@
     }
 
     fn grant(&mut self, context: &Context<'_>, claim: &Claim) -> Decision {
-        // No table, no claim: what may not be repeated is refused at once rather than left to wait
-        // for a commit that may be an hour away.
+        // While the table is down, a non-repeatable request is refused at once instead of waiting
+        // for a commit that may take an hour.
         if !claim.repeatable && !context.writable {
             return Decision::now(Reply::Unavailable);
         }
@@ -87,7 +87,7 @@
         let attempt = claim.owner.attempt;
         records.push(Record::Claim {
             request: claim.request,
-            fingerprint: short(claim.fingerprint),
+            fingerprint: truncate(claim.fingerprint),
             group,
             run: Run { holder, attempt },
             hold: claim.hold,
@@ -113,8 +113,8 @@
         let entry = self.entries.get(&request);
         let is_owner =
             entry.is_some_and(|entry| entry.status == Status::Open && Some(entry.owner) == run);
-        // A claim that vanished with a former holder of the slot cannot be assigned; the sweep finds such
-        // a run by its stream.
+        // A claim that was lost with a previous holder of the slot cannot be assigned. The sweep
+        // finds such an attempt by its stream.
         if !is_owner {
             return Decision::now(Reply::Assigned);
         }
@@ -172,8 +172,8 @@
             .with_note(note)
     }
 
-    /// A release without a known claim leaves an entry too: the claim itself may still be under way
-    /// on another connection, and would otherwise be granted to a router that has given up.
+    /// Also creates an entry if the claim is unknown: the claim may still be in transit on another
+    /// connection, and would otherwise be granted to a router that has given up.
     pub(super) fn apply_release(&mut self, now: Instant, request: Digest, run: Run) {
         let entry = self
             .entries
@@ -183,7 +183,7 @@
             true => Status::Done,
             false => Status::Released,
         };
-        self.finished(now, request);
+        self.schedule_expiry(now, request);
     }
 
     pub(super) fn known(&self, request: Digest, entry: &Entry) -> RequestState {
@@ -204,8 +204,8 @@
             return None;
         }
         let server = self.names.name(entry.server).clone();
-        let odd = self.streams.get(&request).cloned();
-        let stream = odd.unwrap_or_else(|| stream::id(&self.owner(entry.owner), request));
+        let explicit = self.streams.get(&request).cloned();
+        let stream = explicit.unwrap_or_else(|| stream::id(&self.owner(entry.owner), request));
         Some(Assignment { server, stream })
     }
 }
--- a/crates/fescuewell_claims/src/ledger/close.rs
+++ b/crates/fescuewell_claims/src/ledger/close.rs
@@ -1,16 +1,16 @@
-//! Closing a terminated router, in two steps.
+//! Closing a terminated router, in two phases.
 //!
-//! `Freeze` lists what the router left open and stops new claims in its name, while bills are still
-//! charged: those that a peer took over from it, and those of the sweep. `Finish` fixes the totals:
-//! the budget takes back what was allowed to the router less these totals, so anything charged to it
-//! afterwards would be spent twice. Both may be repeated, by the same sweep or by another instance
-//! that does it over after the first one died.
+//! `Freeze` stops new claims by the router and lists its open ones. Bills are still charged: those
+//! that a peer took over from the router and those of the sweep. `Finish` fixes the totals. The
+//! budget takes back the router's allowance minus these totals, so anything charged to it
+//! afterwards would be spent twice. Both phases can be repeated, by the same sweep or by another
+//! instance that starts over after the first one terminated.
 
 use std::sync::Arc;
 
 use fescuewell_core::time::Instant;
 
-use super::entry::{Status, stamp};
+use super::entry::{Status, timestamp_s};
 use super::{Closed, Decision, Ledger};
 use crate::message::{OpenClaim, Phase, Reply};
 use crate::record::{NameKey, Record};
@@ -34,7 +34,7 @@
     }
 
     pub(super) fn apply_close(&mut self, now: Instant, holder: NameKey, finish: bool) {
-        let since = stamp(now);
+        let since = timestamp_s(now);
         let finished = false;
         let closed = self
             .closed
@@ -44,13 +44,14 @@
         closed.since = since;
     }
 
-    /// The mark that the router is closed stays, so that an old message cannot open it again.
+    /// Drops a closed router's totals. The router stays closed, so that a delayed message cannot
+    /// reopen it.
     pub(super) fn forget(&mut self, holder: &Arc<str>) -> Decision {
         let decision = Decision::after_commit(Reply::Forgotten);
         let Some(holder) = self.names.get(holder) else {
             return decision;
         };
-        // Totals of a router that is not closed are still needed by the sweep to come.
+        // The totals of a router that is not closed are still needed by a later sweep.
         let has_totals = self.of_holder(holder).next().is_some();
         if !has_totals || !self.is_finished(holder) {
             return decision;
--- a/crates/fescuewell_claims/src/ledger/compaction.rs
+++ b/crates/fescuewell_claims/src/ledger/compaction.rs
@@ -1,16 +1,17 @@
-//! Dropping names and closed routers that nothing refers to any more.
+//! Removal of names and closed routers that are no longer referenced.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use fescuewell_core::prelude::*;
 
-use super::entry::{NO_SERVER, stamp};
+use super::entry::{NO_SERVER, timestamp_s};
 use super::{Entry, Ledger, Retention};
 use crate::record::{NameKey, Record};
 
 impl Ledger {
-    /// Forgets routers that were closed long ago and numbers the remaining names anew; returns the record
-    /// of it, already applied. Without it the names of all instances that ever were would stay in every checkpoint.
+    /// Removes routers that were closed long ago and renumbers the remaining names. Returns the
+    /// record of the change, which is already applied. Without compaction, every checkpoint would
+    /// hold the names of all instances that ever existed.
     pub fn compact(&mut self, now: Instant, retention: &Retention) -> Record {
         let dropped = self.old_closed(now, retention);
         for holder in &dropped {
@@ -28,24 +29,25 @@
             self.oldest.remove(holder);
         }
         let mut names: Interner<NameKey> = Interner::default();
-        let mut moved = BTreeMap::new();
+        let mut renumbered = BTreeMap::new();
         for &key in kept {
-            moved.insert(key, names.intern(self.names.name(key)));
+            renumbered.insert(key, names.intern(self.names.name(key)));
         }
-        self.drop_unnamed(&moved);
-        self.renumber(&moved);
+        self.drop_unnamed(&renumbered);
+        self.renumber(&renumbered);
         self.names = names;
     }
 
-    /// Closed routers that nothing refers to and of which no message can be under way any more.
+    /// Returns the closed routers that are not referenced and from which no message can be in
+    /// transit any more.
     ///
-    /// The oldest unfinished attempt of any other router stays, however long it has been silent: the sweep to
-    /// come relies on it to tell old records of settled streams from unbilled ones.
+    /// For all other routers the oldest unfinished attempt is kept, however long they have been
+    /// silent: a later sweep needs it to tell old records of settled streams from unbilled ones.
     fn old_closed(&self, now: Instant, retention: &Retention) -> Vec<NameKey> {
         let keep = retention.non_repeatable.as_secs() as u32;
         let mut in_use: BTreeSet<NameKey> = self.entries.values().flat_map(holders).collect();
         in_use.extend(self.totals.keys().map(|&(holder, _)| holder));
-        let now = stamp(now);
+        let now = timestamp_s(now);
         let mut old = Vec::new();
         for (&holder, closed) in &self.closed {
             let is_recent = closed.since.saturating_add(keep) > now;
@@ -66,38 +68,39 @@
         used
     }
 
-    /// Expiry is not logged, so that a replayed ledger may hold requests that the one which wrote the record had
-    /// dropped already. Those whose names are gone are dropped here too.
-    fn drop_unnamed(&mut self, moved: &BTreeMap<NameKey, NameKey>) {
+    /// Removes entries whose names are gone. Expiry is not logged, so a replayed ledger may still
+    /// hold requests that had expired when the record was written.
+    fn drop_unnamed(&mut self, renumbered: &BTreeMap<NameKey, NameKey>) {
         self.entries
-            .retain(|_, entry| names(entry).all(|name| moved.contains_key(&name)));
+            .retain(|_, entry| names(entry).all(|name| renumbered.contains_key(&name)));
         self.responses
             .retain(|request, _| self.entries.contains_key(request));
         self.streams
             .retain(|request, _| self.entries.contains_key(request));
     }
 
-    fn renumber(&mut self, moved: &BTreeMap<NameKey, NameKey>) {
-        let to = |key: NameKey| moved.get(&key).copied().unwrap_or(key);
+    fn renumber(&mut self, renumbered: &BTreeMap<NameKey, NameKey>) {
+        let renumbered_key = |key: NameKey| renumbered.get(&key).copied().unwrap_or(key);
         for entry in self.entries.values_mut() {
-            entry.owner.holder = to(entry.owner.holder);
-            entry.biller.holder = to(entry.biller.holder);
-            entry.group = to(entry.group);
-            entry.server = to(entry.server);
+            entry.owner.holder = renumbered_key(entry.owner.holder);
+            entry.biller.holder = renumbered_key(entry.biller.holder);
+            entry.group = renumbered_key(entry.group);
+            entry.server = renumbered_key(entry.server);
         }
         let totals = std::mem::take(&mut self.totals);
         for ((holder, group), charged) in totals {
-            self.totals.insert((to(holder), to(group)), charged);
+            self.totals
+                .insert((renumbered_key(holder), renumbered_key(group)), charged);
         }
         let closed = std::mem::take(&mut self.closed);
         self.closed = closed
             .into_iter()
-            .map(|(key, value)| (to(key), value))
+            .map(|(key, value)| (renumbered_key(key), value))
             .collect();
         let oldest = std::mem::take(&mut self.oldest);
         self.oldest = oldest
             .into_iter()
-            .map(|(key, value)| (to(key), value))
+            .map(|(key, value)| (renumbered_key(key), value))
             .collect();
     }
 }
--- a/crates/fescuewell_claims/src/ledger/entry.rs
+++ b/crates/fescuewell_claims/src/ledger/entry.rs
@@ -1,4 +1,4 @@
-//! What a slot keeps of one request, in 64 bytes.
+//! The state that a slot keeps of one request, in 64 bytes.
 
 use std::hash::{BuildHasherDefault, Hasher};
 
@@ -7,40 +7,40 @@
 
 use crate::record::{NameKey, Record, Run};
 
-/// Stands for "no backend server known".
+/// Marks an unknown backend server.
 pub(super) const NO_SERVER: NameKey = NO_NAME;
 
-/// Stands for "no name".
+/// Marks an unknown name.
 const NO_NAME: NameKey = NameKey(u32::MAX);
 
-/// Seconds added to every time stamp, so that ages restored from a checkpoint do not fall below zero
-/// on a clock whose origin is the start of this process.
-const STAMP_OFFSET: u32 = 90 * 24 * 3600;
+/// Seconds added to every timestamp, so that ages restored from a checkpoint do not go below zero
+/// on a clock that starts with the process.
+const TIMESTAMP_OFFSET_S: u32 = 90 * 24 * 3600;
 
-/// Where a request stands.
+/// The status of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) enum Status {
     /// Claimed, and neither billed by its owner nor released.
     Open,
-    /// Given up before anything was sent.
+    /// Released before anything was sent.
     Released,
     /// Billed.
     Done,
 }
 
-/// What is known of one request.
+/// The state of one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     pub(super) fingerprint: u64,
     pub(super) hold: Tokens,
     pub(super) charged: Tokens,
-    /// The run that has the claim.
+    /// The attempt that owns the claim.
     pub(super) owner: Run,
-    /// The run whose bill came first; meaningful when `billed`.
+    /// The attempt whose bill came first; only valid if `billed`.
     pub(super) biller: Run,
     pub(super) group: NameKey,
     pub(super) server: NameKey,
-    /// Seconds, see [`stamp`].
+    /// Time of the last change in seconds, see [`timestamp_s`].
     pub(super) touched: u32,
     pub(super) status: Status,
     pub(super) repeatable: bool,
@@ -50,11 +50,11 @@
 }
 
 impl Entry {
-    /// The entry after a [`Record::Claim`]; a bill that came before stays.
+    /// Creates the entry for a [`Record::Claim`]. An earlier bill is kept.
     ///
     /// # Panics
     ///
-    /// When `record` is of another kind.
+    /// If `record` is not a claim.
     pub(super) fn claimed(record: &Record, former: Option<Self>, now: Instant) -> Self {
         let Record::Claim {
             fingerprint,
@@ -65,7 +65,7 @@
             ..
         } = record
         else {
-            unreachable!("called for claims only");
+            unreachable!("called with a record that is not a claim");
         };
         let former = former.filter(|entry| entry.billed);
         Self {
@@ -76,7 +76,7 @@
             biller: former.map_or(Run::default(), |entry| entry.biller),
             group: *group,
             server: NO_SERVER,
-            touched: stamp(now),
+            touched: timestamp_s(now),
             status: Status::Open,
             repeatable: *repeatable,
             billed: former.is_some(),
@@ -85,12 +85,12 @@
         }
     }
 
-    /// The group that pays, when it is known.
+    /// The group that pays, if known.
     pub(super) fn group_name(&self) -> Option<NameKey> {
         (self.group != NO_NAME).then_some(self.group)
     }
 
-    /// The entry of a request that was billed or released without a known claim.
+    /// Creates the entry of a request that was billed or released without a known claim.
     pub(super) fn unclaimed(run: Run, status: Status, now: Instant) -> Self {
         Self {
             fingerprint: 0,
@@ -100,7 +100,7 @@
             biller: Run::default(),
             group: NO_NAME,
             server: NO_SERVER,
-            touched: stamp(now),
+            touched: timestamp_s(now),
             status,
             repeatable: true,
             billed: false,
@@ -110,18 +110,19 @@
     }
 }
 
-/// Coarse time stamp, in seconds.
-pub(super) fn stamp(now: Instant) -> u32 {
-    (now.0 / 1_000_000) as u32 + STAMP_OFFSET
+/// Converts a time to a timestamp in whole seconds.
+pub(super) fn timestamp_s(now: Instant) -> u32 {
+    (now.0 / 1_000_000) as u32 + TIMESTAMP_OFFSET_S
 }
 
-/// The part of a body's hash that is kept. A chance match would need the same account to reuse an id with
-/// two bodies that agree in 64 bits.
-pub(super) fn short(fingerprint: Digest) -> u64 {
+/// Truncates the hash of a body to 64 bits. For a false match, one account would have to reuse an
+/// id with two bodies that agree in these 64 bits.
+pub(super) fn truncate(fingerprint: Digest) -> u64 {
     fingerprint.0 as u64
 }
 
-/// Hashes a digest by taking its upper half: it is already uniform, and the lower bits chose the slot.
+/// Hashes a digest to its upper half: digests are uniformly distributed already, and the lower bits
+/// select the slot.
 pub(super) type DigestHasher = BuildHasherDefault<UpperHalf>;
 
 #[derive(Debug, Clone, Copy, Default)]
--- a/crates/fescuewell_claims/src/ledger/retention.rs
+++ b/crates/fescuewell_claims/src/ledger/retention.rs
@@ -1,4 +1,4 @@
-//! Dropping finished requests after a while, a few at a time.
+//! Expiry of finished requests, a limited number at a time.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,18 +6,18 @@
 use fescuewell_core::prelude::*;
 
 use super::Ledger;
-use super::entry::{Status, stamp};
+use super::entry::{Status, timestamp_s};
 
-/// How long a request whose router has not yet said that it is finished with it is kept further
-/// before it is looked at again.
-const RECHECK: u32 = 30;
+/// Seconds until an expired request is checked again if its router may still send messages about
+/// it.
+const RECHECK_S: u32 = 30;
 
 /// How long finished requests are kept.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Retention {
-    /// Repeatable calls: a repeat that comes later runs again and is billed again.
+    /// For repeatable calls. A later repeat runs again and is billed again.
     pub repeatable: Duration,
-    /// Other calls: a repeat that comes later would run a second time.
+    /// For other calls. A later repeat would run a second time.
     pub non_repeatable: Duration,
 }
 
@@ -30,27 +30,27 @@
     }
 }
 
-/// Finished requests in the order in which they are to be looked at; 20 bytes each.
+/// Finished requests in the order in which they are checked for expiry; 20 bytes each.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Queues {
-    repeatable: VecDeque<Due>,
-    non_repeatable: VecDeque<Due>,
+    repeatable: VecDeque<Expiry>,
+    non_repeatable: VecDeque<Expiry>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Due {
+struct Expiry {
     request: [u8; 16],
-    /// When the request was finished, or is to be looked at again less the retention.
+    /// When the request finished; for a later check, the time of that check minus the retention.
     since: u32,
 }
 
 impl Ledger {
-    /// Notes that a request is finished and will be dropped some day.
-    pub(super) fn finished(&mut self, now: Instant, request: Digest) {
+    /// Updates the timestamp of a finished request and schedules its expiry.
+    pub(super) fn schedule_expiry(&mut self, now: Instant, request: Digest) {
         let Some(entry) = self.entries.get_mut(&request) else {
             return;
         };
-        entry.touched = stamp(now);
+        entry.touched = timestamp_s(now);
         let since = entry.touched;
         let repeatable = entry.repeatable;
         self.schedule(repeatable, request, since);
@@ -58,17 +58,17 @@
 
     pub(super) fn schedule(&mut self, repeatable: bool, request: Digest, since: u32) {
         let request = request.0.to_le_bytes();
-        let due = Due { request, since };
+        let due = Expiry { request, since };
         match repeatable {
             true => self.expiry.repeatable.push_back(due),
             false => self.expiry.non_repeatable.push_back(due),
         }
     }
 
-    /// Looks at up to `limit` requests of each class whose time is up and drops those that may go;
-    /// returns how many were dropped.
+    /// Checks up to `limit` expired requests of each class and removes those that may be dropped.
+    /// Returns the number removed.
     pub fn expire(&mut self, now: Instant, retention: &Retention, limit: usize) -> usize {
-        let now = stamp(now);
+        let now = timestamp_s(now);
         let classes = [
             (true, retention.repeatable.as_secs() as u32),
             (false, retention.non_repeatable.as_secs() as u32),
@@ -91,19 +91,19 @@
         dropped
     }
 
-    fn expire_one(&mut self, repeatable: bool, due: Due, now: u32, keep: u32) -> bool {
+    fn expire_one(&mut self, repeatable: bool, due: Expiry, now: u32, keep: u32) -> bool {
         let request = Digest(u128::from_le_bytes(due.request));
         let Some(entry) = self.entries.get(&request).copied() else {
             return false;
         };
-        // Claimed again, or finished again later: a newer place in the queue stands for it.
+        // Claimed again, or finished again later: a newer element of the queue covers it.
         if entry.status == Status::Open || entry.touched > due.since {
             return false;
         }
-        // The router may still send the bill or the release again, and would be charged anew if the slot had
-        // forgotten the first.
+        // The router may still send the bill or the release again, and would be charged again if
+        // the slot had dropped the request.
         if !self.may_drop(&entry) {
-            let since = now.saturating_sub(keep) + RECHECK;
+            let since = now.saturating_sub(keep) + RECHECK_S;
             self.schedule(repeatable, request, since);
             return false;
         }
--- a/crates/fescuewell_claims/src/ledger/snapshot.rs
+++ b/crates/fescuewell_claims/src/ledger/snapshot.rs
@@ -1,4 +1,4 @@
-//! Checkpoints: the whole state of a slot as one row.
+//! Snapshots of a ledger, which checkpoints store.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,32 +7,33 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-use super::entry::{Status, stamp};
+use super::entry::{Status, timestamp_s};
 use super::{Closed, Entry, Ledger};
 use crate::message::StoredResponse;
 use crate::record::NameKey;
 
-/// The row does not hold a checkpoint that this program reads.
+/// The bytes are not a valid checkpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-#[snafu(display("not a checkpoint: {reason}"))]
+#[snafu(display("cannot decode the checkpoint: {reason}"))]
 pub struct Malformed {
-    /// What the decoder said.
+    /// The decoder's error.
     pub reason: Arc<str>,
 }
 
-/// A ledger in the form in which it is stored.
+/// A ledger in its stored form.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Snapshot {
     names: Vec<Arc<str>>,
-    entries: Vec<Saved>,
+    entries: Vec<StoredEntry>,
     totals: Vec<(NameKey, NameKey, Tokens)>,
     closed: Vec<(NameKey, Closed)>,
     oldest: Vec<(NameKey, u32)>,
 }
 
-/// An entry; its time stamp is replaced by its age in seconds, since clocks of two processes share no origin.
+/// An entry whose timestamp is replaced by its age in seconds, since the clocks of two processes
+/// have different origins.
 #[derive(Debug, Serialize, Deserialize)]
-struct Saved {
+struct StoredEntry {
     request: Digest,
     entry: Entry,
     response: Option<StoredResponse>,
@@ -40,27 +41,27 @@
 }
 
 impl Ledger {
-    /// The state as it is now.
+    /// Takes a snapshot of the current state.
     pub fn snapshot(&self, now: Instant) -> Snapshot {
-        let stamp = stamp(now);
+        let timestamp_s = timestamp_s(now);
         let mut entries = Vec::with_capacity(self.entries.len());
         for (request, entry) in &self.entries {
             let mut entry = *entry;
-            entry.touched = stamp.saturating_sub(entry.touched);
-            entries.push(Saved {
+            entry.touched = timestamp_s.saturating_sub(entry.touched);
+            entries.push(StoredEntry {
                 request: *request,
                 entry,
                 response: self.responses.get(request).cloned(),
                 stream: self.streams.get(request).cloned(),
             });
         }
-        // Oldest first, so that a restored ledger drops them in the same order.
+        // Oldest first, so that a restored ledger expires them in the same order.
         entries.sort_by_key(|saved| (u32::MAX - saved.entry.touched, saved.request));
         Snapshot {
             names: self.all_names(),
             entries,
-            totals: flatten(&self.totals),
-            closed: self.closed_by_age(stamp),
+            totals: totals_rows(&self.totals),
+            closed: self.closed_by_age(timestamp_s),
             oldest: self
                 .oldest
                 .iter()
@@ -69,16 +70,16 @@
         }
     }
 
-    /// The ledger of a checkpoint.
+    /// Restores a ledger from a snapshot.
     pub fn restore(now: Instant, snapshot: Snapshot) -> Self {
         let mut ledger = Self::default();
         for name in &snapshot.names {
             ledger.names.intern(name);
         }
-        let stamp = stamp(now);
+        let timestamp_s = timestamp_s(now);
         for saved in snapshot.entries {
             let mut entry = saved.entry;
-            entry.touched = stamp.saturating_sub(entry.touched);
+            entry.touched = timestamp_s.saturating_sub(entry.touched);
             ledger.entries.insert(saved.request, entry);
             if let Some(response) = saved.response {
                 ledger.responses.insert(saved.request, response);
@@ -94,18 +95,18 @@
             ledger.totals.insert((holder, group), charged);
         }
         for (holder, mut closed) in snapshot.closed {
-            closed.since = stamp.saturating_sub(closed.since);
+            closed.since = timestamp_s.saturating_sub(closed.since);
             ledger.closed.insert(holder, closed);
         }
         ledger.oldest = snapshot.oldest.into_iter().collect();
         ledger
     }
 
-    fn closed_by_age(&self, stamp: u32) -> Vec<(NameKey, Closed)> {
+    fn closed_by_age(&self, timestamp_s: u32) -> Vec<(NameKey, Closed)> {
         let mut rows = Vec::with_capacity(self.closed.len());
         for (&holder, closed) in &self.closed {
             let mut closed = *closed;
-            closed.since = stamp.saturating_sub(closed.since);
+            closed.since = timestamp_s.saturating_sub(closed.since);
             rows.push((holder, closed));
         }
         rows
@@ -121,20 +122,20 @@
 }
 
 impl Snapshot {
-    /// Its stored form.
+    /// Encodes the snapshot.
     ///
     /// # Panics
     ///
     /// Never: every type in it can be encoded.
     pub fn encode(&self) -> Vec<u8> {
-        postcard::to_stdvec(self).expect("plain data is always encoded")
+        postcard::to_stdvec(self).expect("postcard encodes all plain data")
     }
 
-    /// Reads the stored form.
+    /// Decodes a snapshot.
     ///
     /// # Errors
     ///
-    /// [`Malformed`].
+    /// [`Malformed`] if the bytes are not a valid snapshot.
     pub fn decode(bytes: &[u8]) -> Result<Self, Malformed> {
         postcard::from_bytes(bytes).map_err(|error| Malformed {
             reason: error.to_string().into(),
@@ -142,7 +143,7 @@
     }
 }
 
-fn flatten(totals: &BTreeMap<(NameKey, NameKey), Tokens>) -> Vec<(NameKey, NameKey, Tokens)> {
+fn totals_rows(totals: &BTreeMap<(NameKey, NameKey), Tokens>) -> Vec<(NameKey, NameKey, Tokens)> {
     let mut rows = Vec::with_capacity(totals.len());
     for (&(holder, group), &charged) in totals {
         rows.push((holder, group, charged));
