--- a/crates/fescuewell_claims/src/client.rs
+++ b/crates/fescuewell_claims/src/client.rs
@@ -1,14 +1,14 @@
-//! The router's side: carries claims, bills and releases to the holders of slots until they are
-//! answered.
+//! The router's client for slot holders: sends claims, bills and releases until they are confirmed.
 //!
-//! The caller sends what [`Client::take_outgoing`] gives and passes answers to
-//! [`Client::receive`]. A message without an response is sent again, after a growing wait or at once
-//! when its slot has a new holder; `(holder, attempt)` in it makes that harmless.
+//! The caller sends the messages from [`Client::take_outgoing`] and passes replies to
+//! [`Client::receive`]. A message without a reply is sent again with exponential backoff, or at
+//! once when its slot gets a new holder. Retransmissions are safe, since `(holder, attempt)`
+//! identifies them.
 //!
-//! Every attempt that [`Client::claim`] numbers must end in [`Client::bill`] or
-//! [`Client::release`], unless its claim was not granted. Until the slot has confirmed that, the
-//! attempt counts against the capacity, so that [`Client::is_full`] turns true while there is still
-//! room for the bill of every request under way.
+//! Every attempt numbered by [`Client::claim`] must end in [`Client::bill`] or [`Client::release`],
+//! unless its claim was not granted. The attempt counts against the capacity until the slot has
+//! confirmed its end, so [`Client::is_full`] returns true while there is still room for the bills
+//! of all requests in progress.
 //!
 //! ```
 //! use fescuewell_claims::client::{ClaimRequest, Client, Event, Settings};
@@ -16,10 +16,10 @@
 //! use fescuewell_core::prelude::*;
 //!
 //! let now = Instant::from_millis(0);
-//! let mut courier = Client::new(Settings::default(), "entry-1.1f", 7);
+//! let mut client = Client::new(Settings::default(), "entry-1.1f", 7);
 //! let request = RequestKey::new("clinic", "job-7").digest();
-//! courier.set_holder(now, courier.slot(request), Some("entry-2".into()));
-//! let ask = ClaimRequest {
+//! client.set_holder(now, client.slot(request), Some("entry-2".into()));
+//! let call = ClaimRequest {
 //!     request,
 //!     fingerprint: Digest::of(b"body"),
 //!     group: "signwise".into(),
@@ -27,10 +27,10 @@
 //!     repeatable: true,
 //!     lost: None,
 //! };
-//! let attempt = courier.claim(now, 1, &ask);
-//! let outgoing = courier.take_outgoing(now);
-//! courier.receive(now, outgoing[0].correlation, Reply::Granted { attempt, durable: false });
-//! assert!(matches!(courier.take_events()[..], [Event::ClaimAnswered { ticket: 1, .. }]));
+//! let attempt = client.claim(now, 1, &call);
+//! let outgoing = client.take_outgoing(now);
+//! client.receive(now, outgoing[0].correlation, Reply::Granted { attempt, durable: false });
+//! assert!(matches!(client.take_events()[..], [Event::ClaimAnswered { ticket: 1, .. }]));
 //! ```
 
 mod event;
@@ -52,9 +52,9 @@
 pub use event::Event;
 pub use settings::Settings;
 
-use item::{Duty, Item};
+use item::{Kind, Pending};
 
-/// A request for which a claim is asked.
+/// A request to be claimed and billed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimRequest {
     /// Digest of the request's key.
@@ -65,20 +65,20 @@
     pub group: Arc<str>,
     /// Upper bound of the cost.
     pub hold: Tokens,
-    /// Whether the call may run more than once without harm.
+    /// Whether the call can safely run more than once.
     pub repeatable: bool,
-    /// A run by a terminated router of whose stream its backend server has no record.
+    /// An attempt by a terminated router whose stream is unknown to its backend server.
     pub lost: Option<Owner>,
 }
 
-/// What a finished attempt cost.
+/// The cost of a finished attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Cost {
-    /// True cost; what exceeds the hold is not charged.
+    /// Actual cost; anything above the hold is not charged.
     pub tokens: Tokens,
-    /// Whether a repeat must not run again; see [`Bill::complete`].
+    /// Whether repeats must not run again; see [`Bill::complete`].
     pub complete: bool,
-    /// StoredResponse for repeats of a non-repeatable call.
+    /// Response for repeats of a non-repeatable call.
     pub response: Option<StoredResponse>,
 }
 
@@ -87,15 +87,15 @@
 pub struct Outgoing {
     /// The slot.
     pub slot: SlotKey,
-    /// The instance that holds it, as last set.
+    /// The slot's holder, as last set.
     pub instance: Arc<str>,
-    /// To be given back with the answer.
+    /// Identifies the reply; pass it to [`Client::receive`].
     pub correlation: u64,
     /// The message.
     pub request: Request,
 }
 
-/// Carries messages to slots until they are answered.
+/// Sends messages to the holders of slots and retries them until they are confirmed.
 #[derive(Debug)]
 pub struct Client {
     settings: Settings,
@@ -104,17 +104,17 @@
     next_attempt: u32,
     next_correlation: u64,
     holders: BTreeMap<SlotKey, Arc<str>>,
-    items: HashMap<u64, Item>,
+    pending: HashMap<u64, Pending>,
     schedule: BTreeSet<(Instant, u64)>,
     by_slot: BTreeSet<(SlotKey, u64)>,
-    /// Attempts, of this router and of those whose bills were taken over, that are not settled yet.
+    /// Unfinished attempts by holder: this router's and those whose bills it has taken over.
     unfinished: BTreeMap<Arc<str>, BTreeSet<u32>>,
     unfinished_count: usize,
     events: Vec<Event>,
 }
 
 impl Client {
-    /// A courier for the router `holder` (`instance.incarnation`).
+    /// Creates a client for the router `holder` (`instance.incarnation`).
     pub fn new<Holder>(settings: Settings, holder: Holder, seed: u64) -> Self
     where
         Holder: Into<Arc<str>>,
@@ -126,7 +126,7 @@
             next_attempt: 1,
             next_correlation: 1,
             holders: BTreeMap::new(),
-            items: HashMap::new(),
+            pending: HashMap::new(),
             schedule: BTreeSet::new(),
             by_slot: BTreeSet::new(),
             unfinished: BTreeMap::new(),
@@ -135,101 +135,103 @@
         }
     }
 
-    /// The slot that arbitrates a request.
+    /// Returns the slot that decides a request.
     pub fn slot(&self, request: Digest) -> SlotKey {
         slot_of(request, self.settings.slots)
     }
 
-    /// This router and one of its attempts.
+    /// Returns the id of one of this router's attempts.
     pub fn owner(&self, attempt: u32) -> Owner {
         let holder = self.holder.clone();
         Owner { holder, attempt }
     }
 
-    /// Asks for a claim and returns the number of the attempt, under which the request may later be
+    /// Requests a claim and returns the number of the attempt, with which the request is later
     /// assigned, billed or released.
-    pub fn claim(&mut self, now: Instant, ticket: u64, ask: &ClaimRequest) -> u32 {
+    pub fn claim(&mut self, now: Instant, ticket: u64, call: &ClaimRequest) -> u32 {
         let attempt = self.next_attempt;
         self.next_attempt += 1;
         let owner = self.owner(attempt);
-        self.begin(&owner);
+        self.track_attempt(&owner);
         let request = Request::Claim(Claim {
-            request: ask.request,
-            fingerprint: ask.fingerprint,
-            group: ask.group.clone(),
+            request: call.request,
+            fingerprint: call.fingerprint,
+            group: call.group.clone(),
             owner,
-            hold: ask.hold,
-            repeatable: ask.repeatable,
-            lost: ask.lost.clone(),
+            hold: call.hold,
+            repeatable: call.repeatable,
+            lost: call.lost.clone(),
             oldest: 0,
         });
-        let duty = Duty::Claim {
+        let kind = Kind::Claim {
             ticket,
-            until: now
-                + if ask.repeatable {
+            deadline: now
+                + if call.repeatable {
                     self.settings.claim_timeout
                 } else {
                     self.settings.non_repeatable_claim_timeout
                 },
-            repeatable: ask.repeatable,
+            repeatable: call.repeatable,
         };
-        self.add(now, ask.request, request, duty);
+        self.enqueue(now, call.request, request, kind);
         attempt
     }
 
-    /// Tells the slot where an attempt runs. Best effort, nothing comes back.
+    /// Reports to the slot where an attempt runs. Best effort, without confirmation.
     pub fn assign(&mut self, now: Instant, request: Digest, attempt: u32, assignment: Assignment) {
         let message = Request::Assign {
             request,
             owner: self.owner(attempt),
             assignment,
         };
-        self.add(now, request, message, Duty::Assign);
+        self.enqueue(now, request, message, Kind::Assign);
     }
 
-    /// Sends the bill of an attempt until it is durable. It is never refused; see [`Client::is_full`].
+    /// Sends the bill of an attempt until it is durable. It is never refused; see
+    /// [`Client::is_full`].
     pub fn bill(
         &mut self,
         now: Instant,
         ticket: u64,
-        ask: &ClaimRequest,
+        call: &ClaimRequest,
         attempt: u32,
         cost: Cost,
     ) {
         let owner = self.owner(attempt);
-        self.begin(&owner);
+        self.track_attempt(&owner);
         let message = Request::Bill(Bill {
-            request: ask.request,
-            fingerprint: ask.fingerprint,
-            group: ask.group.clone(),
+            request: call.request,
+            fingerprint: call.fingerprint,
+            group: call.group.clone(),
             owner,
-            hold: ask.hold,
+            hold: call.hold,
             cost: cost.tokens,
             complete: cost.complete,
-            repeatable: ask.repeatable,
+            repeatable: call.repeatable,
             response: cost.response,
             oldest: 0,
         });
         let ticket = Some(ticket);
-        self.add(now, ask.request, message, Duty::Bill { ticket });
+        self.enqueue(now, call.request, message, Kind::Bill { ticket });
     }
 
-    /// Gives an attempt up of which nothing was sent. Sent until the slot has confirmed it.
+    /// Gives up an attempt of which nothing was sent. The release is sent until the slot confirms
+    /// it.
     pub fn release(&mut self, now: Instant, request: Digest, attempt: u32) {
         let owner = self.owner(attempt);
-        self.begin(&owner);
+        self.track_attempt(&owner);
         let message = Request::Release { request, owner };
-        self.add(now, request, message, Duty::Release);
+        self.enqueue(now, request, message, Kind::Release);
     }
 
-    /// Asks what is known of a request.
+    /// Requests the state of a request.
     pub fn lookup(&mut self, now: Instant, ticket: u64, request: Digest) {
-        let until = now + self.settings.claim_timeout;
+        let deadline = now + self.settings.claim_timeout;
         let message = Request::Lookup { request };
-        self.add(now, request, message, Duty::Lookup { ticket, until });
+        self.enqueue(now, request, message, Kind::Lookup { ticket, deadline });
     }
 
-    /// Sets which instance holds a slot; everything for that slot is sent again at once.
+    /// Sets the holder of a slot. On a change, all messages for the slot are sent again at once.
     pub fn set_holder(&mut self, now: Instant, slot: SlotKey, instance: Option<Arc<str>>) {
         let is_same = self.holders.get(&slot) == instance.as_ref();
         if is_same {
@@ -246,7 +248,7 @@
         }
     }
 
-    /// The messages to send now, at most [`Settings::max_batch`].
+    /// Returns the messages to send now, at most [`Settings::max_batch`].
     pub fn take_outgoing(&mut self, now: Instant) -> Vec<Outgoing> {
         let mut outgoing = Vec::new();
         while outgoing.len() < self.settings.max_batch {
@@ -256,30 +258,30 @@
             if due > now {
                 break;
             }
-            if let Some(message) = self.send(now, id) {
+            if let Some(message) = self.prepare_send(now, id) {
                 outgoing.push(message);
             }
         }
         outgoing
     }
 
-    /// When [`Client::take_outgoing`] has something to do next.
+    /// Returns when [`Client::take_outgoing`] next has something to do.
     pub fn next_due(&self) -> Option<Instant> {
         self.schedule.first().map(|&(due, _)| due)
     }
 
-    /// Takes an answer.
+    /// Processes a reply.
     pub fn receive(&mut self, now: Instant, correlation: u64, reply: Reply) {
-        let Some(item) = self.items.get(&correlation) else {
+        let Some(item) = self.pending.get(&correlation) else {
             return;
         };
-        match (&item.duty, reply) {
+        match (&item.kind, reply) {
             (_, Reply::NotHolder) => self.retry_soon(now, correlation),
-            (&Duty::Claim { ticket, .. }, reply) => {
+            (&Kind::Claim { ticket, .. }, reply) => {
                 self.claim_answered(now, correlation, ticket, reply)
             }
-            (&Duty::Bill { ticket }, Reply::Billed { charged }) => {
-                let attempt = self.finish(correlation);
+            (&Kind::Bill { ticket }, Reply::Billed { charged }) => {
+                let attempt = self.finish_attempt(correlation);
                 let event = |ticket| Event::BillDurable {
                     ticket,
                     attempt,
@@ -287,89 +289,91 @@
                 };
                 self.events.extend(ticket.map(event));
             }
-            (Duty::Release, Reply::Released) => {
-                self.finish(correlation);
+            (Kind::Release, Reply::Released) => {
+                self.finish_attempt(correlation);
             }
-            (Duty::Assign, Reply::Assigned) => self.remove(correlation),
-            (&Duty::Lookup { ticket, .. }, Reply::Known(known)) => {
+            (Kind::Assign, Reply::Assigned) => self.remove(correlation),
+            (&Kind::Lookup { ticket, .. }, Reply::Known(known)) => {
                 self.remove(correlation);
                 let known = Some(known);
                 self.events.push(Event::LookedUp { ticket, known });
             }
-            // Unavailable, or an answer to something else: the message stays and is sent again when its time comes.
+            // `Unavailable`, or a reply of another type: the message is sent again when it is next
+            // due.
             _ => {}
         }
     }
 
-    /// Notes that a message could not be sent or its connection broke.
+    /// Reports that a message could not be sent or that its connection broke.
     pub fn send_failed(&mut self, now: Instant, correlation: u64) {
         self.retry_soon(now, correlation);
     }
 
-    /// What the router learned.
+    /// Takes the events for the router.
     pub fn take_events(&mut self) -> Vec<Event> {
         std::mem::take(&mut self.events)
     }
 
-    /// Whether the router should accept no more requests, since there might be no room for their bills.
+    /// Whether the router should accept no more requests, since there might be no room for their
+    /// bills.
     pub fn is_full(&self) -> bool {
         self.unfinished_count >= self.settings.capacity
     }
 
-    /// Whether nothing waits for an answer of a slot.
+    /// Whether no message waits for a reply.
     pub fn is_idle(&self) -> bool {
-        self.items.is_empty()
+        self.pending.is_empty()
     }
 
-    /// How many attempts are not settled with their slot yet.
+    /// The number of attempts whose end the slot has not confirmed.
     pub fn unfinished(&self) -> usize {
         self.unfinished_count
     }
 
-    /// Bills and releases that are not durable, for a peer that goes on sending them after a drain. They stay
-    /// here too: both may send them without harm.
+    /// Returns the bills and releases that are not durable, so that a peer can continue to send
+    /// them after a drain. They also stay here, since it is safe for both to send them.
     pub fn export_bills(&self) -> Vec<Request> {
-        let mut ids: Vec<&u64> = self.items.keys().collect();
+        let mut ids: Vec<&u64> = self.pending.keys().collect();
         ids.sort_unstable();
         let mut messages = Vec::new();
         for id in ids {
-            let item = &self.items[id];
-            if matches!(item.duty, Duty::Bill { .. } | Duty::Release) {
+            let item = &self.pending[id];
+            if matches!(item.kind, Kind::Bill { .. } | Kind::Release) {
                 messages.push(self.with_oldest(item.request.clone()));
             }
         }
         messages
     }
 
-    /// Takes over bills and releases that [`Client::export_bills`] of a draining router gave.
+    /// Takes over the messages that [`Client::export_bills`] of a draining router returned.
     pub fn import_bills(&mut self, now: Instant, messages: Vec<Request>) {
         for message in messages {
-            let (request, owner, duty) = match &message {
+            let (request, owner, kind) = match &message {
                 Request::Bill(bill) => (
                     bill.request,
                     bill.owner.clone(),
-                    Duty::Bill { ticket: None },
+                    Kind::Bill { ticket: None },
                 ),
-                Request::Release { request, owner } => (*request, owner.clone(), Duty::Release),
+                Request::Release { request, owner } => (*request, owner.clone(), Kind::Release),
                 _ => continue,
             };
-            self.begin(&owner);
-            self.add(now, request, message, duty);
+            self.track_attempt(&owner);
+            self.enqueue(now, request, message, kind);
         }
     }
 
     fn claim_answered(&mut self, now: Instant, id: u64, ticket: u64, reply: Reply) {
-        let Some(item) = self.items.get(&id) else {
+        let Some(item) = self.pending.get(&id) else {
             return;
         };
         let (request, owner) = (item.digest, item.owner.clone());
-        let Duty::Claim { repeatable, .. } = item.duty else {
+        let Kind::Claim { repeatable, .. } = item.kind else {
             return;
         };
         let attempt = owner.as_ref().map_or(0, |owner| owner.attempt);
         match reply {
-            // What may not be repeated is only sent on a durable claim; a holder that grants another kind
-            // is not to be trusted with it.
+            // Non-repeatable requests may only be sent on a durable claim, so any other grant is
+            // ignored.
             Reply::Granted { durable, .. } if durable || repeatable => {
                 self.remove(id);
                 let result = Ok(durable);
@@ -380,7 +384,7 @@
                 });
             }
             Reply::Known(known) => {
-                self.finish(id);
+                self.finish_attempt(id);
                 let result = Err(known);
                 self.events.push(Event::ClaimAnswered {
                     ticket,
@@ -390,7 +394,7 @@
             }
             Reply::Unavailable => {
                 self.remove(id);
-                self.give_up(now, request, attempt, repeatable);
+                self.abandon_claim(now, request, attempt, repeatable);
                 self.events
                     .push(Event::ClaimUnavailable { ticket, attempt });
             }
@@ -398,9 +402,10 @@
         }
     }
 
-    /// The claim may be on record although no answer came. Nothing will be sent on it, which the slot has
-    /// to be told: otherwise the caller's retry would be refused as under way until this router ends.
-    fn give_up(&mut self, now: Instant, request: Digest, attempt: u32, repeatable: bool) {
+    /// Releases a claim that may be recorded although its reply was not received. Nothing will be
+    /// sent on it; without the release, the caller's retry would be refused as in progress until
+    /// this router terminates.
+    fn abandon_claim(&mut self, now: Instant, request: Digest, attempt: u32, repeatable: bool) {
         if !repeatable {
             self.release(now, request, attempt);
         }
@@ -412,14 +417,14 @@
         first.unwrap_or(owner.attempt)
     }
 
-    fn begin(&mut self, owner: &Owner) {
+    fn track_attempt(&mut self, owner: &Owner) {
         let attempts = self.unfinished.entry(owner.holder.clone()).or_default();
         self.unfinished_count += usize::from(attempts.insert(owner.attempt));
     }
 
-    /// Removes a message whose attempt is settled; returns the attempt's number.
-    fn finish(&mut self, id: u64) -> u32 {
-        let owner = self.items.get(&id).and_then(|item| item.owner.clone());
+    /// Removes a message whose attempt is finished and returns the attempt's number.
+    fn finish_attempt(&mut self, id: u64) -> u32 {
+        let owner = self.pending.get(&id).and_then(|item| item.owner.clone());
         self.remove(id);
         let Some(owner) = owner else {
             return 0;
--- a/crates/fescuewell_claims/src/client/event.rs
+++ b/crates/fescuewell_claims/src/client/event.rs
@@ -1,4 +1,4 @@
-//! What a courier tells its router.
+//! Events that a client reports to its router.
 
 use fescuewell_core::tokens::Tokens;
 
@@ -7,46 +7,48 @@
 use crate::message::RequestState;
 
 fescuewell_core::message! {
-    /// What the router learns.
+    /// An event for the router.
     pub enum Event {
-        /// The slot answered a claim: granted, or known already.
+        /// The slot replied to a claim: it is granted, or the request is already known.
         ClaimAnswered {
-            /// As given to [`Client::claim`].
+            /// As passed to [`Client::claim`].
             ticket: u64,
             /// Number of the attempt.
             attempt: u32,
-            /// `Ok(durable)` when the request may run, otherwise what is known of it.
+            /// `Ok(durable)` if the request may run, otherwise its state in the slot.
             result: Result<bool, RequestState>,
         },
-        /// No holder of the slot answered in time. A repeatable call goes on without a claim, its bill being
-        /// arbitrated in any case; any other is refused, and the courier sees to its release.
+        /// No holder of the slot replied in time. A repeatable call continues without a claim,
+        /// since its bill is checked for duplicates in any case; any other call is refused, and the
+        /// client releases its claim.
         ClaimTimedOut {
-            /// As given to [`Client::claim`].
+            /// As passed to [`Client::claim`].
             ticket: u64,
             /// Number of the attempt.
             attempt: u32,
         },
-        /// The holder cannot record claims now. To be treated like [`Event::ClaimTimedOut`], only sooner.
+        /// The holder cannot record claims now. Handled like [`Event::ClaimTimedOut`], without the
+        /// wait.
         ClaimUnavailable {
-            /// As given to [`Client::claim`].
+            /// As passed to [`Client::claim`].
             ticket: u64,
             /// Number of the attempt.
             attempt: u32,
         },
         /// A bill is durable.
         BillDurable {
-            /// As given to [`Client::bill`].
+            /// As passed to [`Client::bill`].
             ticket: u64,
             /// Number of the attempt.
             attempt: u32,
-            /// What was charged; 0 when another run of the request had been billed before.
+            /// Tokens charged; 0 if another attempt at the request was billed before.
             charged: Tokens,
         },
-        /// The answer to a look-up; `None` when nobody answered in time.
+        /// The result of a lookup.
         LookedUp {
-            /// As given to [`Client::lookup`].
+            /// As passed to [`Client::lookup`].
             ticket: u64,
-            /// What is known.
+            /// The state of the request; `None` if no reply arrived in time.
             known: Option<RequestState>,
         },
     }
--- a/crates/fescuewell_claims/src/client/item.rs
+++ b/crates/fescuewell_claims/src/client/item.rs
@@ -1,4 +1,4 @@
-//! One message that waits for its answer, and when it is sent again.
+//! A message that waits for its reply, and its retransmission schedule.
 
 use fescuewell_core::id::{Digest, SlotKey};
 use fescuewell_core::time::Instant;
@@ -6,12 +6,12 @@
 use super::{Client, Event, Outgoing};
 use crate::message::{Owner, Request};
 
-/// Why a message is sent.
+/// The kind of a message and what its reply needs.
 #[derive(Debug, Clone, Copy)]
-pub(super) enum Duty {
+pub(super) enum Kind {
     Claim {
         ticket: u64,
-        until: Instant,
+        deadline: Instant,
         repeatable: bool,
     },
     Assign,
@@ -22,32 +22,32 @@
     Release,
     Lookup {
         ticket: u64,
-        until: Instant,
+        deadline: Instant,
     },
 }
 
 #[derive(Debug)]
-pub(super) struct Item {
+pub(super) struct Pending {
     pub(super) slot: SlotKey,
     pub(super) digest: Digest,
     pub(super) owner: Option<Owner>,
     pub(super) request: Request,
-    pub(super) duty: Duty,
-    tries: u32,
+    pub(super) kind: Kind,
+    sends: u32,
     due: Instant,
 }
 
-impl Item {
-    fn until(&self) -> Option<Instant> {
-        match self.duty {
-            Duty::Claim { until, .. } | Duty::Lookup { until, .. } => Some(until),
+impl Pending {
+    fn deadline(&self) -> Option<Instant> {
+        match self.kind {
+            Kind::Claim { deadline, .. } | Kind::Lookup { deadline, .. } => Some(deadline),
             _ => None,
         }
     }
 }
 
 impl Client {
-    pub(super) fn add(&mut self, now: Instant, digest: Digest, request: Request, duty: Duty) {
+    pub(super) fn enqueue(&mut self, now: Instant, digest: Digest, request: Request, kind: Kind) {
         let id = self.next_correlation;
         self.next_correlation += 1;
         let slot = self.slot(digest);
@@ -57,22 +57,22 @@
             Request::Assign { owner, .. } | Request::Release { owner, .. } => Some(owner.clone()),
             _ => None,
         };
-        let item = Item {
+        let item = Pending {
             slot,
             digest,
             owner,
             request,
-            duty,
-            tries: 0,
+            kind,
+            sends: 0,
             due: now,
         };
-        self.items.insert(id, item);
+        self.pending.insert(id, item);
         self.schedule.insert((now, id));
         self.by_slot.insert((slot, id));
     }
 
     pub(super) fn remove(&mut self, id: u64) {
-        let Some(item) = self.items.remove(&id) else {
+        let Some(item) = self.pending.remove(&id) else {
             return;
         };
         self.schedule.remove(&(item.due, id));
@@ -80,21 +80,21 @@
     }
 
     pub(super) fn reschedule(&mut self, id: u64, due: Instant) {
-        let Some(item) = self.items.get_mut(&id) else {
+        let Some(item) = self.pending.get_mut(&id) else {
             return;
         };
-        // Never beyond the moment at which the claim is given up.
-        let due = item.until().map_or(due, |until| due.min(until));
+        // Never after the deadline, so that the message times out on time.
+        let due = item.deadline().map_or(due, |deadline| due.min(deadline));
         self.schedule.remove(&(item.due, id));
         item.due = due;
         self.schedule.insert((due, id));
     }
 
     pub(super) fn retry_soon(&mut self, now: Instant, id: u64) {
-        let Some(item) = self.items.get(&id) else {
+        let Some(item) = self.pending.get(&id) else {
             return;
         };
-        let doublings = item.tries.saturating_sub(1).min(16);
+        let doublings = item.sends.saturating_sub(1).min(16);
         let wait = self
             .settings
             .redirect_backoff
@@ -103,15 +103,15 @@
         self.reschedule(id, now + wait);
     }
 
-    /// The message `id`, unless it has nowhere to go or its time is up.
-    pub(super) fn send(&mut self, now: Instant, id: u64) -> Option<Outgoing> {
-        let item = self.items.get(&id)?;
-        if item.until().is_some_and(|until| until <= now) {
+    /// Returns message `id` for sending, unless its slot has no holder or its deadline has passed.
+    pub(super) fn prepare_send(&mut self, now: Instant, id: u64) -> Option<Outgoing> {
+        let item = self.pending.get(&id)?;
+        if item.deadline().is_some_and(|deadline| deadline <= now) {
             self.time_out(now, id);
             return None;
         }
-        let is_assign = matches!(item.duty, Duty::Assign);
-        if is_assign && item.tries >= self.settings.assign_tries {
+        let is_assign = matches!(item.kind, Kind::Assign);
+        if is_assign && item.sends >= self.settings.assign_tries {
             self.remove(id);
             return None;
         }
@@ -121,16 +121,16 @@
             self.reschedule(id, now + wait);
             return None;
         };
-        let doublings = item.tries.min(16);
-        let timeout = match item.until() {
+        let doublings = item.sends.min(16);
+        let timeout = match item.deadline() {
             Some(_) => self.settings.reply_timeout,
             None => self.settings.bill_timeout,
         };
         let wait = timeout.saturating_mul(1 << doublings);
         let wait = self.jitter(wait.min(self.settings.max_backoff));
         self.reschedule(id, now + wait);
-        let item = self.items.get_mut(&id)?;
-        item.tries += 1;
+        let item = self.pending.get_mut(&id)?;
+        item.sends += 1;
         let request = item.request.clone();
         let request = self.with_oldest(request);
         Some(Outgoing {
@@ -141,11 +141,11 @@
         })
     }
 
-    /// The message with this router's oldest unfinished attempt as it is now.
+    /// Sets this router's current oldest unfinished attempt in a message.
     ///
-    /// A bill that was taken over keeps the figure with which it came: the router it came from may
-    /// still have earlier attempts open, and a figure computed from the bills that are here would
-    /// tell the slot that these are settled.
+    /// A bill that was taken over keeps its original value: the router it came from may still have
+    /// earlier attempts open, and a value computed from the bills known here would mark those as
+    /// settled.
     pub(super) fn with_oldest(&self, mut request: Request) -> Request {
         match &mut request {
             Request::Claim(claim) => claim.oldest = self.oldest(&claim.owner),
@@ -158,21 +158,21 @@
     }
 
     fn time_out(&mut self, now: Instant, id: u64) {
-        let Some(item) = self.items.get(&id) else {
+        let Some(item) = self.pending.get(&id) else {
             return;
         };
         let digest = item.digest;
         let attempt = item.owner.as_ref().map_or(0, |owner| owner.attempt);
-        let duty = item.duty;
+        let kind = item.kind;
         self.remove(id);
-        match duty {
-            Duty::Claim {
+        match kind {
+            Kind::Claim {
                 ticket, repeatable, ..
             } => {
-                self.give_up(now, digest, attempt, repeatable);
+                self.abandon_claim(now, digest, attempt, repeatable);
                 self.events.push(Event::ClaimTimedOut { ticket, attempt });
             }
-            Duty::Lookup { ticket, .. } => {
+            Kind::Lookup { ticket, .. } => {
                 let known = None;
                 self.events.push(Event::LookedUp { ticket, known });
             }
--- a/crates/fescuewell_claims/src/client/settings.rs
+++ b/crates/fescuewell_claims/src/client/settings.rs
@@ -1,30 +1,34 @@
-//! How a courier behaves.
+//! Settings of a client.
 
 use std::time::Duration;
 
-/// How a courier behaves.
+/// Settings of a client.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Number of slots of the whole fleet.
+    /// Number of slots in the fleet.
     pub slots: u16,
-    /// Wait for an answer to a claim or a look-up before it is sent again; doubles up to [`Settings::max_backoff`].
+    /// Time without a reply after which a claim or lookup is sent again. Doubles up to
+    /// [`Settings::max_backoff`].
     pub reply_timeout: Duration,
-    /// The same for bills, releases and assignments, which the holder of the slot collects for a while.
+    /// The same for bills, releases and assignments, which the holder collects before it commits
+    /// them.
     pub bill_timeout: Duration,
-    /// Longest wait between two sends of one message.
+    /// Maximum time between two sends of one message.
     pub max_backoff: Duration,
-    /// Wait after an answer that the instance does not hold the slot, for instance while it reads the log.
+    /// Wait after the reply that the instance does not hold the slot, for example while it loads
+    /// the log. Doubles up to [`Settings::max_backoff`].
     pub redirect_backoff: Duration,
-    /// How long a claim or a look-up is tried.
+    /// How long a claim or a lookup is retried.
     pub claim_timeout: Duration,
-    /// The same for a call that may not be repeated: without a claim it is refused, so that waiting a little
-    /// longer while a slot changes hands costs less than the refusal.
+    /// The same for the claim of a non-repeatable call. Without a claim the call is refused, so
+    /// waiting a little longer while a slot changes hands costs less than the refusal.
     pub non_repeatable_claim_timeout: Duration,
-    /// How often an assignment is sent; it only helps duplicates to find the stream.
+    /// Maximum number of times that an assignment is sent; it only helps duplicates to find the
+    /// stream.
     pub assign_tries: u32,
-    /// Most attempts that are not yet settled with their slot.
+    /// Maximum number of unfinished attempts.
     pub capacity: usize,
-    /// Most messages given out at once.
+    /// Maximum number of messages returned by one call.
     pub max_batch: usize,
 }
 
--- a/crates/fescuewell_claims/src/message.rs
+++ b/crates/fescuewell_claims/src/message.rs
@@ -1,74 +1,74 @@
-//! Messages between the router that asks and the instance that holds a slot.
+//! Messages between a router and the holder of a slot.
 //!
-//! All of them are plain data, sent with postcard. A request is named by the digest of its
-//! [`RequestKey`]: 16 bytes instead of two texts, which also keeps
-//! callers' ids out of the log.
+//! All messages are plain data encoded with postcard. A request is identified by the digest of its
+//! [`RequestKey`], which takes 16 bytes instead of two strings and keeps callers' ids out of the
+//! log.
 
 use std::sync::Arc;
 
 use fescuewell_core::prelude::*;
 
-/// Most bytes of an answer that a slot keeps for repeats of a non-repeatable call.
+/// Maximum size in bytes of a response that a slot stores for repeats of a non-repeatable call.
 pub const MAX_RESPONSE_BYTES: usize = 16 * 1024;
 
-/// The slot, out of `slots`, that arbitrates a request.
+/// Returns the slot, out of `slots`, that decides a request.
 ///
 /// # Panics
 ///
-/// When `slots` is zero.
+/// If `slots` is zero.
 pub fn slot_of(request: Digest, slots: u16) -> SlotKey {
     SlotKey((request.0 % u128::from(slots)) as u16)
 }
 
 fescuewell_core::data! {
-    /// One run of a request: which router, and the router's own number for it.
+    /// Identifies one attempt, a run of a request by one router.
     #[derive(PartialOrd, Ord, Hash)]
     pub struct Owner {
         /// `instance.incarnation` of the router.
         pub holder: Arc<str>,
-        /// Number of the attempt, unique among those of its holder and rising.
+        /// Number of the attempt. A router's numbers ascend and are never reused.
         pub attempt: u32,
     }
 
-    /// The kept answer of a non-repeatable call.
+    /// The stored response of a non-repeatable call.
     pub struct StoredResponse {
-        /// HTTP status.
+        /// HTTP status code.
         pub status: u16,
-        /// Value of `Content-Type`.
+        /// Value of the `Content-Type` header.
         pub content_type: Arc<str>,
         /// The body, at most [`MAX_RESPONSE_BYTES`] bytes.
         pub body: Arc<[u8]>,
     }
 
-    /// Which backend server runs an attempt, and under which stream id.
+    /// The backend server and stream of an attempt.
     pub struct Assignment {
         /// Name of the backend server.
         pub server: Arc<str>,
-        /// The id under which that server knows the stream.
+        /// Id of the stream on that server.
         pub stream: StreamId,
     }
 
-    /// Asks for the right to run a request.
+    /// Requests the right to run a request.
     pub struct Claim {
         /// Digest of the request's key.
         pub request: Digest,
-        /// Hash of the request's body: the same id with another one is refused.
+        /// Hash of the request's body. A claim with the same id but a different hash is refused.
         pub fingerprint: Digest,
         /// Group that pays.
         pub group: Arc<str>,
-        /// The asking router and its number for the run; the same pair sent again is the same claim.
+        /// The attempt. A claim with the same attempt is a retransmission.
         pub owner: Owner,
-        /// Upper bound of the cost; what is billed when the outcome can never be learned.
+        /// Upper bound of the cost; charged if the outcome cannot be determined.
         pub hold: Tokens,
-        /// Whether the call may run more than once without harm.
+        /// Whether the call can safely run more than once.
         pub repeatable: bool,
-        /// A run by a terminated router of whose stream its backend server has no record.
+        /// An attempt by a terminated router whose stream is unknown to its backend server.
         pub lost: Option<Owner>,
         /// The router's oldest unfinished attempt.
         pub oldest: u32,
     }
 
-    /// States what a request cost.
+    /// Reports the cost of a request.
     pub struct Bill {
         /// Digest of the request's key.
         pub request: Digest,
@@ -76,124 +76,125 @@
         pub fingerprint: Digest,
         /// Group that pays.
         pub group: Arc<str>,
-        /// The run that is billed.
+        /// The attempt that is billed.
         pub owner: Owner,
         /// Upper bound of the cost.
         pub hold: Tokens,
-        /// True cost; what exceeds the hold is not charged.
+        /// Actual cost; anything above the hold is not charged.
         pub cost: Tokens,
-        /// Whether a repeat of the request must not run again: its caller got the whole answer, gave up, or
-        /// the call may not be repeated. When `false`, a repeat of a repeatable call runs again; it is not billed again.
+        /// Whether repeats of the request must not run again, because the caller received the
+        /// complete response or gave up, or the call is not repeatable. If `false`, a repeat of a
+        /// repeatable call runs again but is not billed again.
         pub complete: bool,
-        /// Whether the call may run more than once without harm.
+        /// Whether the call can safely run more than once.
         pub repeatable: bool,
-        /// StoredResponse to give to repeats of a non-repeatable call.
+        /// Response for repeats of a non-repeatable call.
         pub response: Option<StoredResponse>,
         /// The router's oldest unfinished attempt.
         pub oldest: u32,
     }
 
-    /// What the sweep knows of a run by a terminated router.
+    /// The sweep's information about an attempt by a terminated router.
     pub enum Evidence {
-        /// A backend server's own record of a stream that has ended.
+        /// A backend server's record of a stream that has ended.
         Stream {
-            /// Tokens that it produced and read, as a router would have billed them.
+            /// Tokens read and produced, counted like a router's bill.
             cost: Tokens,
-            /// Whether it ended by itself, rather than by a cancellation or a failure.
+            /// Whether the stream ended normally, without cancellation or failure.
             complete: bool,
-            /// The answer of a non-repeatable call, when the server keeps it.
+            /// The response of a non-repeatable call, if the server keeps it.
             response: Option<StoredResponse>,
         },
-        /// No record anywhere: the outcome can never be learned.
+        /// There is no record, so the outcome cannot be determined.
         InDoubt,
     }
 
-    /// Bills a run by a terminated router on behalf of the sweep.
+    /// Bills an attempt by a terminated router; sent by the sweep.
     pub struct Settlement {
         /// Digest of the request's key.
         pub request: Digest,
         /// Group that pays.
         pub group: Arc<str>,
-        /// The run.
+        /// The attempt.
         pub owner: Owner,
         /// Upper bound of the cost.
         pub hold: Tokens,
-        /// What is known of it.
+        /// What is known about the attempt.
         pub evidence: Evidence,
     }
 
-    /// The two steps in which the sweep closes a terminated router in a slot.
+    /// The two phases in which the sweep closes a terminated router in a slot.
     #[derive(Copy)]
     pub enum Phase {
-        /// No more claims by that router; lists those still open. Bills are still charged.
+        /// Rejects new claims by the router and lists its open ones. Bills are still charged.
         Freeze,
-        /// Nothing is charged to that router any more; gives the final totals.
+        /// Charges nothing more to the router and returns the final totals.
         Finish,
     }
 
-    /// What the holder of a slot is asked.
+    /// A request to the holder of a slot.
     pub enum Request {
-        /// May this request run?
+        /// Requests the right to run a request.
         Claim(Claim),
-        /// The run was sent to a backend server, or to another one than before.
+        /// Reports the backend server to which an attempt was sent, also after a change of server.
         Assign {
             /// Digest of the request's key.
             request: Digest,
-            /// The run.
+            /// The attempt.
             owner: Owner,
             /// Where it runs.
             assignment: Assignment,
         },
-        /// What the request cost.
+        /// Reports the cost of a request.
         Bill(Bill),
-        /// The call was never sent.
+        /// Gives up an attempt of which nothing was sent.
         Release {
             /// Digest of the request's key.
             request: Digest,
-            /// The run that will not be.
+            /// The attempt that is given up.
             owner: Owner,
         },
-        /// What a terminated router's run cost.
+        /// Reports the cost of an attempt by a terminated router.
         Settle(Settlement),
         /// Closes a terminated router.
         Close {
             /// `instance.incarnation` of the router.
             holder: Arc<str>,
-            /// Which step.
+            /// The phase.
             phase: Phase,
         },
-        /// The closed router's totals have been used and may be dropped.
+        /// Allows the slot to drop a closed router's totals, which have been used.
         Forget {
             /// `instance.incarnation` of the router.
             holder: Arc<str>,
         },
-        /// What is known of a request?
+        /// Reads the state of a request.
         Lookup {
             /// Digest of the request's key.
             request: Digest,
         },
     }
 
-    /// What a slot knows of a request.
+    /// The state of a request in its slot.
     pub enum RequestState {
-        /// Nothing, or only that it was never sent.
+        /// Unknown, or released before anything was sent.
         Absent,
-        /// It was claimed with another body.
+        /// Claimed with a different body.
         Conflict,
-        /// It is under way, or was when its router was terminated.
+        /// In progress, or was when its router was terminated.
         InProgress {
-            /// The run.
+            /// The attempt.
             owner: Owner,
-            /// Where it runs, as far as known.
+            /// Where it runs, if known.
             assignment: Option<Assignment>,
         },
-        /// It ended.
+        /// Finished.
         Done {
-            /// Where it ran, as far as known.
+            /// Where it ran, if known.
             assignment: Option<Assignment>,
-            /// The kept answer of a non-repeatable call.
+            /// The stored response of a non-repeatable call.
             response: Option<StoredResponse>,
-            /// Whether its outcome could not be learned.
+            /// Whether the outcome could not be determined.
             in_doubt: bool,
         },
     }
@@ -208,51 +209,52 @@
         pub group: Arc<str>,
         /// Upper bound of the cost.
         pub hold: Tokens,
-        /// Where it ran, as far as known.
+        /// Where it ran, if known.
         pub assignment: Option<Assignment>,
-        /// Whether the call may run more than once without harm.
+        /// Whether the call can safely run more than once.
         pub repeatable: bool,
     }
 
-    /// What the holder of a slot answers.
+    /// A reply from the holder of a slot.
     pub enum Reply {
         /// The claim is granted.
         Granted {
-            /// Number of the attempt, as asked.
+            /// Number of the attempt, as in the claim.
             attempt: u32,
-            /// Whether the claim survives the holder of the slot. Nothing that may not be repeated is
-            /// sent on a claim that does not.
+            /// Whether the claim survives a crash of the slot's holder. Non-repeatable requests are
+            /// only sent to a backend server on a durable claim.
             durable: bool,
         },
-        /// The claim is not granted, or the answer to a look-up.
+        /// The claim is not granted, or the result of a lookup.
         Known(RequestState),
-        /// The assignment was noted, or belongs to a run that is no longer of interest.
+        /// The assignment was recorded, or belongs to an attempt that no longer owns the claim.
         Assigned,
         /// The request's bill is durable.
         Billed {
-            /// What this run was charged; 0 when another run's bill came first.
+            /// What this attempt was charged; 0 if another attempt was billed first.
             charged: Tokens,
         },
-        /// The claim is durably given up.
+        /// The claim is durably released.
         Released,
         /// The router is durably closed.
         Closed {
-            /// Charged to it in this slot, for each group.
+            /// Tokens charged to the router in this slot, by group.
             totals: Vec<(Arc<str>, Tokens)>,
-            /// Claims that remain open.
+            /// Claims that are still open.
             open: Vec<OpenClaim>,
         },
         /// The totals were dropped.
         Forgotten,
-        /// This instance does not hold the slot, or has not read its log yet.
+        /// This instance does not hold the slot or is still loading it.
         NotHolder,
-        /// The holder cannot make it durable now, or has no room. It stays with the asker.
+        /// The holder cannot make the request durable now or has no room for it. The sender keeps
+        /// it.
         Unavailable,
     }
 }
 
 impl Request {
-    /// The request that this is about; `None` for messages about a router.
+    /// Returns the digest of the request concerned, or `None` for messages about a router.
     pub fn subject(&self) -> Option<Digest> {
         match self {
             Self::Claim(claim) => Some(claim.request),
--- a/crates/fescuewell_claims/src/note.rs
+++ b/crates/fescuewell_claims/src/note.rs
@@ -1,4 +1,4 @@
-//! What the machines of this crate report for the log.
+//! Log events of this crate's state machines.
 
 use std::fmt;
 use std::sync::Arc;
@@ -8,90 +8,90 @@
 use crate::message::Owner;
 
 fescuewell_core::message! {
-    /// Something worth a log line.
+    /// An event to be logged.
     pub enum Note {
-        /// This instance holds the slot now.
+        /// This instance has taken and loaded a slot.
         SlotTaken {
-            /// Which slot.
+            /// The slot.
             slot: SlotKey,
-            /// Its epoch.
+            /// The slot's epoch.
             epoch: Epoch,
-            /// How many requests it knows.
+            /// Number of requests that the slot knows.
             entries: usize,
         },
-        /// The slot was handed back.
+        /// A slot was released.
         SlotReleased {
-            /// Which slot.
+            /// The slot.
             slot: SlotKey,
         },
-        /// Another instance took the slot over.
+        /// Another instance took a slot over.
         SlotLost {
-            /// Which slot.
+            /// The slot.
             slot: SlotKey,
-            /// Records that were never made durable; their senders send them again.
+            /// Number of records that were not durable; their senders send the requests again.
             dropped: usize,
         },
-        /// The slot's rows cannot be read as a log.
+        /// A slot's rows are missing or unreadable.
         SlotDamaged {
-            /// Which slot.
+            /// The slot.
             slot: SlotKey,
-            /// What is wrong.
+            /// The fault.
             reason: Arc<str>,
         },
-        /// The table stopped answering.
+        /// The table stopped responding.
         TableDown {
-            /// What the adapter saw.
+            /// The table client's error.
             reason: Arc<str>,
         },
-        /// The table answers again.
+        /// The table responds again.
         TableUp,
         /// Records became durable.
         Committed {
-            /// How many.
+            /// Number of records.
             records: usize,
-            /// In how many slots.
+            /// Number of slots.
             slots: usize,
         },
-        /// A bill was not charged, since another one of the same request came first or its router is closed.
+        /// A bill was not charged, because the request was billed before or its router is closed.
         BillAbsorbed {
             /// Digest of the request's key.
             request: Digest,
-            /// The run that is not charged.
+            /// The attempt that is not charged.
             owner: Owner,
         },
-        /// The hold was charged, since the cost could not be learned.
+        /// The hold was charged, because the cost could not be determined.
         BillInDoubt {
             /// Digest of the request's key.
             request: Digest,
-            /// The run.
+            /// The attempt.
             owner: Owner,
-            /// What was charged.
+            /// Tokens charged.
             charged: Tokens,
         },
-        /// A claim was given up before anything was sent.
+        /// A claim was released before anything was sent.
         ClaimAbandoned {
             /// Digest of the request's key.
             request: Digest,
-            /// The run that will not be.
+            /// The attempt that is given up.
             owner: Owner,
         },
-        /// A terminated router is being settled.
+        /// The sweep of a terminated router started.
         SweepStarted {
             /// The router.
             holder: Arc<str>,
         },
-        /// A terminated router is settled.
+        /// The sweep of a terminated router finished.
         SweepFinished {
             /// The router.
             holder: Arc<str>,
-            /// Charged to it, over all groups.
+            /// Tokens charged to the router over all groups.
             charged: Tokens,
         },
     }
 }
 
 impl Note {
-    /// The numbered event under which it is logged.
+    /// Returns the event id under which the note is logged.
     pub fn event(&self) -> Event {
         match self {
             Self::SlotTaken { .. } => Event::SlotTaken,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Writes it to the log.
+    /// Writes the note to the log.
     pub fn log(&self) {
         fescuewell_core::log_event!(self.event(), "{self}");
     }
--- a/crates/fescuewell_claims/src/record.rs
+++ b/crates/fescuewell_claims/src/record.rs
@@ -1,7 +1,7 @@
-//! What a slot's log consists of.
+//! The contents of a slot's log.
 //!
-//! A [`Record`] is a decision already taken: replaying the records of a slot in order gives the same
-//! ledger. Names are written once, by [`Record::Name`], and then referred to by number.
+//! A [`Record`] is a decision: replaying a slot's records in order restores its ledger. Names are
+//! written once, as [`Record::Name`], and then referred to by [`NameKey`].
 
 use std::sync::Arc;
 
@@ -10,7 +10,8 @@
 use crate::message::StoredResponse;
 
 fescuewell_core::key! {
-    /// A name (holder, group, backend server) within one slot, numbered in the order of first use.
+    /// An interned name (holder, group or backend server) of one slot, numbered in order of first
+    /// use.
     pub struct NameKey(pub u32);
 }
 
@@ -24,18 +25,18 @@
 }
 
 fescuewell_core::data! {
-    /// One run of a request, by the number of its holder's name.
+    /// One attempt, with its holder as an interned name.
     #[derive(Copy, Default)]
     pub struct Run {
-        /// Number of the holder's name.
+        /// Key of the holder's name.
         pub holder: NameKey,
         /// Number of the attempt.
         pub attempt: u32,
     }
 
-    /// One change of a slot.
+    /// One change of a slot's state.
     pub enum Record {
-        /// The next name.
+        /// Adds a name, which gets the next key.
         Name(Arc<str>),
         /// A claim was granted.
         Claim {
@@ -45,11 +46,11 @@
             fingerprint: u64,
             /// Group that pays.
             group: NameKey,
-            /// Who runs it.
+            /// The attempt that owns the claim.
             run: Run,
             /// Upper bound of the cost.
             hold: Tokens,
-            /// Whether it may run more than once.
+            /// Whether the request can safely run more than once.
             repeatable: bool,
         },
         /// A claimed request was sent to a backend server.
@@ -58,49 +59,50 @@
             request: Digest,
             /// The backend server.
             server: NameKey,
-            /// The stream id, when it is not the one that follows from the run.
+            /// The stream id, if it differs from the one derived from the attempt.
             stream: Option<StreamId>,
         },
         /// The first bill of a request.
         Bill {
             /// Digest of the request's key.
             request: Digest,
-            /// First 64 bits of the hash of the body; 0 when it is not known.
+            /// First 64 bits of the hash of the body; 0 if unknown.
             fingerprint: u64,
             /// Group that pays.
             group: NameKey,
-            /// Who ran it.
+            /// The attempt that is billed.
             run: Run,
-            /// What is charged.
+            /// Tokens charged.
             charged: Tokens,
-            /// Whether a repeat must not run again.
+            /// Whether repeats must not run again.
             complete: bool,
-            /// Whether it may run more than once.
+            /// Whether the request can safely run more than once.
             repeatable: bool,
-            /// Whether the outcome could not be learned.
+            /// Whether the outcome could not be determined.
             in_doubt: bool,
-            /// StoredResponse for repeats.
+            /// Response for repeats.
             response: Option<StoredResponse>,
         },
-        /// A request that was billed before has now been answered whole, by another run.
+        /// A request that was billed earlier has received its complete response from another
+        /// attempt.
         Complete {
             /// Digest of the request's key.
             request: Digest,
-            /// Who ran it.
+            /// The attempt that completed it.
             run: Run,
         },
-        /// A claim was given up before anything was sent.
+        /// A claim was released before anything was sent.
         Release {
             /// Digest of the request's key.
             request: Digest,
-            /// Who had it.
+            /// The attempt that owned the claim.
             run: Run,
         },
         /// A terminated router was closed.
         Close {
             /// The router.
             holder: NameKey,
-            /// Whether nothing may be charged to it any more.
+            /// Whether nothing more may be charged to it.
             finish: bool,
         },
         /// A closed router's totals were dropped.
@@ -108,11 +110,11 @@
             /// The router.
             holder: NameKey,
         },
-        /// Names were numbered anew.
+        /// Names were renumbered.
         Compact {
-            /// Routers closed long ago, which are forgotten altogether.
+            /// Routers that were closed long ago and are removed.
             dropped: Vec<NameKey>,
-            /// The names that stay, in the order of their new numbers.
+            /// The remaining names, in the order of their new keys.
             kept: Vec<NameKey>,
         },
     }
@@ -120,7 +122,8 @@
     /// One row of a slot's log.
     #[derive(Default)]
     pub struct Batch {
-        /// Random id of the commit, by which its writer recognises it when the reply was lost.
+        /// Random id of the commit, by which the writer recognises its own write after a lost
+        /// reply.
         pub commit: u64,
         /// The changes, in order.
         pub records: Vec<Record>,
--- a/crates/fescuewell_claims/src/stream.rs
+++ b/crates/fescuewell_claims/src/stream.rs
@@ -1,4 +1,4 @@
-//! Reading back what a stream id carries.
+//! Stream ids, which encode the attempt and the request.
 
 use std::sync::Arc;
 
@@ -8,13 +8,12 @@
 
 const PREFIX: &str = "fw.";
 
-/// The stream id of one run of a request; the same text as
-/// [`RequestKey::stream_id`] makes.
+/// Returns the stream id of an attempt, equal to the one from [`RequestKey::stream_id`].
 pub fn id(owner: &Owner, request: Digest) -> StreamId {
     format!("{PREFIX}{}.{}.{request}", owner.holder, owner.attempt).into()
 }
 
-/// The run and the request that a stream id names, or `None` for an id that is not of our making.
+/// Parses a stream id into its attempt and request. Returns `None` for ids of another origin.
 ///
 /// ```
 /// use fescuewell_claims::stream;
@@ -30,7 +29,7 @@
 /// ```
 pub fn parse(stream: &str) -> Option<(Owner, Digest)> {
     let rest = stream.strip_prefix(PREFIX)?;
-    // From the right, since an instance's name may itself contain dots.
+    // Split from the right, since the instance name may contain dots.
     let (rest, digest) = rest.rsplit_once('.')?;
     let (holder, attempt) = rest.rsplit_once('.')?;
     let request = Digest(u128::from_str_radix(digest, 16).ok()?);
--- a/crates/fescuewell_claims/src/sweep.rs
+++ b/crates/fescuewell_claims/src/sweep.rs
@@ -1,20 +1,22 @@
-//! Settles what a terminated router left open, and finds out what it was charged in all.
+//! The sweep of a terminated router: settles its open requests and determines its total charges.
 //!
-//! The steps, as charted in `sweep.json`:
+//! The steps, as in the state chart `sweep.json`:
 //!
-//! 1. *Freezing*: every slot stops granting claims to the router and lists those that are open.
+//! 1. *Freezing*: every slot stops granting claims to the router and lists its open ones.
 //! 2. *Listing*: every backend server is asked for the router's streams until none of them runs any
-//!    more. They may run to their end, since a caller's retry may be reading them; after
+//!    more. Streams may run to their end, since a caller's retry may be reading them; after
 //!    [`Settings::cancel_after`] they are cancelled.
-//! 3. *Settling*: each stream is billed through its slot; the first bill of a request counts.
-//! 4. *Doubting*: claims that are still open without a record anywhere are billed at their hold.
+//! 3. *Settling*: each stream is billed in its slot; the first bill of a request counts.
+//! 4. *Doubting*: open claims without any stream record are billed at their hold.
 //! 5. *Finishing*: every slot fixes the router's totals.
-//! 6. *Reclaiming*: the caller returns `granted - charged` of each group to its budget, and says so.
+//! 6. *Reclaiming*: the caller returns `granted - charged` of each group to its budget and reports
+//!    that to the sweep.
 //! 7. *Forgetting*: the slots drop the totals.
 //!
-//! Each step may be done over, so that another instance can start from the beginning when the one that
-//! sweeps dies. Nothing is freed before every backend server has either answered or is terminated
-//! itself: a server that is merely out of reach may still be running a stream on the router's allowance.
+//! Each step can be repeated, so another instance can start from the beginning if the sweeping one
+//! terminates. Nothing is returned to a budget before every backend server has either replied or is
+//! terminated itself: an unreachable server may still be running a stream on the router's
+//! allowance.
 
 mod steps;
 
@@ -31,19 +33,19 @@
 
 const CHART: &str = include_str!("sweep.json");
 
-/// How a sweep behaves.
+/// Settings of a sweep.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Number of slots of the whole fleet.
+    /// Number of slots in the fleet.
     pub slots: u16,
-    /// How long streams may run on before they are cancelled; longer than the longest answer.
+    /// How long streams may run before they are cancelled; longer than the longest response.
     pub cancel_after: Duration,
-    /// A listing counts only when it was asked for so long after the start: a send that was under way when the
-    /// router died may reach its backend server a moment later.
+    /// Delay before the first listing of each server: a request that was in transit when the router
+    /// terminated may reach its backend server a moment later.
     pub listing_delay: Duration,
-    /// Time between two listings of one server, and before an unanswered question is repeated.
+    /// Time between two listings of one server, and before a request without a reply is repeated.
     pub retry_interval: Duration,
-    /// Most questions under way at once.
+    /// Maximum number of actions returned by one call, besides cancellations.
     pub max_batch: usize,
 }
 
@@ -59,81 +61,82 @@
     }
 }
 
-/// Whether a stream runs.
+/// The progress of a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Progress {
-    /// It is queued or produces tokens.
+    /// Queued or producing tokens.
     Running,
-    /// It came to its own end.
+    /// Ended normally.
     Complete,
-    /// It was cancelled or failed.
+    /// Cancelled or failed.
     Interrupted,
 }
 
 /// A backend server's record of one stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Stream {
-    /// The id that the router gave it; names the router, the attempt and the request.
+    /// The stream id set by the router, which encodes the router, the attempt and the request.
     pub stream: StreamId,
-    /// Group that pays, given at the send.
+    /// Group that pays, as sent by the router.
     pub group: Arc<str>,
-    /// Upper bound of the cost, given at the send.
+    /// Upper bound of the cost, as sent by the router.
     pub hold: Tokens,
-    /// Cost up to now.
+    /// Cost so far.
     pub tokens: Tokens,
-    /// Whether it runs.
+    /// Progress of the stream.
     pub progress: Progress,
-    /// The answer of a non-repeatable call, when the server keeps it.
+    /// The response of a non-repeatable call, if the server keeps it.
     pub response: Option<StoredResponse>,
 }
 
 fescuewell_core::message! {
-    /// What the sweep asks its caller to do.
+    /// An action that the caller of the sweep must perform.
     pub enum Action {
-        /// Ask a backend server for all streams whose ids start with `fw.{holder}.`, answered by [`Sweep::record_streams`].
+        /// Request all streams whose ids start with `fw.{holder}.` from a backend server and pass
+        /// them to [`Sweep::record_streams`].
         ListStreams {
             /// Name of the backend server.
             server: Arc<str>,
         },
-        /// Cancel a stream; nothing comes back, the next listing shows it.
+        /// Cancel a stream. There is no result; the next listing shows it.
         Cancel {
             /// Name of the backend server.
             server: Arc<str>,
             /// The stream.
             stream: StreamId,
         },
-        /// Send this to the holder of a slot, answered by [`Sweep::reply`].
+        /// Send a request to the holder of a slot and pass the reply to [`Sweep::reply`].
         Send {
             /// The slot.
             slot: SlotKey,
-            /// To be given back with the answer.
+            /// Identifies the reply; pass it to [`Sweep::reply`].
             correlation: u64,
-            /// The message.
+            /// The request.
             request: Request,
         },
-        /// Return what the router was allowed less these totals to each group's budget, then call
+        /// Return the router's allowance minus these totals to each group's budget, then call
         /// [`Sweep::reclaimed`]. Groups that are not listed were charged nothing.
         Finished {
-            /// Charged to the router, for each group.
+            /// Tokens charged to the router, by group.
             totals: Vec<(Arc<str>, Tokens)>,
         },
     }
 }
 
-/// What is known of one backend server.
+/// The listing state of one backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ServerState {
-    /// To be asked at this time.
+    /// To be listed at `at`.
     Due { at: Instant },
-    /// Asked at `sent`.
+    /// A listing was requested at `sent`.
     Requested { sent: Instant },
-    /// None of the router's streams runs there any more.
+    /// None of the router's streams is running any more.
     Settled,
 }
 
-/// A question under way to a slot.
+/// The last request sent to a slot.
 #[derive(Debug, Clone, Copy)]
-struct Question {
+struct SentRequest {
     correlation: u64,
     sent: Instant,
 }
@@ -164,25 +167,26 @@
     chart: Chart,
     state: State,
     servers: BTreeMap<Arc<str>, ServerState>,
-    /// Slots that have yet to answer in this step, and the question that each was last asked.
-    asking: BTreeMap<SlotKey, Option<Question>>,
+    /// Slots that have not replied in this step, with the last request to each.
+    pending: BTreeMap<SlotKey, Option<SentRequest>>,
     next_correlation: u64,
-    /// Bills to be sent in this step; the front of each queue is the one asked.
+    /// Bills to send in this step. Only the front of each queue is in progress.
     bills: BTreeMap<SlotKey, VecDeque<Settlement>>,
     open: BTreeMap<(Digest, u32), OpenClaim>,
     streams: BTreeMap<(Digest, u32), Settlement>,
     totals: BTreeMap<Arc<str>, Tokens>,
-    is_announced: bool,
+    is_totals_reported: bool,
     cancels: Vec<Action>,
     notes: Vec<Note>,
 }
 
 impl Sweep {
-    /// Starts to sweep `holder` (`instance.incarnation`); `servers` are all backend servers that are not terminated.
+    /// Starts to sweep `holder` (`instance.incarnation`). `servers` are all backend servers that
+    /// are not terminated.
     ///
     /// # Panics
     ///
-    /// Never: the chart is part of the program and tested.
+    /// Never: the chart is part of the program and covered by tests.
     pub fn new<Holder>(
         now: Instant,
         settings: Settings,
@@ -200,13 +204,13 @@
             settings,
             started: now,
             servers: BTreeMap::new(),
-            asking: BTreeMap::new(),
+            pending: BTreeMap::new(),
             next_correlation: 1,
             bills: BTreeMap::new(),
             open: BTreeMap::new(),
             streams: BTreeMap::new(),
             totals: BTreeMap::new(),
-            is_announced: false,
+            is_totals_reported: false,
             cancels: Vec::new(),
             notes: vec![Note::SweepStarted {
                 holder: holder.clone(),
@@ -219,54 +223,54 @@
                 .servers
                 .insert(server.clone(), ServerState::Due { at });
         }
-        sweep.ask_all_slots();
+        sweep.reset_slots();
         sweep
     }
 
-    /// The router that is swept.
+    /// The router being swept.
     pub fn holder(&self) -> &Arc<str> {
         &self.holder
     }
 
-    /// The present step, as in the chart.
+    /// The current step, as named in the chart.
     pub fn step(&self) -> &str {
         self.chart.name(self.state)
     }
 
-    /// Whether nothing is left to do.
+    /// Whether the sweep has finished.
     pub fn is_done(&self) -> bool {
         self.step() == "done"
     }
 
-    /// What is to be done now.
+    /// Takes the actions to perform now.
     pub fn take_actions(&mut self, now: Instant) -> Vec<Action> {
         let mut actions = std::mem::take(&mut self.cancels);
         match self.step() {
             "listing" => self.list_servers(now, &mut actions),
-            "reclaiming" if !self.is_announced => {
-                self.is_announced = true;
+            "reclaiming" if !self.is_totals_reported => {
+                self.is_totals_reported = true;
                 let totals = self.totals.clone().into_iter().collect();
                 actions.push(Action::Finished { totals });
             }
             "reclaiming" | "done" => {}
-            _ => self.ask_slots(now, &mut actions),
+            _ => self.request_slots(now, &mut actions),
         }
         actions
     }
 
-    /// What is to be logged.
+    /// Takes the notes to be logged.
     pub fn take_notes(&mut self) -> Vec<Note> {
         std::mem::take(&mut self.notes)
     }
 
-    /// Takes a backend server's listing, asked for by [`Action::ListStreams`].
+    /// Processes a backend server's listing, requested by [`Action::ListStreams`].
     pub fn record_streams(&mut self, now: Instant, server: &str, records: &[Stream]) {
         let Some((name, &ServerState::Requested { .. })) = self.servers.get_key_value(server)
         else {
             return;
         };
         let name = name.clone();
-        let is_impatient = now.since(self.started) >= self.settings.cancel_after;
+        let should_cancel = now.since(self.started) >= self.settings.cancel_after;
         let mut is_running = false;
         for record in records {
             let Some((owner, request)) = stream::parse(&record.stream) else {
@@ -277,7 +281,7 @@
             }
             if record.progress == Progress::Running {
                 is_running = true;
-                if is_impatient {
+                if should_cancel {
                     self.cancels.push(Action::Cancel {
                         server: name.clone(),
                         stream: record.stream.clone(),
@@ -306,7 +310,7 @@
         self.advance();
     }
 
-    /// Notes that a backend server did not answer; it is asked again later.
+    /// Reports that a backend server did not reply; it is listed again later.
     pub fn server_failed(&mut self, now: Instant, server: &str) {
         let at = now + self.settings.retry_interval;
         if let Some(state @ &mut ServerState::Requested { .. }) = self.servers.get_mut(server) {
@@ -314,7 +318,8 @@
         }
     }
 
-    /// Notes that a backend server is terminated: its streams have ended and it has no records any more.
+    /// Reports that a backend server is terminated, so its streams have ended and it has no
+    /// records.
     pub fn server_terminated(&mut self, server: &str) {
         if let Some(state) = self.servers.get_mut(server) {
             *state = ServerState::Settled;
@@ -322,18 +327,19 @@
         self.advance();
     }
 
-    /// Takes the answer of a slot's holder, asked for by [`Action::Send`].
+    /// Processes the reply of a slot's holder to [`Action::Send`].
     ///
-    /// Only the last question to a slot counts. A late answer to `Freeze` taken for that to `Finish` would give
-    /// totals that lack what was billed since, and the budget would take back tokens that were spent.
+    /// Only the reply to the last request counts. If a late reply to `Freeze` were taken for the
+    /// reply to `Finish`, the totals would lack what was billed in between, and the budget would
+    /// take back tokens that were spent.
     pub fn reply(&mut self, now: Instant, slot: SlotKey, correlation: u64, reply: Reply) {
-        let Some(&Some(question)) = self.asking.get(&slot) else {
+        let Some(&Some(sent_request)) = self.pending.get(&slot) else {
             return;
         };
-        if question.correlation != correlation {
+        if sent_request.correlation != correlation {
             return;
         }
-        let is_answered = match (self.step(), reply) {
+        let is_done = match (self.step(), reply) {
             ("freezing", Reply::Closed { open, .. }) => {
                 for claim in open {
                     self.open.insert((claim.request, claim.attempt), claim);
@@ -341,7 +347,7 @@
                 true
             }
             ("settling" | "doubting", Reply::Billed { .. }) => {
-                self.bill_answered(slot);
+                self.bill_recorded(slot);
                 return;
             }
             ("finishing", Reply::Closed { totals, .. }) => {
@@ -353,22 +359,23 @@
             ("forgetting", Reply::Forgotten) => true,
             _ => false,
         };
-        if is_answered {
-            self.asking.remove(&slot);
+        if is_done {
+            self.pending.remove(&slot);
             self.advance();
             return;
         }
-        // Not held, or not able to write now. Asked again after the usual wait.
+        // The slot is not held there or cannot be written now. The request is repeated after the
+        // retry interval.
         let sent = now;
-        self.asking
-            .insert(slot, Some(Question { correlation, sent }));
+        self.pending
+            .insert(slot, Some(SentRequest { correlation, sent }));
     }
 
-    /// Notes that every group's budget has taken back what the router did not use.
+    /// Reports that every group's budget has taken back the router's unused allowance.
     ///
-    /// To be called only when that is durable for all groups: afterwards the totals are dropped, and a sweep
-    /// that starts over would find the router charged nothing. That is harmless only because the budgets no
-    /// longer list anything allowed to it.
+    /// Must be called only once that is durable for all groups: afterwards the totals are dropped,
+    /// and a sweep that starts over finds no charges. That is safe only because the budgets no
+    /// longer list any allowance of the router.
     pub fn reclaimed(&mut self) {
         if self.step() != "reclaiming" {
             return;
--- a/crates/fescuewell_claims/src/sweep/steps.rs
+++ b/crates/fescuewell_claims/src/sweep/steps.rs
@@ -1,8 +1,8 @@
-//! How the sweep passes from step to step.
+//! The steps of the sweep and the transitions between them.
 
 use fescuewell_core::prelude::*;
 
-use super::{Action, Evidence, Question, Request, ServerState, Settlement, Sweep, slot_of};
+use super::{Action, Evidence, Request, SentRequest, ServerState, Settlement, Sweep, slot_of};
 use crate::message::{Owner, Phase};
 
 impl Sweep {
@@ -23,24 +23,24 @@
         }
     }
 
-    pub(super) fn ask_slots(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        let slots: Vec<SlotKey> = self.asking.keys().copied().collect();
+    pub(super) fn request_slots(&mut self, now: Instant, actions: &mut Vec<Action>) {
+        let slots: Vec<SlotKey> = self.pending.keys().copied().collect();
         for slot in slots {
             if actions.len() >= self.settings.max_batch {
                 return;
             }
-            let last = self.asking[&slot];
+            let last = self.pending[&slot];
             if last.is_some_and(|last| now.since(last.sent) < self.settings.retry_interval) {
                 continue;
             }
-            let Some(request) = self.question(slot) else {
+            let Some(request) = self.sent_request(slot) else {
                 continue;
             };
             let correlation = self.next_correlation;
             self.next_correlation += 1;
             let sent = now;
-            self.asking
-                .insert(slot, Some(Question { correlation, sent }));
+            self.pending
+                .insert(slot, Some(SentRequest { correlation, sent }));
             actions.push(Action::Send {
                 slot,
                 correlation,
@@ -49,7 +49,7 @@
         }
     }
 
-    fn question(&self, slot: SlotKey) -> Option<Request> {
+    fn sent_request(&self, slot: SlotKey) -> Option<Request> {
         let holder = self.holder.clone();
         let phase = match self.step() {
             "freezing" => Phase::Freeze,
@@ -63,50 +63,51 @@
         Some(Request::Close { holder, phase })
     }
 
-    pub(super) fn ask_all_slots(&mut self) {
+    pub(super) fn reset_slots(&mut self) {
         for slot in 0..self.settings.slots {
-            self.asking.insert(SlotKey(slot), None);
+            self.pending.insert(SlotKey(slot), None);
         }
     }
 
-    /// Keeps the better of two records of one attempt. A router that sent it to a second backend server after the
-    /// first one failed leaves one at each; only one of them is charged.
+    /// Keeps the preferred one of two records of an attempt. A router that sent the attempt to a
+    /// second backend server after the first one failed leaves a record on each; only one is
+    /// charged.
     pub(super) fn add_stream(&mut self, settlement: Settlement) {
         let key = (settlement.request, settlement.owner.attempt);
         let is_better = match self.streams.get(&key) {
             None => true,
-            Some(known) => weight(&settlement) > weight(known),
+            Some(known) => preference(&settlement) > preference(known),
         };
         if is_better {
             self.streams.insert(key, settlement);
         }
     }
 
-    pub(super) fn bill_answered(&mut self, slot: SlotKey) {
+    pub(super) fn bill_recorded(&mut self, slot: SlotKey) {
         let Some(bills) = self.bills.get_mut(&slot) else {
             return;
         };
         bills.pop_front();
         match bills.is_empty() {
-            true => self.asking.remove(&slot),
-            false => self.asking.insert(slot, None),
+            true => self.pending.remove(&slot),
+            false => self.pending.insert(slot, None),
         };
         self.advance();
     }
 
-    /// Passes to the next step when this one has nothing left to ask.
+    /// Enters the next step if no requests of the current one are left.
     pub(super) fn advance(&mut self) {
         let are_servers_settled = self
             .servers
             .values()
             .all(|server| *server == ServerState::Settled);
         let signal = match self.step() {
-            "freezing" if self.asking.is_empty() => "slots_frozen",
+            "freezing" if self.pending.is_empty() => "slots_frozen",
             "listing" if are_servers_settled => "servers_settled",
-            "settling" if self.asking.is_empty() => "streams_billed",
-            "doubting" if self.asking.is_empty() => "doubts_billed",
-            "finishing" if self.asking.is_empty() => "slots_finished",
-            "forgetting" if self.asking.is_empty() => "slots_forgot",
+            "settling" if self.pending.is_empty() => "streams_billed",
+            "doubting" if self.pending.is_empty() => "doubts_billed",
+            "finishing" if self.pending.is_empty() => "slots_finished",
+            "forgetting" if self.pending.is_empty() => "slots_forgot",
             _ => return,
         };
         self.enter(signal);
@@ -114,25 +115,26 @@
     }
 
     pub(super) fn enter(&mut self, signal: &str) {
-        // Every signal is raised in the state that takes it.
+        // Each signal is only raised in the state that accepts it.
         let step = self.chart.step(&mut self.state, signal);
         debug_assert!(step.is_ok(), "{step:?}");
         match self.step() {
             "settling" => self.queue_streams(),
-            "doubting" => self.queue_doubts(),
-            "finishing" | "forgetting" => self.ask_all_slots(),
+            "doubting" => self.queue_in_doubt(),
+            "finishing" | "forgetting" => self.reset_slots(),
             _ => {}
         }
     }
 
     fn queue_streams(&mut self) {
         let mut settlements: Vec<Settlement> = self.streams.values().cloned().collect();
-        // Whole answers first: of two attempts at one request the one that the caller got is to be charged.
-        settlements.sort_by_key(|settlement| std::cmp::Reverse(weight(settlement)));
+        // Complete streams first: of two attempts at one request, the one whose response the caller
+        // received is charged.
+        settlements.sort_by_key(|settlement| std::cmp::Reverse(preference(settlement)));
         self.queue(settlements);
     }
 
-    fn queue_doubts(&mut self) {
+    fn queue_in_doubt(&mut self) {
         let mut settlements = Vec::new();
         for (key, open) in &self.open {
             if self.streams.contains_key(key) {
@@ -156,14 +158,14 @@
         self.bills.clear();
         for settlement in settlements {
             let slot = slot_of(settlement.request, self.settings.slots);
-            self.asking.insert(slot, None);
+            self.pending.insert(slot, None);
             let bills = self.bills.entry(slot).or_default();
             bills.push_back(settlement);
         }
     }
 }
 
-fn weight(settlement: &Settlement) -> (bool, Tokens) {
+fn preference(settlement: &Settlement) -> (bool, Tokens) {
     match &settlement.evidence {
         Evidence::Stream { cost, complete, .. } => (*complete, *cost),
         Evidence::InDoubt => (false, Tokens::ZERO),
