--- a/crates/fescuewell_claims/examples/measure.rs
+++ b/crates/fescuewell_claims/examples/measure.rs
@@ -1,7 +1,8 @@
-//! Measures an arbiter: commits and latency against the request rate, memory and time for each claim.
+//! Measures an arbiter and a client: commits and latency by request rate, memory and time per
+//! request.
 //!
-//! Run with `cargo run --release -p fescuewell_claims --example measure`. Rates and latencies are those of
-//! a simulated clock, with a table that takes 5 ms; times for each claim are of this machine's processor.
+//! Run with `cargo run --release -p fescuewell_claims --example measure`. Rates and latencies use a
+//! simulated clock and a table that takes 5 ms; times per request are real processor time.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -18,7 +19,7 @@
 const TABLE_DELAY: Duration = Duration::from_millis(5);
 const SECONDS: u64 = 20;
 
-/// A table that accepts everything; one arbiter has no rival.
+/// A table that accepts every write; only one arbiter uses it.
 #[derive(Default)]
 struct Table {
     rows: BTreeMap<Arc<str>, Row>,
@@ -142,7 +143,8 @@
     arbiter
 }
 
-/// One rate: a claim, an assignment and a bill for each request; one request in ten may not be repeated.
+/// Measures one request rate. Each request has a claim, an assignment and a bill; one in ten is not
+/// repeatable.
 fn measure_rate(rate: u64, commit_interval: Duration) {
     let (mut now, mut table) = (Instant::from_millis(0), Table::default());
     let settings = Settings {
@@ -153,7 +155,7 @@
     let mut arbiter = arbiter(settings, &mut table, &mut now);
     (table.commits, table.writes, table.bytes) = (0, 0, 0);
     let start = now;
-    let mut asked: HashMap<u64, Instant> = HashMap::new();
+    let mut requested_at: HashMap<u64, Instant> = HashMap::new();
     let mut waits = Vec::new();
     let mut outstanding: Option<(Instant, Step)> = None;
     let mut sent = 0;
@@ -172,7 +174,7 @@
             let ticket = claim.owner.attempt.into();
             let (assign, bill) = (assign(&claim), bill(&claim));
             if !claim.repeatable {
-                asked.insert(ticket, now);
+                requested_at.insert(ticket, now);
             }
             arbiter.request(now, ticket, slot, &Request::Claim(claim));
             arbiter.request(now, 0, slot, &assign);
@@ -191,7 +193,7 @@
         }
         for (ticket, reply) in arbiter.take_replies() {
             if let (Some(since), Reply::Granted { durable: true, .. }) =
-                (asked.remove(&ticket), &reply)
+                (requested_at.remove(&ticket), &reply)
             {
                 waits.push(now.since(since));
             }
@@ -215,7 +217,7 @@
     );
 }
 
-/// Resident memory in bytes, as the operating system counts it.
+/// Resident memory in bytes, as reported by the operating system.
 fn resident() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text
@@ -266,7 +268,7 @@
     std::hint::black_box(arbiter.entries());
 }
 
-/// Takes over one slot that knows `count` requests.
+/// Measures the takeover of one slot that knows `count` requests.
 fn measure_takeover(count: u64) {
     let (mut now, mut table) = (Instant::from_millis(0), Table::default());
     let settings = Settings {
@@ -330,13 +332,13 @@
     );
 }
 
-fn measure_courier(count: u64) {
+fn measure_client(count: u64) {
     let now = Instant::from_millis(0);
-    let mut courier = Client::new(client::Settings::default(), "entry-1.18c5a2f3b7", 7);
+    let mut client = Client::new(client::Settings::default(), "entry-1.18c5a2f3b7", 7);
     let before = resident();
     let began = std::time::Instant::now();
     for index in 0..count {
-        let ask = ClaimRequest {
+        let call = ClaimRequest {
             request: key(index),
             fingerprint: Digest(1),
             group: "group-1".into(),
@@ -349,23 +351,24 @@
             complete: true,
             response: None,
         };
-        courier.bill(now, index, &ask, index as u32 + 1, cost);
+        client.bill(now, index, &call, index as u32 + 1, cost);
     }
     println!(
         "{count:>8} bills waiting at a router: {:>4} bytes each, {:>4} ns each",
         (resident() - before) / count,
         began.elapsed().as_nanos() as u64 / count,
     );
-    std::hint::black_box(courier.unfinished());
+    std::hint::black_box(client.unfinished());
 }
 
 fn main() {
     let mut arguments = std::env::args().skip(1);
-    // Memory is measured in a process of its own: what an earlier part freed would be used again unseen.
+    // Memory is measured in a separate process, since memory freed by an earlier part would be
+    // reused and not show up as growth.
     match (arguments.next().as_deref(), arguments.next()) {
-        (Some("memory"), Some(count)) => measure_memory(count.parse().expect("a number")),
-        (Some("takeover"), Some(count)) => measure_takeover(count.parse().expect("a number")),
-        (Some("courier"), Some(count)) => measure_courier(count.parse().expect("a number")),
+        (Some("memory"), Some(count)) => measure_memory(count.parse().expect("an integer")),
+        (Some("takeover"), Some(count)) => measure_takeover(count.parse().expect("an integer")),
+        (Some("courier"), Some(count)) => measure_client(count.parse().expect("an integer")),
         _ => {
             for rate in [50, 500, 5_000, 27_000] {
                 for interval in [20, 50, 250] {
--- a/crates/fescuewell_claims/tests/arbiter.rs
+++ b/crates/fescuewell_claims/tests/arbiter.rs
@@ -1,4 +1,4 @@
-//! The holder of a slot: what it answers, when, and what survives it.
+//! Replies of a slot's holder, their order relative to commits, and what a successor restores.
 
 mod support;
 
@@ -15,11 +15,11 @@
     let (mut now, mut table) = (Instant::from_millis(0), Table::default());
     let mut node = Node::holding("a.1", &mut now, &mut table);
 
-    let reply = node.at_once(now, &Request::Claim(claim("x", "r.1", 1)));
+    let reply = node.reply_now(now, &Request::Claim(claim("x", "r.1", 1)));
     node.run(&mut now, &mut table, 100);
     let mut successor = Node::new("b.1", settings());
     successor.take(&mut now, &mut table, &["a.1"]);
-    let known = successor.at_once(now, &lookup("x"));
+    let known = successor.reply_now(now, &lookup("x"));
 
     assert_eq!(
         reply,
@@ -44,9 +44,9 @@
     let mut node = Node::holding("a.1", &mut now, &mut table);
     node.run(&mut now, &mut table, 100);
 
-    let ticket = node.ask(now, &Request::Claim(non_repeatable("x", "r.1", 1)));
+    let ticket = node.submit(now, &Request::Claim(non_repeatable("x", "r.1", 1)));
     let before = node.replies.get(&ticket).cloned();
-    node.turn(now, &mut table);
+    node.run_due_steps(now, &mut table);
 
     assert_eq!(before, None);
     assert_eq!(
@@ -60,14 +60,13 @@
 
 #[test]
 fn a_repeat_at_a_second_router_is_told_that_the_first_is_under_way() {
-    // Symptom: one request runs at two routers.
-    // Events: a caller sends it to r, loses patience and sends it to s at the same moment.
-    // Cause: nobody arbitrates between the two.
+    // A caller that times out sends its request to a second router while the first still runs it.
+    // The slot must not grant both.
     let (mut now, mut table) = (Instant::from_millis(0), Table::default());
     let mut node = Node::holding("a.1", &mut now, &mut table);
 
-    node.at_once(now, &Request::Claim(claim("x", "r.1", 1)));
-    let second = node.at_once(now, &Request::Claim(claim("x", "s.1", 9)));
+    node.reply_now(now, &Request::Claim(claim("x", "r.1", 1)));
+    let second = node.reply_now(now, &Request::Claim(claim("x", "s.1", 9)));
 
     let owner = owner("r.1", 1);
     assert_eq!(
@@ -81,9 +80,8 @@
 
 #[test]
 fn another_body_under_the_same_id_is_refused() {
-    // Symptom: a caller gets the answer to an earlier question.
-    // Events: it reuses a request id for another body.
-    // Cause: the id alone is taken for the request.
+    // A caller reuses a request id for another body. It must not get the response to the earlier
+    // request, so the id alone must not identify the request.
     let (mut now, mut table) = (Instant::from_millis(0), Table::default());
     let mut node = Node::holding("a.1", &mut now, &mut table);
     let other = Claim {
@@ -91,14 +89,14 @@
         ..claim("x", "s.1", 1)
     };
 
-    node.at_once(now, &Request::Claim(claim("x", "r.1", 1)));
-    let under_way = node.at_once(now, &Request::Claim(other.clone()));
-    node.after_commit(
+    node.reply_now(now, &Request::Claim(claim("x", "r.1", 1)));
+    let under_way = node.reply_now(now, &Request::Claim(other.clone()));
+    node.reply_after_commit(
         &mut now,
         &mut table,
         &Request::Bill(bill("x", "r.1", 1, 70)),
     );
-    let afterwards = node.at_once(now, &Request::Claim(other));
+    let afterwards = node.reply_now(now, &Request::Claim(other));
 
     assert_eq!(under_way, Reply::Known(RequestState::Conflict));
     assert_eq!(afterwards, Reply::Known(RequestState::Conflict));
@@ -106,23 +104,22 @@
 
 #[test]
 fn a_bill_counts_once_whoever_sends_it() {
-    // Symptom: a group is charged twice for one answer.
-    // Events: two routers serve one request id, and one of them sends its bill again because the answer was lost.
-    // Cause: bills are added up without a look at what they are for.
+    // Two routers serve one request id, and one of them sends its bill again after a lost reply.
+    // The group must be charged only once.
     let (mut now, mut table) = (Instant::from_millis(0), Table::default());
     let mut node = Node::holding("a.1", &mut now, &mut table);
 
-    let first = node.after_commit(
+    let first = node.reply_after_commit(
         &mut now,
         &mut table,
         &Request::Bill(bill("x", "r.1", 1, 70)),
     );
-    let again = node.after_commit(
+    let again = node.reply_after_commit(
         &mut now,
         &mut table,
         &Request::Bill(bill("x", "r.1", 1, 70)),
     );
-    let other = node.after_commit(
+    let other = node.reply_after_commit(
         &mut now,
         &mut table,
         &Request::Bill(bill("x", "s.1", 4, 90)),
@@ -138,7 +135,7 @@
     let (mut now, mut table) = (Instant::from_millis(0), Table::default());
     let mut node = Node::holding("a.1", &mut now, &mut table);
 
-    let reply = node.after_commit(
+    let reply = node.reply_after_commit(
         &mut now,
         &mut table,
         &Request::Bill(bill("x", "r.1", 1, 501)),
@@ -160,15 +157,15 @@
     paid.response = Some(response.clone());
     paid.repeatable = false;
 
-    node.after_commit(
+    node.reply_after_commit(
         &mut now,
         &mut table,
         &Request::Claim(non_repeatable("x", "r.1", 1)),
     );
-    node.after_commit(&mut now, &mut table, &Request::Bill(paid));
+    node.reply_after_commit(&mut now, &mut table, &Request::Bill(paid));
     let mut successor = Node::new("b.1", settings());
     successor.take(&mut now, &mut table, &["a.1"]);
-    let reply = successor.at_once(now, &Request::Claim(non_repeatable("x", "s.1", 1)));
+    let reply = successor.reply_now(now, &Request::Claim(non_repeatable("x", "s.1", 1)));
 
     let done = RequestState::Done {
         assignment: None,
@@ -183,13 +180,13 @@
     let (mut now, mut table) = (Instant::from_millis(0), Table::default());
     let mut node = Node::holding("a.1", &mut now, &mut table);
 
-    node.at_once(now, &Request::Claim(claim("x", "r.1", 1)));
+    node.reply_now(now, &Request::Claim(claim("x", "r.1", 1)));
     node.arbiter.set_wanted(now, &[]);
-    let refused = node.at_once(now, &Request::Claim(claim("y", "r.1", 2)));
+    let refused = node.reply_now(now, &Request::Claim(claim("y", "r.1", 2)));
     node.run(&mut now, &mut table, 200);
     let mut successor = Node::new("b.1", settings());
     successor.take(&mut now, &mut table, &[]);
-    let known = successor.at_once(now, &lookup("x"));
+    let known = successor.reply_now(now, &lookup("x"));
 
     assert_eq!(refused, Reply::NotHolder);
     assert!(node.arbiter.is_idle());
@@ -211,8 +208,8 @@
         body: vec![b'x'; MAX_RESPONSE_BYTES].into(),
     });
 
-    node.after_commit(&mut now, &mut table, &Request::Bill(paid));
-    let repeat = node.at_once(now, &Request::Claim(non_repeatable("x", "s.1", 1)));
+    node.reply_after_commit(&mut now, &mut table, &Request::Bill(paid));
+    let repeat = node.reply_now(now, &Request::Claim(non_repeatable("x", "s.1", 1)));
 
     let done = RequestState::Done {
         assignment: None,
@@ -224,11 +221,10 @@
 
 #[test]
 fn a_slot_that_is_unwanted_while_its_log_is_read_is_handed_back() {
-    // Symptom: after three routers started together, some slots had no holder for good, and every request
-    // of theirs went without a claim.
-    // Events: an instance takes a slot; before it has read the log, a third instance joins and the slot is to be
-    // that one's; the first one forgets what it was reading, its name stays in the row.
-    // Cause: only held slots were handed back, and the one in between was not held yet.
+    // An instance takes a slot and then, before it has loaded the log, stops wanting it because a
+    // third instance joins. If only held slots were released, its name would stay in the slot's
+    // row, the slot would have no holder, and its requests would run without claims. This happened
+    // when three routers started together.
     let (mut now, mut table) = (Instant::from_millis(0), Table::default());
     let mut first = Node::new("a.1", settings());
     first.arbiter.set_wanted(now, &[SLOT]);
--- a/crates/fescuewell_claims/tests/fleet/main.rs
+++ b/crates/fescuewell_claims/tests/fleet/main.rs
@@ -1,7 +1,7 @@
-//! Random sequences of duplicates, deaths, pauses and outages over a small fleet.
+//! Random sequences of duplicates, crashes, pauses and outages in a small fleet.
 //!
-//! Every attempt costs its own power of four and its hold is the same, so that a total tells exactly
-//! which attempts were charged: a digit of 2 is a double charge.
+//! Attempt `n` costs 4^n tokens and has a hold of the same size, so a total shows exactly which
+//! attempts were charged: a base-4 digit of 2 is a double charge.
 
 #[path = "../support/mod.rs"]
 mod support;
@@ -14,32 +14,33 @@
 use support::Fault;
 use world::World;
 
-/// One event.
+/// One step of a sequence.
 #[derive(Debug, Clone)]
 pub(crate) enum Event {
-    /// A caller sends request `key` to a router; the keys from [`world::FIRST_REPEATABLE`] on may be repeated.
-    Ask {
+    /// A caller sends request `key` to a router. Keys from [`world::FIRST_REPEATABLE`] on are
+    /// repeatable.
+    Submit {
         router: usize,
         key: usize,
         other_body: bool,
     },
     /// A running stream ends.
-    End { pick: usize, is_whole: bool },
-    /// Time passes with all messages under way.
+    End { pick: usize, is_complete: bool },
+    /// Time passes, and messages are delivered.
     Run { ticks: u8 },
-    /// An instance stops and starts again as another incarnation.
+    /// An instance terminates and restarts as another incarnation.
     Kill { instance: usize },
-    /// An instance stops doing anything, and its slots go to the others.
+    /// An instance stops running, and its slots go to the others.
     Pause { instance: usize },
-    /// Paused instances go on as if nothing had been.
-    Wake,
-    /// A backend server is terminated with all its records; another takes its place.
+    /// All paused instances resume where they stopped.
+    Resume,
+    /// A backend server is terminated with all its records, and a new one replaces it.
     KillServer { server: usize },
-    /// The instance that sweeps dies; another starts over.
+    /// The sweeping instance terminates, and another one starts over.
     KillSweep,
     /// The table's behaviour changes.
     Table(Fault),
-    /// Messages between instances get lost, late and doubled, or no longer.
+    /// Messages between instances are lost, delayed and duplicated, or no longer.
     Network { is_bad: bool },
 }
 
@@ -62,19 +63,19 @@
             1 => Just(Fault::Delays),
             1 => Just(Fault::Busy),
         ];
-        let ask = (
+        let submit = (
             instance.clone(),
             0..world::KEYS,
             proptest::bool::weighted(0.1),
         );
         prop_oneof![
-            8 => ask.prop_map(|(router, key, other_body)| Event::Ask { router, key, other_body }),
+            8 => submit.prop_map(|(router, key, other_body)| Event::Submit { router, key, other_body }),
             4 => (any::<usize>(), proptest::bool::weighted(0.8))
-                .prop_map(|(pick, is_whole)| Event::End { pick, is_whole }),
+                .prop_map(|(pick, is_complete)| Event::End { pick, is_complete }),
             8 => (1..40u8).prop_map(|ticks| Event::Run { ticks }),
             1 => instance.clone().prop_map(|instance| Event::Kill { instance }),
             1 => instance.prop_map(|instance| Event::Pause { instance }),
-            1 => Just(Event::Wake),
+            1 => Just(Event::Resume),
             1 => (0..world::SERVERS).prop_map(|server| Event::KillServer { server }),
             1 => Just(Event::KillSweep),
             2 => fault.prop_map(Event::Table),
--- a/crates/fescuewell_claims/tests/fleet/world.rs
+++ b/crates/fescuewell_claims/tests/fleet/world.rs
@@ -1,11 +1,12 @@
-//! Three instances, each a router and a holder of slots; two backend servers; a table; a network.
+//! A simulated fleet: three instances, each a router and a holder of slots, two backend servers, a
+//! table and a network.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
 
 use fescuewell_claims::arbiter;
-use fescuewell_claims::client::{self, ClaimRequest, Client, Cost, Event as Learned, Outgoing};
+use fescuewell_claims::client::{self, ClaimRequest, Client, Cost, Event as ClientEvent, Outgoing};
 use fescuewell_claims::message::{Assignment, Owner, Reply, Request, RequestState};
 use fescuewell_claims::stream;
 use fescuewell_claims::sweep::{self, Action, Progress, Stream, Sweep};
@@ -19,17 +20,17 @@
 pub const INSTANCES: usize = 3;
 pub const SERVERS: usize = 2;
 pub const KEYS: usize = 6;
-/// Requests with a smaller number may not be repeated.
+/// Requests with a lower number are not repeatable.
 pub const FIRST_REPEATABLE: usize = 3;
 const SLOTS: u16 = 3;
-/// So many powers of four fit into a total.
+/// Number of powers of four that fit into a total.
 const ATTEMPTS: usize = 31;
 const TICK: Duration = Duration::from_millis(20);
 
-/// One attempt at a request, as an all-seeing observer knows it.
+/// An attempt at a request, with facts that no single instance knows.
 struct Attempt {
     key: usize,
-    ask: ClaimRequest,
+    call: ClaimRequest,
     owner: Owner,
     router: usize,
     server: Option<Arc<str>>,
@@ -42,11 +43,12 @@
     name: Arc<str>,
     incarnation: u32,
     node: Node,
-    courier: Client,
+    client: Client,
     is_paused: bool,
-    /// Questions whose answer the node owes: ticket, asking instance, its name then, correlation.
-    owed: BTreeMap<u64, (usize, Arc<str>, u64)>,
-    /// What the network brings.
+    /// Requests to which the node has not replied, by ticket: sender, its name at that time,
+    /// correlation.
+    awaiting_reply: BTreeMap<u64, (usize, Arc<str>, u64)>,
+    /// Messages that the network has delivered.
     inbox: VecDeque<(usize, Arc<str>, Outgoing)>,
 }
 
@@ -61,15 +63,15 @@
     table: Table,
     instances: Vec<Instance>,
     servers: Vec<Server>,
-    dead_servers: BTreeSet<Arc<str>>,
+    terminated_servers: BTreeSet<Arc<str>>,
     terminated: BTreeSet<Arc<str>>,
     attempts: Vec<Attempt>,
-    late: Vec<(usize, Arc<str>, Outgoing)>,
+    delayed: Vec<(usize, Arc<str>, Outgoing)>,
     is_network_bad: bool,
     sweeps: Vec<Sweep>,
-    /// Totals with which each dead router's allowance was reclaimed.
+    /// Totals with which each terminated router's allowance was reclaimed.
     reclaimed: BTreeMap<Arc<str>, u64>,
-    served: u32,
+    server_count: u32,
 }
 
 fn instance(index: usize, incarnation: u32) -> Instance {
@@ -81,18 +83,18 @@
         flush_interval: Duration::from_millis(100),
         ..support::settings()
     };
-    let asking = client::Settings {
+    let client_settings = client::Settings {
         slots: SLOTS,
         ..client::Settings::default()
     };
     let seed = (index as u64) << 32 | u64::from(incarnation);
     Instance {
         node: Node::new(&name, settings),
-        courier: Client::new(asking, name.clone(), seed),
+        client: Client::new(client_settings, name.clone(), seed),
         name,
         incarnation,
         is_paused: false,
-        owed: BTreeMap::new(),
+        awaiting_reply: BTreeMap::new(),
         inbox: VecDeque::new(),
     }
 }
@@ -105,14 +107,14 @@
             table: Table::default(),
             instances: (0..INSTANCES).map(|index| instance(index, 1)).collect(),
             servers: Vec::new(),
-            dead_servers: BTreeSet::new(),
+            terminated_servers: BTreeSet::new(),
             terminated: BTreeSet::new(),
             attempts: Vec::new(),
-            late: Vec::new(),
+            delayed: Vec::new(),
             is_network_bad: false,
             sweeps: Vec::new(),
             reclaimed: BTreeMap::new(),
-            served: 0,
+            server_count: 0,
         };
         for _ in 0..SERVERS {
             world.add_server();
@@ -124,19 +126,19 @@
 
     pub fn apply(&mut self, event: &Event) {
         match *event {
-            Event::Ask {
+            Event::Submit {
                 router,
                 key,
                 other_body,
-            } => self.ask(router, key, other_body),
-            Event::End { pick, is_whole } => self.end(pick, is_whole),
+            } => self.submit(router, key, other_body),
+            Event::End { pick, is_complete } => self.end(pick, is_complete),
             Event::Run { ticks } => self.run(u32::from(ticks)),
             Event::Kill { instance } => self.kill(instance),
             Event::Pause { instance } => {
                 self.instances[instance].is_paused = true;
                 self.place_slots();
             }
-            Event::Wake => self.wake(),
+            Event::Resume => self.resume(),
             Event::KillServer { server } => self.kill_server(server),
             Event::KillSweep => self.restart_sweeps(),
             Event::Table(fault) => {
@@ -149,7 +151,7 @@
         }
     }
 
-    fn ask(&mut self, router: usize, key: usize, other_body: bool) {
+    fn submit(&mut self, router: usize, key: usize, other_body: bool) {
         let name = &self.instances[router].name;
         // A router attaches a repeat to its own attempt while that is open.
         let is_open = self.attempts.iter().any(|attempt| {
@@ -167,7 +169,7 @@
         }
         let ticket = self.attempts.len() as u64;
         let body: &[u8] = if other_body { b"other" } else { b"body" };
-        let ask = ClaimRequest {
+        let call = ClaimRequest {
             request: support::digest(&format!("x{key}")),
             fingerprint: Digest::of(body),
             group: "signwise".into(),
@@ -175,12 +177,12 @@
             repeatable: key >= FIRST_REPEATABLE,
             lost,
         };
-        let courier = &mut self.instances[router].courier;
-        let number = courier.claim(self.now, ticket, &ask);
+        let client = &mut self.instances[router].client;
+        let number = client.claim(self.now, ticket, &call);
         self.attempts.push(Attempt {
             key,
-            ask,
-            owner: courier.owner(number),
+            call,
+            owner: client.owner(number),
             router,
             server: None,
             is_sent: false,
@@ -189,13 +191,13 @@
         });
     }
 
-    /// Sends an attempt to a backend server, or gives it up before that.
+    /// Sends an attempt to a backend server, or releases it.
     fn send(&mut self, index: usize) {
         let attempt = &mut self.attempts[index];
-        let courier = &mut self.instances[attempt.router].courier;
-        let request = attempt.ask.request;
+        let client = &mut self.instances[attempt.router].client;
+        let request = attempt.call.request;
         if self.rng.random_bool(0.1) {
-            courier.release(self.now, request, attempt.owner.attempt);
+            client.release(self.now, request, attempt.owner.attempt);
             attempt.is_bill_durable = true;
             return;
         }
@@ -203,9 +205,9 @@
         let id = stream::id(&attempt.owner, request);
         server.records.push(Stream {
             stream: id.clone(),
-            group: attempt.ask.group.clone(),
-            hold: attempt.ask.hold,
-            tokens: attempt.ask.hold,
+            group: attempt.call.group.clone(),
+            hold: attempt.call.hold,
+            tokens: attempt.call.hold,
             progress: Progress::Running,
             response: None,
         });
@@ -214,12 +216,12 @@
             server: server.clone(),
             stream: id,
         };
-        courier.assign(self.now, request, attempt.owner.attempt, assignment);
+        client.assign(self.now, request, attempt.owner.attempt, assignment);
         attempt.server = Some(server);
         attempt.is_sent = true;
     }
 
-    fn end(&mut self, pick: usize, is_whole: bool) {
+    fn end(&mut self, pick: usize, is_complete: bool) {
         let mut running = Vec::new();
         for (server, entry) in self.servers.iter().enumerate() {
             for (index, record) in entry.records.iter().enumerate() {
@@ -233,36 +235,36 @@
         }
         let (server, index) = running[pick % running.len()];
         let record = &mut self.servers[server].records[index];
-        record.progress = if is_whole {
+        record.progress = if is_complete {
             Progress::Complete
         } else {
             Progress::Interrupted
         };
-        let (owner, _) = stream::parse(&record.stream).expect("it is one of ours");
+        let (owner, _) = stream::parse(&record.stream).expect("the stream id is valid");
         let position = self
             .attempts
             .iter()
             .position(|attempt| attempt.owner == owner);
-        self.bill(position.expect("it was recorded"), is_whole);
+        self.bill(position.expect("the attempt exists"), is_complete);
     }
 
-    /// The router of an attempt learns that its stream has ended, if it still lives.
-    fn bill(&mut self, index: usize, is_whole: bool) {
+    /// Bills an attempt whose stream has ended, if its router is still running.
+    fn bill(&mut self, index: usize, is_complete: bool) {
         let attempt = &mut self.attempts[index];
         let instance = &mut self.instances[attempt.router];
         if instance.name != attempt.owner.holder || instance.is_paused {
             return;
         }
-        attempt.is_answered |= is_whole;
+        attempt.is_answered |= is_complete;
         let cost = Cost {
-            tokens: attempt.ask.hold,
-            complete: is_whole,
+            tokens: attempt.call.hold,
+            complete: is_complete,
             response: None,
         };
         let number = attempt.owner.attempt;
         instance
-            .courier
-            .bill(self.now, index as u64, &attempt.ask, number, cost);
+            .client
+            .bill(self.now, index as u64, &attempt.call, number, cost);
     }
 
     fn kill(&mut self, index: usize) {
@@ -298,12 +300,12 @@
         }
     }
 
-    fn wake(&mut self) {
+    fn resume(&mut self) {
         for instance in &mut self.instances {
             instance.is_paused = false;
         }
         self.place_slots();
-        // Streams that ended meanwhile.
+        // Streams that ended during the pause.
         for index in 0..self.attempts.len() {
             let ended = self.progress(index);
             let attempt = &self.attempts[index];
@@ -316,39 +318,39 @@
 
     fn progress(&self, index: usize) -> Option<Progress> {
         let attempt = &self.attempts[index];
-        let id = stream::id(&attempt.owner, attempt.ask.request);
+        let id = stream::id(&attempt.owner, attempt.call.request);
         let mut records = self.servers.iter().flat_map(|server| &server.records);
         let record = records.find(|record| record.stream == id);
         record.map(|record| record.progress)
     }
 
     fn add_server(&mut self) {
-        self.served += 1;
-        let name = format!("e{}", self.served).into();
+        self.server_count += 1;
+        let name = format!("e{}", self.server_count).into();
         let records = Vec::new();
         self.servers.push(Server { name, records });
     }
 
     fn kill_server(&mut self, index: usize) {
         self.add_server();
-        let dead = self.servers.swap_remove(index);
+        let terminated = self.servers.swap_remove(index);
         for sweep in &mut self.sweeps {
-            sweep.server_terminated(&dead.name);
+            sweep.server_terminated(&terminated.name);
         }
-        for record in &dead.records {
-            let (owner, _) = stream::parse(&record.stream).expect("it is one of ours");
+        for record in &terminated.records {
+            let (owner, _) = stream::parse(&record.stream).expect("the stream id is valid");
             let position = self
                 .attempts
                 .iter()
                 .position(|attempt| attempt.owner == owner);
             if record.progress == Progress::Running {
-                self.bill(position.expect("it was recorded"), false);
+                self.bill(position.expect("the attempt exists"), false);
             }
         }
-        self.dead_servers.insert(dead.name);
+        self.terminated_servers.insert(terminated.name);
     }
 
-    /// Gives each slot to an instance that is not paused.
+    /// Assigns each slot to an instance that is not paused.
     fn place_slots(&mut self) {
         let awake: Vec<usize> = (0..INSTANCES)
             .filter(|&index| !self.instances[index].is_paused)
@@ -377,7 +379,7 @@
             arbiter.set_terminated(self.now, self.terminated.clone());
             for slot in 0..SLOTS {
                 let name = holder(slot).map(|holder| names[holder].clone());
-                instance.courier.set_holder(self.now, SlotKey(slot), name);
+                instance.client.set_holder(self.now, SlotKey(slot), name);
             }
         }
     }
@@ -387,20 +389,20 @@
             self.now = self.now + TICK;
             self.carry_messages();
             self.work();
-            self.learn();
+            self.handle_client_events();
             self.sweep();
         }
     }
 
     fn carry_messages(&mut self) {
-        let mut outgoing = std::mem::take(&mut self.late);
+        let mut outgoing = std::mem::take(&mut self.delayed);
         for index in 0..INSTANCES {
             let instance = &mut self.instances[index];
             if instance.is_paused {
                 continue;
             }
             let name = instance.name.clone();
-            for message in instance.courier.take_outgoing(self.now) {
+            for message in instance.client.take_outgoing(self.now) {
                 outgoing.push((index, name.clone(), message));
             }
         }
@@ -409,7 +411,7 @@
                 continue;
             }
             if self.is_network_bad && self.rng.random_bool(0.3) {
-                self.late.push(message.clone());
+                self.delayed.push(message.clone());
             }
             let (from, name, outgoing) = message;
             let target = self
@@ -422,7 +424,7 @@
         }
     }
 
-    /// Lets every holder of slots decide, write and answer.
+    /// Lets every holder of slots process its messages, commit and reply.
     fn work(&mut self) {
         let mut replies = Vec::new();
         for instance in &mut self.instances {
@@ -432,14 +434,14 @@
             while let Some((from, name, outgoing)) = instance.inbox.pop_front() {
                 let ticket = instance
                     .node
-                    .ask_slot(self.now, outgoing.slot, &outgoing.request);
+                    .submit_to(self.now, outgoing.slot, &outgoing.request);
                 instance
-                    .owed
+                    .awaiting_reply
                     .insert(ticket, (from, name, outgoing.correlation));
             }
-            instance.node.turn(self.now, &mut self.table);
+            instance.node.run_due_steps(self.now, &mut self.table);
             for (ticket, reply) in std::mem::take(&mut instance.node.replies) {
-                if let Some((from, name, correlation)) = instance.owed.remove(&ticket) {
+                if let Some((from, name, correlation)) = instance.awaiting_reply.remove(&ticket) {
                     replies.push((from, name, correlation, reply));
                 }
             }
@@ -448,46 +450,50 @@
             let is_lost = self.is_network_bad && self.rng.random_bool(0.3);
             let router = &mut self.instances[from];
             if !is_lost && router.name == name {
-                router.courier.receive(self.now, correlation, reply);
+                router.client.receive(self.now, correlation, reply);
             }
         }
     }
 
-    fn learn(&mut self) {
+    fn handle_client_events(&mut self) {
         for index in 0..INSTANCES {
             if self.instances[index].is_paused {
                 continue;
             }
-            for event in self.instances[index].courier.take_events() {
-                self.learned(event);
+            for event in self.instances[index].client.take_events() {
+                self.handle_client_event(event);
             }
         }
     }
 
-    fn learned(&mut self, event: Learned) {
+    fn handle_client_event(&mut self, event: ClientEvent) {
         match event {
-            Learned::ClaimAnswered { ticket, result, .. } => {
+            ClientEvent::ClaimAnswered { ticket, result, .. } => {
                 let index = ticket as usize;
-                let is_single = !self.attempts[index].ask.repeatable;
+                let is_non_repeatable = !self.attempts[index].call.repeatable;
                 match result {
                     Ok(durable) => {
-                        assert!(durable || !is_single, "a single call on a claim in memory");
+                        assert!(
+                            durable || !is_non_repeatable,
+                            "a non-repeatable request on a claim that is not durable"
+                        );
                         self.send(index);
                     }
                     Err(known) => self.refused(index, known),
                 }
             }
-            Learned::ClaimTimedOut { ticket, .. } | Learned::ClaimUnavailable { ticket, .. } => {
+            ClientEvent::ClaimTimedOut { ticket, .. }
+            | ClientEvent::ClaimUnavailable { ticket, .. } => {
                 let index = ticket as usize;
-                match self.attempts[index].ask.repeatable {
+                match self.attempts[index].call.repeatable {
                     true => self.send(index),
                     false => self.attempts[index].is_bill_durable = true,
                 }
             }
-            Learned::BillDurable { ticket, .. } => {
+            ClientEvent::BillDurable { ticket, .. } => {
                 self.attempts[ticket as usize].is_bill_durable = true;
             }
-            Learned::LookedUp { .. } => {}
+            ClientEvent::LookedUp { .. } => {}
         }
     }
 
@@ -502,7 +508,7 @@
             return;
         };
         // The router looks for the stream and finds that its server is gone.
-        if self.dead_servers.contains(&assignment.server) {
+        if self.terminated_servers.contains(&assignment.server) {
             let (router, key) = (attempt.router, attempt.key);
             self.claim(router, key, false, Some(owner));
         }
@@ -551,31 +557,31 @@
                     .reclaimed
                     .entry(sweep.holder().clone())
                     .or_insert(charged);
-                // Once the first sweep has made the slots forget, another finds nothing; its reclaim finds no
-                // allowance either.
+                // Once the first sweep's totals are dropped, another sweep finds none, and its
+                // reclaim finds no allowance either.
                 assert!(charged == first || charged == 0, "{charged} after {first}");
                 sweep.reclaimed();
             }
         }
     }
 
-    /// Asks the holder of a slot and lets it commit; the answer may be missing.
+    /// Sends a request to the holder of a slot and lets it commit. There may be no reply.
     fn ask_holder(&mut self, slot: SlotKey, request: &Request) -> Option<Reply> {
         let holder = self
             .instances
             .iter_mut()
             .find(|instance| !instance.is_paused && instance.node.arbiter.holds(slot))?;
-        let ticket = holder.node.ask_slot(self.now, slot, request);
+        let ticket = holder.node.submit_to(self.now, slot, request);
         self.now = self.now + Duration::from_millis(60);
-        holder.node.turn(self.now, &mut self.table);
+        holder.node.run_due_steps(self.now, &mut self.table);
         holder.node.replies.remove(&ticket)
     }
 
-    /// Mends everything, lets all end, then kills every router and sweeps it.
+    /// Ends all faults, lets all requests finish, then terminates and sweeps every router.
     pub fn settle(&mut self) {
         self.apply(&Event::Table(Fault::None));
         self.is_network_bad = false;
-        self.wake();
+        self.resume();
         self.run(100);
         for index in 0..INSTANCES {
             self.kill(index);
@@ -586,21 +592,24 @@
             }
             self.run(50);
         }
-        panic!("not swept: {:?}", self.sweeps);
+        panic!("sweeps did not finish: {:?}", self.sweeps);
     }
 
-    /// What must hold at any time.
+    /// Invariants that hold at any time.
     pub fn check(&self) {
         for key in 0..FIRST_REPEATABLE {
             let sent = self
                 .attempts
                 .iter()
                 .filter(|attempt| attempt.key == key && attempt.is_sent);
-            assert!(sent.count() <= 1, "single call {key} was sent twice");
+            assert!(
+                sent.count() <= 1,
+                "non-repeatable request {key} was sent twice"
+            );
         }
     }
 
-    /// What must hold once every router is swept.
+    /// Invariants that hold once every router has been swept.
     pub fn check_settled(&self) {
         let mut charged = Vec::new();
         for (index, attempt) in self.attempts.iter().enumerate() {
@@ -621,7 +630,7 @@
             let is_owed = attempts.iter().any(|&index| self.is_owed(index));
             assert!(
                 bills == 1 || !is_owed,
-                "request {key} was answered and never charged"
+                "request {key} got a complete response but was never charged"
             );
         }
         for (holder, total) in &self.reclaimed {
@@ -631,18 +640,22 @@
                 .filter(own)
                 .map(|index| 1 << (2 * index))
                 .sum();
-            assert_eq!(sum, *total, "{holder} was charged for what is not its own");
+            assert_eq!(
+                sum, *total,
+                "{holder} was charged for attempts of other routers"
+            );
         }
     }
 
-    /// Whether an answered attempt must have been charged. Its bill is lost only when the router died with it in
-    /// memory and the backend server is gone with its record, both before the table had it.
+    /// Whether an attempt with a complete response must have been charged. Its bill is lost only if
+    /// the router crashed while the bill was in memory and the backend server is gone with its
+    /// record, both before the bill was durable.
     fn is_owed(&self, index: usize) -> bool {
         let attempt = &self.attempts[index];
         let is_server_gone = attempt
             .server
             .as_ref()
-            .is_some_and(|server| self.dead_servers.contains(server));
+            .is_some_and(|server| self.terminated_servers.contains(server));
         attempt.is_answered && (attempt.is_bill_durable || !is_server_gone)
     }
 }
--- a/crates/fescuewell_claims/tests/support/mod.rs
+++ b/crates/fescuewell_claims/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures: an in-memory table with faults, and an instance that drives one arbiter against it.
+//! Fixtures: an in-memory table with faults, and an instance that runs one arbiter against it.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,17 +14,17 @@
 /// The only slot of most tests.
 pub const SLOT: SlotKey = SlotKey(0);
 
-/// How the table behaves.
+/// The table's behaviour.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     None,
-    /// No byte reaches it.
+    /// The table cannot be reached.
     Down,
-    /// Everything takes effect and every reply is lost.
+    /// Every step takes effect, and every reply is lost.
     LosesReplies,
-    /// Nothing takes effect at first, every reply is lost, and a write arrives when the fault is over.
+    /// Every reply is lost, and writes take effect only when the fault ends.
     Delays,
-    /// Answers that it takes no more.
+    /// Every step fails as over the limit.
     Busy,
 }
 
@@ -35,7 +35,7 @@
     pub revision: u64,
     pub commits: u64,
     pub writes: u64,
-    /// Conditions and writes of the largest transaction.
+    /// Compares and writes of the largest transaction.
     pub most_entries: usize,
     pub fault: Fault,
     pub delayed: Vec<Transaction>,
@@ -56,7 +56,7 @@
 }
 
 impl Table {
-    /// Carries out a step as the present fault lets it.
+    /// Executes a step, subject to the current fault.
     pub fn carry_out(&mut self, step: &Step) -> table::Reply {
         let reason: Arc<str> = "fault".into();
         match self.fault {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Lets the writes that were held up arrive.
+    /// Executes the delayed writes.
     pub fn deliver_delayed(&mut self) {
         for transaction in std::mem::take(&mut self.delayed) {
             self.commit(&transaction);
@@ -167,14 +167,14 @@
         }
     }
 
-    /// An instance that holds the only slot.
+    /// Creates an instance that holds the only slot.
     pub fn holding(name: &str, now: &mut Instant, table: &mut Table) -> Self {
         let mut node = Self::new(name, settings());
         node.take(now, table, &[]);
         node
     }
 
-    /// Takes the only slot, from the holders in `lapsed` if need be.
+    /// Takes the only slot, if necessary from the holders in `lapsed`.
     pub fn take(&mut self, now: &mut Instant, table: &mut Table, lapsed: &[&str]) {
         self.arbiter.set_wanted(*now, &[SLOT]);
         self.arbiter.set_lapsed(*now, names(lapsed));
@@ -187,17 +187,17 @@
         panic!("the slot was not taken: {:?}", self.notes);
     }
 
-    /// Lets `millis` pass, carrying out table steps.
+    /// Advances time by `millis` and executes table steps.
     pub fn run(&mut self, now: &mut Instant, table: &mut Table, millis: u64) {
         let step = Duration::from_millis(5);
         for _ in 0..millis.div_ceil(5) {
             *now = *now + step;
-            self.turn(*now, table);
+            self.run_due_steps(*now, table);
         }
     }
 
-    /// Carries out all table steps that are due.
-    pub fn turn(&mut self, now: Instant, table: &mut Table) {
+    /// Executes all table steps that are due.
+    pub fn run_due_steps(&mut self, now: Instant, table: &mut Table) {
         while let Some(step) = self.arbiter.next_step(now) {
             let reply = table.carry_out(&step);
             self.arbiter.reply(now, reply);
@@ -210,12 +210,12 @@
         self.notes.extend(self.arbiter.take_notes());
     }
 
-    /// Passes a request in and returns its ticket.
-    pub fn ask(&mut self, now: Instant, request: &Request) -> u64 {
-        self.ask_slot(now, SLOT, request)
+    /// Submits a request and returns its ticket.
+    pub fn submit(&mut self, now: Instant, request: &Request) -> u64 {
+        self.submit_to(now, SLOT, request)
     }
 
-    pub fn ask_slot(&mut self, now: Instant, slot: SlotKey, request: &Request) -> u64 {
+    pub fn submit_to(&mut self, now: Instant, slot: SlotKey, request: &Request) -> u64 {
         let ticket = self.next_ticket;
         self.next_ticket += 1;
         self.arbiter.request(now, ticket, slot, request);
@@ -223,26 +223,26 @@
         ticket
     }
 
-    /// The answer, which must be there already.
-    pub fn at_once(&mut self, now: Instant, request: &Request) -> Reply {
-        let ticket = self.ask(now, request);
+    /// Submits a request and returns its reply, which must not need a commit.
+    pub fn reply_now(&mut self, now: Instant, request: &Request) -> Reply {
+        let ticket = self.submit(now, request);
         self.replies
             .remove(&ticket)
-            .expect("the answer needs no commit")
+            .expect("the reply needs no commit")
     }
 
-    /// The answer after a commit.
-    pub fn after_commit(
+    /// Submits a request and returns its reply after a commit.
+    pub fn reply_after_commit(
         &mut self,
         now: &mut Instant,
         table: &mut Table,
         request: &Request,
     ) -> Reply {
-        let ticket = self.ask(*now, request);
+        let ticket = self.submit(*now, request);
         self.run(now, table, 300);
         self.replies
             .remove(&ticket)
-            .expect("the answer is there after a commit")
+            .expect("there is a reply after a commit")
     }
 }
 
@@ -287,7 +287,7 @@
     }
 }
 
-/// A claim of a call that may not be repeated.
+/// A claim of a non-repeatable call.
 pub fn non_repeatable(id: &str, holder: &str, attempt: u32) -> Claim {
     Claim {
         repeatable: false,
--- a/crates/fescuewell_claims/tests/sweep.rs
+++ b/crates/fescuewell_claims/tests/sweep.rs
@@ -14,12 +14,12 @@
 
 use support::*;
 
-/// A slot, its table and backend servers, and the time.
+/// A slot, its table, backend servers and the current time.
 struct World {
     now: Instant,
     table: Table,
     node: Node,
-    /// Records of each backend server that answers.
+    /// Stream records of each backend server that replies.
     servers: BTreeMap<Arc<str>, Vec<Stream>>,
 }
 
@@ -36,16 +36,16 @@
         }
     }
 
-    fn ask(&mut self, request: &Request) -> Reply {
+    fn submit(&mut self, request: &Request) -> Reply {
         self.node
-            .after_commit(&mut self.now, &mut self.table, request)
+            .reply_after_commit(&mut self.now, &mut self.table, request)
     }
 
     fn assign(&mut self, id: &str, holder: &str, attempt: u32, server: &str) {
         let owner = owner(holder, attempt);
         let stream = stream::id(&owner, digest(id));
         let server = server.into();
-        self.node.ask(
+        self.node.submit(
             self.now,
             &Request::Assign {
                 request: digest(id),
@@ -85,7 +85,8 @@
         Sweep::new(self.now, settings, "r.1", &servers)
     }
 
-    /// Carries out the sweep's actions for up to `seconds`; returns the totals when it asks to reclaim.
+    /// Performs the sweep's actions for up to `seconds`; returns the totals when it asks to
+    /// reclaim.
     fn run(&mut self, sweep: &mut Sweep, seconds: u64) -> Option<u64> {
         for _ in 0..seconds * 10 {
             self.now = self.now + Duration::from_millis(100);
@@ -106,7 +107,7 @@
                 None => sweep.server_failed(self.now, &server),
             },
             Action::Cancel { server, stream } => {
-                for record in self.servers.get_mut(&server).expect("it is listed") {
+                for record in self.servers.get_mut(&server).expect("the server exists") {
                     if record.stream == stream {
                         record.progress = Progress::Interrupted;
                     }
@@ -117,7 +118,7 @@
                 correlation,
                 request,
             } => {
-                let reply = self.ask(&request);
+                let reply = self.submit(&request);
                 sweep.reply(self.now, slot, correlation, reply);
             }
             Action::Finished { .. } => {}
@@ -127,17 +128,17 @@
 
 #[test]
 fn streams_of_a_dead_router_are_billed_once_and_open_claims_at_their_hold() {
-    // Symptom: tokens that a dead router's streams used are never charged, or charged twice.
-    // Events: r dies with one answer billed, one ended and one running stream, and a claim without any record.
-    // Cause: what a router owes is known to itself alone.
+    // Router r terminates with a billed request, an ended stream, a running stream, and a claim
+    // without any stream record. Each must be charged exactly once, although only r knew what it
+    // owed.
     let mut world = World::new(&["e1", "e2"]);
     for (attempt, id) in ["billed", "ended", "running", "lost"]
         .into_iter()
         .enumerate()
     {
-        world.ask(&Request::Claim(claim(id, "r.1", attempt as u32)));
+        world.submit(&Request::Claim(claim(id, "r.1", attempt as u32)));
     }
-    world.ask(&Request::Bill(bill("billed", "r.1", 0, 7)));
+    world.submit(&Request::Bill(bill("billed", "r.1", 0, 7)));
     world.record("e1", "billed", "r.1", 0, 7, Progress::Complete);
     world.record("e1", "ended", "r.1", 1, 40, Progress::Complete);
     world.record("e2", "running", "r.1", 2, 60, Progress::Running);
@@ -163,7 +164,7 @@
 
     let mut sweep = world.sweep();
     let early = world.run(&mut sweep, 10);
-    let record = &mut world.servers.get_mut("e1").expect("it is there")[0];
+    let record = &mut world.servers.get_mut("e1").expect("e1 has a record")[0];
     record.progress = Progress::Complete;
     record.tokens = Tokens(80);
     let charged = world.run(&mut sweep, 10);
@@ -173,12 +174,11 @@
 
 #[test]
 fn nothing_is_freed_while_a_backend_server_is_out_of_reach() {
-    // Symptom: a group spends more than it has prepaid.
-    // Events: r dies, a backend server that runs its stream is cut off, r's allowance is given to others, and the
-    // server goes on producing tokens.
-    // Cause: silence is taken for an end.
+    // A backend server that runs a stream of a terminated router is unreachable and goes on
+    // producing tokens. If its silence were taken for the end of the stream, the router's allowance
+    // would be given to others and the group would spend more than it has prepaid.
     let mut world = World::new(&["e1", "e2"]);
-    world.ask(&Request::Claim(claim("x", "r.1", 1)));
+    world.submit(&Request::Claim(claim("x", "r.1", 1)));
     let mut sweep = world.sweep();
     world.servers.remove("e2");
 
@@ -191,18 +191,18 @@
 
 #[test]
 fn a_sweep_that_dies_halfway_is_done_over_by_another() {
-    // Symptom: the budget takes back tokens that were spent, or charges them twice.
-    // Events: a sweep has billed the streams and fixed the totals when its instance dies; another starts over.
-    // Cause: the second one counts only what it billed itself.
+    // A sweep has billed the streams and fixed the totals when its instance terminates, and another
+    // starts over. If the second counted only what it billed itself, the budget would take back
+    // tokens that were spent, or charge them twice.
     let mut world = World::new(&["e1"]);
-    world.ask(&Request::Claim(claim("lost", "r.1", 2)));
+    world.submit(&Request::Claim(claim("lost", "r.1", 2)));
     world.record("e1", "x", "r.1", 1, 40, Progress::Complete);
 
     let mut first = world.sweep();
     let once = world.run(&mut first, 60);
     let mut second = world.sweep();
     let again = world.run(&mut second, 60);
-    let late = world.ask(&Request::Bill(bill("y", "r.1", 3, 70)));
+    let late = world.submit(&Request::Bill(bill("y", "r.1", 3, 70)));
     let mut third = world.sweep();
     let after_late = world.run(&mut third, 60);
 
@@ -216,10 +216,9 @@
 
 #[test]
 fn a_late_answer_to_the_first_question_is_not_taken_for_the_last() {
-    // Symptom: the budget takes back tokens that were spent.
-    // Events: the answer to the freezing of a slot is held up, the question is repeated and answered, the stream is
-    // billed, and the first answer arrives while the totals are asked for.
-    // Cause: answers are told apart by their slot only.
+    // The reply to `Freeze` is delayed, the request is repeated and answered, and the stream is
+    // billed. The first reply then arrives while the totals are requested. If replies were matched
+    // by slot only, the budget would take back tokens that were spent.
     let mut world = World::new(&["e1"]);
     world.record("e1", "x", "r.1", 1, 40, Progress::Complete);
     let mut sweep = world.sweep();
@@ -230,9 +229,9 @@
         request,
     } = first
     else {
-        panic!("a question to the slot, not {first:?}");
+        panic!("expected a request to the slot, got {first:?}");
     };
-    let held_up = world.ask(&request);
+    let held_up = world.submit(&request);
 
     while sweep.step() != "finishing" {
         world.now = world.now + Duration::from_millis(500);
@@ -250,19 +249,19 @@
 
 #[test]
 fn a_request_that_another_router_has_taken_over_is_that_routers_to_bill() {
-    // Symptom: the living router's answer is not charged, or the dead router's part is charged besides.
-    // Events: r dies, the caller's retry at s gets the claim, the sweep finds r's cancelled stream, s bills.
-    // Cause: the sweep bills whatever it finds.
+    // Router r terminates, the caller's retry at s gets the claim, the sweep finds r's cancelled
+    // stream, and s bills. If the sweep billed every stream it finds, s's response would not be
+    // charged, or r's partial response would be charged as well.
     let mut world = World::new(&["e1"]);
-    world.ask(&Request::Claim(claim("x", "r.1", 1)));
+    world.submit(&Request::Claim(claim("x", "r.1", 1)));
     world.record("e1", "x", "r.1", 1, 40, Progress::Interrupted);
     let now = world.now;
     world.node.arbiter.set_terminated(now, names(&["r.1"]));
 
-    let taken_over = world.ask(&Request::Claim(claim("x", "s.1", 5)));
+    let taken_over = world.submit(&Request::Claim(claim("x", "s.1", 5)));
     let mut sweep = world.sweep();
     let charged = world.run(&mut sweep, 60);
-    let living = world.ask(&Request::Bill(bill("x", "s.1", 5, 90)));
+    let live_bill = world.submit(&Request::Bill(bill("x", "s.1", 5, 90)));
 
     assert_eq!(
         taken_over,
@@ -272,24 +271,23 @@
         }
     );
     assert_eq!(charged, Some(0));
-    assert_eq!(living, billed(90));
+    assert_eq!(live_bill, billed(90));
 }
 
 #[test]
 fn a_dead_routers_stream_is_read_on_until_its_server_has_no_record() {
-    // Symptom: a request runs a second time although its first run is being produced.
-    // Events: r dies with the stream on e1; the caller's retry comes to s.
-    // Cause: the claim passes on although its stream can still be read.
+    // Router r terminates with a stream on e1, and the caller's retry arrives at s. If the claim
+    // were passed on while the stream can still be read, the request would run a second time.
     let mut world = World::new(&["e1"]);
-    world.ask(&Request::Claim(claim("x", "r.1", 1)));
+    world.submit(&Request::Claim(claim("x", "r.1", 1)));
     world.assign("x", "r.1", 1, "e1");
-    let alive = world.ask(&Request::Claim(claim("x", "s.1", 5)));
+    let alive = world.submit(&Request::Claim(claim("x", "s.1", 5)));
     let now = world.now;
     world.node.arbiter.set_terminated(now, names(&["r.1"]));
 
-    let attached = world.ask(&Request::Claim(claim("x", "s.1", 6)));
+    let attached = world.submit(&Request::Claim(claim("x", "s.1", 6)));
     let lost = Some(owner("r.1", 1));
-    let anew = world.ask(&Request::Claim(Claim {
+    let granted_again = world.submit(&Request::Claim(Claim {
         lost,
         ..claim("x", "s.1", 7)
     }));
@@ -305,7 +303,7 @@
     });
     assert_eq!((&alive, &attached), (&under_way, &under_way));
     assert_eq!(
-        anew,
+        granted_again,
         Reply::Granted {
             attempt: 7,
             durable: false
@@ -315,19 +313,18 @@
 
 #[test]
 fn a_single_call_in_doubt_never_runs_again() {
-    // Symptom: two interpreters are sent to one job.
-    // Events: r claims a booking, sends it and dies; its server dies too; the caller asks again, and again after
-    // the sweep.
-    // Cause: a claim without an outcome is taken for one that did not run.
+    // Router r claims a booking, sends it and terminates, and so does its backend server. The
+    // caller retries before and after the sweep. If a claim without an outcome were taken for one
+    // that did not run, two interpreters would be sent to one job.
     let mut world = World::new(&[]);
-    world.ask(&Request::Claim(non_repeatable("x", "r.1", 1)));
+    world.submit(&Request::Claim(non_repeatable("x", "r.1", 1)));
     let now = world.now;
     world.node.arbiter.set_terminated(now, names(&["r.1"]));
 
-    let before = world.ask(&Request::Claim(non_repeatable("x", "s.1", 5)));
+    let before = world.submit(&Request::Claim(non_repeatable("x", "s.1", 5)));
     let mut sweep = world.sweep();
     let charged = world.run(&mut sweep, 60);
-    let after = world.ask(&Request::Claim(non_repeatable("x", "s.1", 6)));
+    let after = world.submit(&Request::Claim(non_repeatable("x", "s.1", 6)));
 
     assert!(matches!(
         before,
@@ -345,13 +342,13 @@
 #[test]
 fn a_repeatable_call_in_doubt_runs_again_without_a_second_charge() {
     let mut world = World::new(&[]);
-    world.ask(&Request::Claim(claim("x", "r.1", 1)));
+    world.submit(&Request::Claim(claim("x", "r.1", 1)));
     let mut sweep = world.sweep();
     let charged = world.run(&mut sweep, 60);
 
-    let again = world.ask(&Request::Claim(claim("x", "s.1", 5)));
-    let second = world.ask(&Request::Bill(bill("x", "s.1", 5, 90)));
-    let third = world.ask(&Request::Claim(claim("x", "s.1", 6)));
+    let again = world.submit(&Request::Claim(claim("x", "s.1", 5)));
+    let second = world.submit(&Request::Bill(bill("x", "s.1", 5, 90)));
+    let third = world.submit(&Request::Claim(claim("x", "s.1", 6)));
 
     assert_eq!(charged, Some(500));
     assert_eq!(
@@ -373,15 +370,14 @@
 
 #[test]
 fn a_late_claim_of_a_closed_router_is_not_granted() {
-    // Symptom: a request stays under way at a router that ended long ago.
-    // Events: r sends a claim that is held up on the way, dies and is swept; the claim arrives.
-    // Cause: a closed router's messages are taken like any other's.
+    // A claim from r is delayed until after r has been swept. If it were granted, the request would
+    // stay in progress at a router that no longer exists.
     let mut world = World::new(&[]);
     let mut sweep = world.sweep();
     world.run(&mut sweep, 60);
 
-    let late = world.ask(&Request::Claim(claim("x", "r.1", 1)));
-    let retry = world.ask(&Request::Claim(claim("x", "s.1", 1)));
+    let late = world.submit(&Request::Claim(claim("x", "r.1", 1)));
+    let retry = world.submit(&Request::Claim(claim("x", "s.1", 1)));
 
     assert_eq!(late, Reply::Unavailable);
     assert_eq!(
--- a/crates/fescuewell_claims/tests/table_faults.rs
+++ b/crates/fescuewell_claims/tests/table_faults.rs
@@ -1,4 +1,5 @@
-//! The holder of a slot when the table fails, loses replies, or was taken over by another instance.
+//! The holder of a slot when the table fails, loses replies, or another instance has taken the
+//! slot.
 
 mod support;
 
@@ -18,9 +19,9 @@
 fn totals(node: &mut Node, now: &mut Instant, table: &mut Table, holder: &str) -> Vec<u64> {
     let holder = holder.into();
     let phase = Phase::Freeze;
-    let reply = node.after_commit(now, table, &Request::Close { holder, phase });
+    let reply = node.reply_after_commit(now, table, &Request::Close { holder, phase });
     let Reply::Closed { totals, .. } = reply else {
-        panic!("closed, not {reply:?}");
+        panic!("expected `Reply::Closed`, got {reply:?}");
     };
     totals.into_iter().map(|(_, charged)| charged.0).collect()
 }
@@ -31,22 +32,22 @@
 }
 
 fn is_compaction(row: &Row) -> bool {
-    let batch: Batch = postcard::from_bytes(&row.value).expect("a log row");
+    let batch: Batch = postcard::from_bytes(&row.value).expect("the row is a log row");
     let is_compaction = |record: &Record| matches!(record, Record::Compact { .. });
     batch.records.iter().any(is_compaction)
 }
 
 #[test]
 fn a_lost_reply_neither_refuses_nor_logs_twice() {
-    // Symptom: a call is refused although its claim is on record, or its record stands in the log twice.
-    // Events: the table commits, its reply is lost, the next read works.
-    // Cause: the writer takes a lost reply for a failed write.
+    // The table commits, its reply is lost, and the next read works. If the lost reply were taken
+    // for a failed write, the call would be refused although its claim is recorded, or the record
+    // would be logged twice.
     let (mut now, mut table) = (Instant::from_millis(0), Table::default());
     let mut node = Node::holding("a.1", &mut now, &mut table);
     node.run(&mut now, &mut table, 100);
     let commits = table.commits;
 
-    let ticket = node.ask(now, &Request::Claim(non_repeatable("x", "r.1", 1)));
+    let ticket = node.submit(now, &Request::Claim(non_repeatable("x", "r.1", 1)));
     table.fault = Fault::LosesReplies;
     let step = node.arbiter.next_step(now).expect("a commit is due");
     let lost = table.carry_out(&step);
@@ -64,14 +65,14 @@
 
 #[test]
 fn a_write_that_arrives_after_its_repetition_changes_nothing() {
-    // Symptom: a bill is charged twice, or the holder believes that it lost its slot.
-    // Events: a commit is held up, the reading back finds nothing, the commit is sent again, then both arrive.
-    // Cause: the repetition is a new write rather than the same one.
+    // A commit is delayed, the read-back finds nothing, the commit is sent again, and then both
+    // arrive. If the retry were a new write rather than the same one, the bill would be charged
+    // twice, or the holder would believe that it lost its slot.
     let (mut now, mut table) = (Instant::from_millis(0), Table::default());
     let mut node = Node::holding("a.1", &mut now, &mut table);
     node.run(&mut now, &mut table, 100);
 
-    let ticket = node.ask(now, &Request::Bill(bill("x", "r.1", 1, 70)));
+    let ticket = node.submit(now, &Request::Bill(bill("x", "r.1", 1, 70)));
     now = now + settings().flush_interval;
     table.fault = Fault::Delays;
     let step = node.arbiter.next_step(now).expect("a commit is due");
@@ -91,27 +92,26 @@
 
 #[test]
 fn an_outage_refuses_single_calls_and_serves_the_others_from_memory() {
-    // Symptom: calls hang for the length of an outage, or a booking goes out without a record.
-    // Events: the table is down; both kinds of calls arrive.
-    // Cause: a claim that must be durable waits for a table that does not answer.
+    // Both kinds of calls arrive while the table is down. Non-repeatable calls must neither hang
+    // until the table recovers nor be sent without a durable claim.
     let (mut now, mut table) = (Instant::from_millis(0), Table::default());
     let mut node = Node::holding("a.1", &mut now, &mut table);
     table.fault = Fault::Down;
-    node.at_once(now, &Request::Claim(claim("w", "r.1", 1)));
+    node.reply_now(now, &Request::Claim(claim("w", "r.1", 1)));
     node.run(&mut now, &mut table, 200);
 
-    let refused = node.at_once(now, &Request::Claim(non_repeatable("x", "r.1", 2)));
-    let served = node.at_once(now, &Request::Claim(claim("y", "r.1", 3)));
-    let kept = node.at_once(now, &Request::Bill(bill("y", "r.1", 3, 70)));
-    let repeat = node.at_once(now, &Request::Claim(claim("y", "s.1", 1)));
+    let refused = node.reply_now(now, &Request::Claim(non_repeatable("x", "r.1", 2)));
+    let server_count = node.reply_now(now, &Request::Claim(claim("y", "r.1", 3)));
+    let kept = node.reply_now(now, &Request::Bill(bill("y", "r.1", 3, 70)));
+    let repeat = node.reply_now(now, &Request::Claim(claim("y", "s.1", 1)));
     node.run(&mut now, &mut table, 3_600_000);
     table.fault = Fault::None;
     node.run(&mut now, &mut table, 10_000);
-    let durable = node.at_once(now, &Request::Bill(bill("y", "r.1", 3, 70)));
+    let durable = node.reply_now(now, &Request::Bill(bill("y", "r.1", 3, 70)));
 
     assert_eq!(refused, Reply::Unavailable);
     assert_eq!(
-        served,
+        server_count,
         Reply::Granted {
             attempt: 3,
             durable: false
@@ -124,21 +124,20 @@
 
 #[test]
 fn a_claim_refused_in_an_outage_does_not_block_the_retry() {
-    // Symptom: a caller's retry of a refused booking is told for ever that it is under way.
-    // Events: the claim's commit takes effect, all replies are lost, the router refuses the call.
-    // Cause: the record of the claim outlives the refusal.
+    // The commit of a claim takes effect, all replies are lost, and the router refuses the call. If
+    // the claim stayed open, the caller's retry would be refused as in progress forever.
     let (mut now, mut table) = (Instant::from_millis(0), Table::default());
     let mut node = Node::holding("a.1", &mut now, &mut table);
     node.run(&mut now, &mut table, 100);
 
     table.fault = Fault::LosesReplies;
-    let refused = node.ask(now, &Request::Claim(non_repeatable("x", "r.1", 1)));
+    let refused = node.submit(now, &Request::Claim(non_repeatable("x", "r.1", 1)));
     node.run(&mut now, &mut table, 300);
     table.fault = Fault::None;
     node.run(&mut now, &mut table, 1_000);
-    let late_copy = node.at_once(now, &Request::Claim(non_repeatable("x", "r.1", 1)));
+    let late_copy = node.reply_now(now, &Request::Claim(non_repeatable("x", "r.1", 1)));
     let retry = non_repeatable("x", "s.1", 1);
-    let retried = node.after_commit(&mut now, &mut table, &Request::Claim(retry));
+    let retried = node.reply_after_commit(&mut now, &mut table, &Request::Claim(retry));
 
     assert_eq!(node.replies[&refused], Reply::Unavailable);
     assert_eq!(late_copy, Reply::Unavailable);
@@ -153,19 +152,19 @@
 
 #[test]
 fn a_paused_holder_grants_nothing_durable_after_it_was_replaced() {
-    // Symptom: a booking runs twice.
-    // Events: a holder takes a claim, pauses past its lease, another instance takes the slot and grants the same
-    // request, the first one wakes and commits.
-    // Cause: the lease was checked before the pause, not by the table.
+    // A holder receives a claim and pauses past its lease; another instance takes the slot and
+    // grants the same request; the first one resumes and commits. The table must reject that
+    // commit, since a lease checked before the pause does not prevent the booking from running
+    // twice.
     let (mut now, mut table) = (Instant::from_millis(0), Table::default());
     let mut paused = Node::holding("a.1", &mut now, &mut table);
     paused.run(&mut now, &mut table, 100);
 
-    let ticket = paused.ask(now, &Request::Claim(non_repeatable("x", "r.1", 1)));
+    let ticket = paused.submit(now, &Request::Claim(non_repeatable("x", "r.1", 1)));
     let mut successor = Node::new("b.1", settings());
     successor.take(&mut now, &mut table, &["a.1"]);
     let other = non_repeatable("x", "s.1", 1);
-    let granted = successor.after_commit(&mut now, &mut table, &Request::Claim(other));
+    let granted = successor.reply_after_commit(&mut now, &mut table, &Request::Claim(other));
     paused.run(&mut now, &mut table, 300);
 
     assert_eq!(
@@ -195,19 +194,18 @@
 
 #[test]
 fn a_bill_lost_with_a_paused_holder_is_charged_by_the_next_one() {
-    // Symptom: an answered request is never billed.
-    // Events: a holder decides a bill and is replaced before the commit; the router sends the bill again.
-    // Cause: the bill is taken as settled before it is durable.
+    // A holder decides a bill and is replaced before the commit. The router must keep the bill
+    // until it is durable and send it again; otherwise the request is never billed.
     let (mut now, mut table) = (Instant::from_millis(0), Table::default());
     let mut paused = Node::holding("a.1", &mut now, &mut table);
     paused.run(&mut now, &mut table, 100);
 
-    let unanswered = paused.ask(now, &Request::Bill(bill("x", "r.1", 1, 70)));
+    let unanswered = paused.submit(now, &Request::Bill(bill("x", "r.1", 1, 70)));
     let mut successor = Node::new("b.1", settings());
     successor.take(&mut now, &mut table, &["a.1"]);
     paused.run(&mut now, &mut table, 300);
     let bill = Request::Bill(bill("x", "r.1", 1, 70));
-    let again = successor.after_commit(&mut now, &mut table, &bill);
+    let again = successor.reply_after_commit(&mut now, &mut table, &bill);
 
     assert_eq!(paused.replies[&unanswered], Reply::NotHolder);
     assert_eq!(again, billed(70));
@@ -215,9 +213,8 @@
 
 #[test]
 fn what_waits_for_the_table_is_bounded() {
-    // Symptom: memory grows through an outage until the process is killed, and every bill with it.
-    // Events: the table is down and requests keep coming.
-    // Cause: no limit on what waits.
+    // Requests keep arriving while the table is down. Without a limit on pending records, memory
+    // would grow until the process is killed and all bills are lost.
     let (mut now, mut table) = (Instant::from_millis(0), Table::default());
     let settings = Settings {
         pending_limit: 20,
@@ -230,7 +227,7 @@
     let mut replies = Vec::new();
     for attempt in 1..=100 {
         let claim = claim(&format!("x{attempt}"), "r.1", attempt);
-        replies.push(node.at_once(now, &Request::Claim(claim)));
+        replies.push(node.reply_now(now, &Request::Claim(claim)));
     }
 
     assert!(node.arbiter.pending() <= 22);
@@ -243,9 +240,9 @@
     let mut node = Node::holding("a.1", &mut now, &mut table);
     node.run(&mut now, &mut table, 100);
 
-    let ticket = node.ask(now, &Request::Claim(non_repeatable("x", "r.1", 1)));
+    let ticket = node.submit(now, &Request::Claim(non_repeatable("x", "r.1", 1)));
     table.fault = Fault::Busy;
-    node.turn(now, &mut table);
+    node.run_due_steps(now, &mut table);
     table.fault = Fault::None;
     node.run(&mut now, &mut table, 500);
 
@@ -260,9 +257,9 @@
 
 #[test]
 fn a_checkpoint_replaces_the_log_and_loses_nothing() {
-    // Symptom: after a hand-over a bill is charged again, or the log grows without end.
-    // Events: many commits, checkpoints, removal of log rows, then another instance takes the slot.
-    // Cause: a row is removed that no checkpoint covers, or names are numbered differently.
+    // Many commits, checkpoints and deletions of log rows precede a takeover. If a row were deleted
+    // that no checkpoint covers, or names were renumbered differently, a bill would be charged
+    // again after the takeover. The log must not grow without limit either.
     let (mut now, mut table) = (Instant::from_millis(0), Table::default());
     let settings = Settings {
         checkpoint_every: 4,
@@ -276,7 +273,7 @@
         let id = format!("x{attempt}");
         let holder = format!("r{}.1", attempt % 7);
         let bill = Request::Bill(bill(&id, &holder, attempt, 10));
-        node.after_commit(&mut now, &mut table, &bill);
+        node.reply_after_commit(&mut now, &mut table, &bill);
     }
     let mut successor = Node::new("b.1", support::settings());
     successor.take(&mut now, &mut table, &["a.1"]);
@@ -298,18 +295,17 @@
 
     let again = Request::Bill(bill("x1", "r1.1", 1, 10));
     let other = Request::Bill(bill("x120", "s.1", 1, 10));
-    assert_eq!(successor.at_once(now, &again), billed(10));
-    assert_eq!(successor.at_once(now, &other), billed(0));
+    assert_eq!(successor.reply_now(now, &again), billed(10));
+    assert_eq!(successor.reply_now(now, &other), billed(0));
     // Attempts 1, 8, ... 120.
     assert_eq!(totals(&mut successor, &mut now, &mut table, "r1.1"), [180]);
 }
 
 #[test]
 fn a_hand_over_between_a_checkpoint_and_its_adoption_keeps_names_apart() {
-    // Symptom: tokens are charged to another group or router after a hand-over.
-    // Events: a holder drops names that nothing refers to and numbers the rest anew, logs bills under the new
-    // numbers, and is replaced before the checkpoint is in force; its successor replays the log.
-    // Cause: the log does not say where the numbers changed.
+    // A holder compacts and renumbers its names, logs bills under the new numbers, and is replaced
+    // before the checkpoint is active. Its successor replays the log. If the log did not record the
+    // renumbering, tokens would be charged to another group or router.
     let (mut now, mut table) = (Instant::from_millis(0), Table::default());
     let retention = Retention {
         repeatable: Duration::from_secs(1),
@@ -323,25 +319,25 @@
     };
     let mut node = Node::new("a.1", settings);
     node.take(&mut now, &mut table, &[]);
-    // The first names belong to a released request, which leaves nothing behind.
-    node.after_commit(&mut now, &mut table, &release("gone", "g.1", 1));
+    // The first names belong to a released request, of which nothing remains.
+    node.reply_after_commit(&mut now, &mut table, &release("gone", "g.1", 1));
     for holder in ["h.1", "i.1", "j.1", "k.1"] {
         let bill = Request::Bill(Bill {
             oldest: 2,
             ..bill(holder, holder, 1, 10)
         });
-        node.after_commit(&mut now, &mut table, &bill);
+        node.reply_after_commit(&mut now, &mut table, &bill);
     }
     let close = Request::Close {
         holder: "g.1".into(),
         phase: Phase::Finish,
     };
-    node.after_commit(&mut now, &mut table, &close);
+    node.reply_after_commit(&mut now, &mut table, &close);
     let day = Duration::from_secs(25 * 3600);
     now = now + day;
     node.run(&mut now, &mut table, 60_000);
 
-    node.ask(now, &Request::Bill(bill("x", "k.1", 2, 5)));
+    node.submit(now, &Request::Bill(bill("x", "k.1", 2, 5)));
     let mut compacted = false;
     while !compacted {
         now = now + Duration::from_millis(10);
@@ -358,7 +354,7 @@
             "nothing was compacted"
         );
     }
-    node.ask(now, &Request::Bill(bill("y", "k.1", 3, 7)));
+    node.submit(now, &Request::Bill(bill("y", "k.1", 3, 7)));
     now = now + Duration::from_millis(100);
     let step = node.arbiter.next_step(now).expect("a commit is due");
     table.carry_out(&step);
@@ -379,7 +375,7 @@
 
     node.arbiter.set_wanted(now, &[]);
     table.fault = Fault::LosesReplies;
-    node.turn(now, &mut table);
+    node.run_due_steps(now, &mut table);
     table.fault = Fault::None;
     node.run(&mut now, &mut table, 1_000);
 
@@ -387,7 +383,8 @@
     assert!(node.notes.iter().any(is_released), "{:?}", node.notes);
 }
 
-// Guards against a hand-over of many slots that the table refuses for its size, so that a drain never ends.
+// A release of many slots at once must not exceed the table's transaction limit; otherwise a drain
+// would never end.
 #[test]
 fn a_hand_back_of_all_slots_fits_the_tables_transactions() {
     let (mut now, mut table) = (Instant::from_millis(0), Table::default());
@@ -398,7 +395,7 @@
     node.run(&mut now, &mut table, 2_000);
     for slot in slots {
         let claim = Request::Claim(claim("a request", "a.1", 1));
-        node.ask_slot(now, slot, &claim);
+        node.submit_to(now, slot, &claim);
     }
 
     node.arbiter.set_wanted(now, &[]);
@@ -410,10 +407,9 @@
 
 #[test]
 fn an_old_copy_of_a_bill_is_not_charged_after_its_entry_was_dropped() {
-    // Symptom: a group is charged twice for one request, minutes apart.
-    // Events: a bill is answered, its entry is dropped when its time is up, and a copy of the bill that was held up
-    // on the way, or the backend server's record of the stream, turns up.
-    // Cause: the slot has forgotten that there was a bill.
+    // A bill is confirmed and its entry expires. Then a delayed copy of the bill, or the backend
+    // server's record of the stream, arrives. The slot no longer knows the request and must not
+    // charge the group a second time.
     let (mut now, mut table) = (Instant::from_millis(0), Table::default());
     let retention = Retention {
         repeatable: Duration::from_secs(1),
@@ -436,13 +432,13 @@
         ..bill("y", "r.1", 2, 30)
     });
 
-    node.after_commit(&mut now, &mut table, &first);
+    node.reply_after_commit(&mut now, &mut table, &first);
     node.run(&mut now, &mut table, 5_000);
-    let kept = node.at_once(now, &lookup("x"));
-    node.after_commit(&mut now, &mut table, &second);
+    let kept = node.reply_now(now, &lookup("x"));
+    node.reply_after_commit(&mut now, &mut table, &second);
     node.run(&mut now, &mut table, 60_000);
-    let dropped = node.at_once(now, &lookup("x"));
-    let late_copy = node.after_commit(&mut now, &mut table, &first);
+    let dropped = node.reply_now(now, &lookup("x"));
+    let late_copy = node.reply_after_commit(&mut now, &mut table, &first);
 
     assert!(
         matches!(kept, Reply::Known(RequestState::Done { .. })),
@@ -454,16 +450,16 @@
 
 #[test]
 fn a_release_that_overtakes_its_claim_still_counts() {
-    // Symptom: a request stays under way for ever at a router that has given it up.
-    // Events: the claim times out at its router, the release arrives first, then the claim.
-    // Cause: the release of an unknown claim leaves no trace.
+    // A claim times out at its router, and the release overtakes the claim. If the release of an
+    // unknown claim left no entry, the late claim would stay open forever at a router that has
+    // given it up.
     let (mut now, mut table) = (Instant::from_millis(0), Table::default());
     let mut node = Node::holding("a.1", &mut now, &mut table);
 
-    let released = node.after_commit(&mut now, &mut table, &release("x", "r.1", 1));
-    let late = node.at_once(now, &Request::Claim(non_repeatable("x", "r.1", 1)));
+    let released = node.reply_after_commit(&mut now, &mut table, &release("x", "r.1", 1));
+    let late = node.reply_now(now, &Request::Claim(non_repeatable("x", "r.1", 1)));
     let retry = non_repeatable("x", "r.1", 2);
-    let retried = node.after_commit(&mut now, &mut table, &Request::Claim(retry));
+    let retried = node.reply_after_commit(&mut now, &mut table, &Request::Claim(retry));
 
     assert_eq!(released, Reply::Released);
     assert_eq!(late, Reply::Unavailable);
@@ -478,14 +474,13 @@
 
 #[test]
 fn a_slot_with_a_missing_log_row_is_not_served() {
-    // Symptom: a booking runs twice after a hand-over.
-    // Events: a log row that the slot's row counts is missing when the next holder reads the log.
-    // Cause: the holder answers from half a log.
+    // A log row that the slot's log should contain is missing when the next holder loads it. If the
+    // holder replied from the incomplete log, a booking could run twice.
     let (mut now, mut table) = (Instant::from_millis(0), Table::default());
     let mut node = Node::holding("a.1", &mut now, &mut table);
     for attempt in 1..=3 {
         let claim = non_repeatable(&format!("x{attempt}"), "r.1", attempt);
-        node.after_commit(&mut now, &mut table, &Request::Claim(claim));
+        node.reply_after_commit(&mut now, &mut table, &Request::Claim(claim));
     }
     table.rows.remove("slotlog/0000/0000000000000002");
 
