--- a/crates/fescuewell_claims/src/client.rs
+++ b/crates/fescuewell_claims/src/client.rs
@@ -34,7 +34,7 @@
 //! ```
 
 mod event;
-mod item;
+mod pending;
 mod settings;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -52,7 +52,7 @@
 pub use event::Event;
 pub use settings::Settings;
 
-use item::{Kind, Pending};
+use pending::{Kind, Pending};
 
 /// A request to be claimed and billed.
 #[derive(Debug, Clone, PartialEq, Eq)]
