--- a/crates/fescuewell_claims/src/arbiter.rs
+++ b/crates/fescuewell_claims/src/arbiter.rs
@@ -92,7 +92,7 @@
     terminated: BTreeSet<Arc<str>>,
     held: BTreeMap<SlotKey, Held>,
     loading: BTreeMap<SlotKey, Loading>,
-    /// Slot rows from the last poll, until one of them is known to be outdated.
+    /// Slot rows from the last poll, kept while they may show slots to take.
     polled_rows: Option<BTreeMap<SlotKey, (SlotRow, u64)>>,
     outstanding: Option<Outstanding>,
     in_flight: Option<GroupCommit>,
@@ -102,7 +102,7 @@
     /// Earliest time of the next table step after a failure.
     retry_at: Instant,
     failures: u32,
-    /// Whether the last table step succeeded.
+    /// Whether the table accepts writes, judging by the last steps.
     writable: bool,
     /// The last slot of the previous commit; the next one starts with the slot after it.
     cursor: SlotKey,
@@ -192,7 +192,7 @@
         self.held.is_empty() && self.loading.is_empty()
     }
 
-    /// Whether the last table step succeeded.
+    /// Whether the table accepts writes, judging by the last steps.
     pub fn is_writable(&self) -> bool {
         self.writable
     }
@@ -328,7 +328,7 @@
                 table::Reply::Outcome(_),
             ) => self.trimmed(slot, garbage, trim_from),
             // A reply of the wrong type carries no information; the step is scheduled again.
-            (Outstanding::Commit, _) => self.mark_outcome_unknown(),
+            (Outstanding::Commit, _) => self.mark_unknown(),
             _ => {}
         }
     }
--- a/crates/fescuewell_claims/src/arbiter/commit.rs
+++ b/crates/fescuewell_claims/src/arbiter/commit.rs
@@ -240,7 +240,7 @@
         self.resolve(now, rows);
     }
 
-    pub(super) fn mark_outcome_unknown(&mut self) {
+    pub(super) fn mark_unknown(&mut self) {
         if let Some(in_flight) = &mut self.in_flight {
             in_flight.is_unknown = true;
         }
@@ -342,7 +342,7 @@
         let is_commit = matches!(outstanding, Outstanding::Commit);
         let is_unknown = matches!(error, table::Error::Unknown { .. });
         if is_commit && is_unknown {
-            self.mark_outcome_unknown();
+            self.mark_unknown();
         }
         // A single lost reply is not an outage: the rows are read back at once, and waiting
         // requests are refused only if that fails too.
--- a/crates/fescuewell_claims/src/arbiter/settings.rs
+++ b/crates/fescuewell_claims/src/arbiter/settings.rs
@@ -18,8 +18,8 @@
     /// with records costs one row per commit, so a fleet writes at most `slots / flush_interval`
     /// rows per second plus one for each non-repeatable call.
     pub flush_interval: Duration,
-    /// Interval between polls of the slot rows while another instance holds a wanted slot or the
-    /// table is down.
+    /// Interval between polls of the slot rows while a wanted slot is not held or the table is
+    /// down.
     pub poll_interval: Duration,
     /// Interval between polls otherwise, so that an idle holder learns that its slot was taken.
     pub idle_poll_interval: Duration,
--- a/crates/fescuewell_claims/src/ledger.rs
+++ b/crates/fescuewell_claims/src/ledger.rs
@@ -56,7 +56,7 @@
     pub now: Instant,
     /// Routers that the instance list reports as terminated.
     pub terminated: &'a BTreeSet<Arc<str>>,
-    /// Whether the last table step succeeded.
+    /// Whether the table accepts writes.
     pub writable: bool,
 }
 
--- a/crates/fescuewell_claims/src/sweep.rs
+++ b/crates/fescuewell_claims/src/sweep.rs
@@ -45,7 +45,8 @@
     pub listing_delay: Duration,
     /// Time between two listings of one server, and before a request without a reply is repeated.
     pub retry_interval: Duration,
-    /// Maximum number of actions returned by one call, besides cancellations.
+    /// Limit on the actions returned by one call. Cancellations count towards it but are always
+    /// returned.
     pub max_batch: usize,
 }
 
--- a/crates/fescuewell_claims/tests/fleet/world.rs
+++ b/crates/fescuewell_claims/tests/fleet/world.rs
@@ -389,7 +389,7 @@
             self.now = self.now + TICK;
             self.carry_messages();
             self.work();
-            self.handle_client_events();
+            self.handle_events();
             self.sweep();
         }
     }
@@ -455,18 +455,18 @@
         }
     }
 
-    fn handle_client_events(&mut self) {
+    fn handle_events(&mut self) {
         for index in 0..INSTANCES {
             if self.instances[index].is_paused {
                 continue;
             }
             for event in self.instances[index].client.take_events() {
-                self.handle_client_event(event);
+                self.handle_event(event);
             }
         }
     }
 
-    fn handle_client_event(&mut self, event: ClientEvent) {
+    fn handle_event(&mut self, event: ClientEvent) {
         match event {
             ClientEvent::ClaimAnswered { ticket, result, .. } => {
                 let index = ticket as usize;
