--- a/crates/fescuewell_claims/src/ledger/claim.rs
+++ b/crates/fescuewell_claims/src/ledger/claim.rs
@@ -2,17 +2,17 @@
 
 use fescuewell_core::prelude::*;
 
-use super::entry::{NO_SERVER, Status, short};
-use super::{Decision, Entry, Ledger, View};
-use crate::message::{Assignment, Claim, Known, Owner, Reply};
+use super::entry::{NO_SERVER, Status, truncate};
+use super::{Context, Decision, Entry, Ledger};
+use crate::message::{Assignment, Claim, Owner, Reply, RequestState};
 use crate::note::Note;
 use crate::record::{NameKey, Record, Run};
 use crate::stream;
 
 impl Ledger {
-    pub(super) fn claim(&mut self, view: &View<'_>, claim: &Claim) -> Decision {
-        // A claim of a closed router can only be an old message. Granting it would leave a claim
-        // that nobody will ever bill or release.
+    pub(super) fn claim(&mut self, context: &Context<'_>, claim: &Claim) -> Decision {
+        // A claim from a closed router can only be a delayed message. If it were granted, nobody
+        // would ever bill or release it.
         if self.is_closed(&claim.owner.holder) {
             return Decision::now(Reply::Unavailable);
         }
@@ -21,25 +21,25 @@
             if run.is_some_and(|run| self.is_settled(run)) {
                 return Decision::now(Reply::Unavailable);
             }
-            return self.grant(view, claim);
+            return self.grant(context, claim);
         };
         if run == Some(entry.owner) {
-            return self.claim_again(claim, &entry);
+            return self.repeat_claim(claim, &entry);
         }
         if entry.status == Status::Released {
-            return self.grant(view, claim);
+            return self.grant(context, claim);
         }
-        if entry.fingerprint != 0 && entry.fingerprint != short(claim.fingerprint) {
-            return Decision::now(Reply::Known(Known::Conflict));
+        if entry.fingerprint != 0 && entry.fingerprint != truncate(claim.fingerprint) {
+            return Decision::now(Reply::Known(RequestState::Conflict));
         }
-        if self.may_run_again(view, claim, &entry) {
-            return self.grant(view, claim);
+        if self.may_run_again(context, claim, &entry) {
+            return self.grant(context, claim);
         }
         Decision::now(Reply::Known(self.known(claim.request, &entry)))
     }
 
-    /// The same run asks again, because its answer was lost or late.
-    fn claim_again(&self, claim: &Claim, entry: &Entry) -> Decision {
+    /// Handles a claim that the same attempt sends again because the reply was lost or late.
+    fn repeat_claim(&self, claim: &Claim, entry: &Entry) -> Decision {
         let granted = Reply::Granted {
             attempt: entry.owner.attempt,
             durable: !entry.repeatable,
@@ -47,27 +47,27 @@
         match entry.status {
             Status::Open if entry.repeatable => Decision::now(granted),
             Status::Open => Decision::after_commit(granted),
-            // The router gave this run up, or was told that it was not recorded. A late copy of the
-            // claim must not bring it back: no bill or release would ever follow.
+            // The router released this attempt, or was told that its claim was not recorded. A
+            // delayed copy of the claim must not reopen it, since no bill or release would follow.
             Status::Released => Decision::now(Reply::Unavailable),
             Status::Done => Decision::now(Reply::Known(self.known(claim.request, entry))),
         }
     }
 
-    /// Whether a claimed or billed request is given to another router.
+    /// Whether a claimed or billed request is granted to another router.
     ///
-    /// Only a repeatable one ever is, and not while its router lives: that router may be retrying
-    /// it elsewhere at this moment. When the router is gone and its backend server is known, the
-    /// caller is first sent to that stream; only when the server has no record of it (`lost`) does
-    /// the request run anew. Whichever run is billed first is the only one charged.
-    fn may_run_again(&self, view: &View<'_>, claim: &Claim, entry: &Entry) -> bool {
+    /// Only a repeatable request is, and not while its router is alive, since that router may be
+    /// retrying it elsewhere. If the router is gone and its backend server is known, the caller is
+    /// directed to that stream first; the request runs again only if the server has no record of
+    /// the stream (`lost`). Only the attempt that is billed first is charged.
+    fn may_run_again(&self, context: &Context<'_>, claim: &Claim, entry: &Entry) -> bool {
         if !entry.repeatable || !claim.repeatable {
             return false;
         }
         match entry.status {
             Status::Released => true,
             Status::Done => !entry.complete,
-            Status::Open if !self.is_gone(view, entry.owner.holder) => false,
+            Status::Open if !self.is_gone(context, entry.owner.holder) => false,
             Status::Open => {
                 let lost = claim.lost.as_ref().and_then(|owner| self.run(owner));
                 entry.server == NO_SERVER || lost == Some(entry.owner)
@@ -75,10 +75,10 @@
         }
     }
 
-    fn grant(&mut self, view: &View<'_>, claim: &Claim) -> Decision {
-        // No table, no claim: what may not be repeated is refused at once rather than left to wait
-        // for a commit that may be an hour away.
-        if !claim.repeatable && !view.writable {
+    fn grant(&mut self, context: &Context<'_>, claim: &Claim) -> Decision {
+        // While the table is down, a non-repeatable request is refused at once instead of waiting
+        // for a commit that may take an hour.
+        if !claim.repeatable && !context.writable {
             return Decision::now(Reply::Unavailable);
         }
         let mut records = Vec::with_capacity(3);
@@ -87,7 +87,7 @@
         let attempt = claim.owner.attempt;
         records.push(Record::Claim {
             request: claim.request,
-            fingerprint: short(claim.fingerprint),
+            fingerprint: truncate(claim.fingerprint),
             group,
             run: Run { holder, attempt },
             hold: claim.hold,
@@ -113,8 +113,8 @@
         let entry = self.entries.get(&request);
         let is_owner =
             entry.is_some_and(|entry| entry.status == Status::Open && Some(entry.owner) == run);
-        // A claim that vanished with a former holder of the slot cannot be assigned; the sweep finds such
-        // a run by its stream.
+        // A claim that was lost with a previous holder of the slot cannot be assigned. The sweep
+        // finds such an attempt by its stream.
         if !is_owner {
             return Decision::now(Reply::Assigned);
         }
@@ -172,8 +172,8 @@
             .with_note(note)
     }
 
-    /// A release without a known claim leaves an entry too: the claim itself may still be under way
-    /// on another connection, and would otherwise be granted to a router that has given up.
+    /// Also creates an entry if the claim is unknown: the claim may still be in transit on another
+    /// connection, and would otherwise be granted to a router that has given up.
     pub(super) fn apply_release(&mut self, now: Instant, request: Digest, run: Run) {
         let entry = self
             .entries
@@ -183,18 +183,18 @@
             true => Status::Done,
             false => Status::Released,
         };
-        self.finished(now, request);
+        self.schedule_expiry(now, request);
     }
 
-    pub(super) fn known(&self, request: Digest, entry: &Entry) -> Known {
+    pub(super) fn known(&self, request: Digest, entry: &Entry) -> RequestState {
         let assignment = self.assignment(request, entry);
         if entry.status == Status::Open {
             let owner = self.owner(entry.owner);
-            return Known::InProgress { owner, assignment };
+            return RequestState::InProgress { owner, assignment };
         }
-        Known::Done {
+        RequestState::Done {
             assignment,
-            answer: self.answers.get(&request).cloned(),
+            response: self.responses.get(&request).cloned(),
             in_doubt: entry.in_doubt || !entry.complete,
         }
     }
@@ -204,8 +204,8 @@
             return None;
         }
         let server = self.names.name(entry.server).clone();
-        let odd = self.streams.get(&request).cloned();
-        let stream = odd.unwrap_or_else(|| stream::id(&self.owner(entry.owner), request));
+        let explicit = self.streams.get(&request).cloned();
+        let stream = explicit.unwrap_or_else(|| stream::id(&self.owner(entry.owner), request));
         Some(Assignment { server, stream })
     }
 }
