--- a/crates/fescuewell_forward/src/choice.rs
+++ b/crates/fescuewell_forward/src/choice.rs
@@ -1,7 +1,8 @@
-//! Which backend server gets a request.
+//! Load balancing: which backend server receives a request.
 //!
-//! Model engines keep the prompt parts that they have read, and reading them again costs time. All instances
-//! rank the engines of a prompt in the same order (rendezvous hashing), so that they agree without talking. The first in that order is taken unless it is clearly busier than the others.
+//! Model engines cache the prompt prefixes that they have processed, and processing them again takes time. All instances rank the
+//! engines for a prefix in the same order (rendezvous hashing), so that they agree without coordination. The first in that order is
+//! picked unless it is clearly busier than the others.
 
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -12,279 +13,315 @@
 use crate::health::Health;
 use crate::server::Entry;
 
-/// A request as the choice sees it.
+/// Properties of a request that the balancer uses.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Query<'a> {
-    /// The prompt part, shared with other requests, that is worth finding again.
+pub struct Criteria<'a> {
+    /// Identity of the longest prompt prefix that is shared with other requests.
     pub affinity: Option<&'a str>,
-    /// Tokens of the prompt up to that part.
+    /// Number of tokens in that prefix.
     pub shared_tokens: u64,
     /// Availability zone of the instance.
     pub zone: &'a str,
-    /// A number that differs from request to request.
-    pub draw: u64,
+    /// Random number that breaks ties.
+    pub random: u64,
 }
 
-/// What this instance has under way at one backend server.
+/// Load that one instance places on a backend server.
 #[derive(Debug, Default, Clone, Copy)]
-struct Busy {
-    running: u32,
-    unread: u64,
+struct ServerLoad {
+    in_flight: u32,
+    pending_prefill: u64,
 }
 
-/// Requests under way at each backend server, sent by this instance.
+/// In-flight requests at each backend server, sent by this instance or reported by others.
 #[derive(Debug, Default)]
 pub struct Load {
-    servers: HashMap<Arc<str>, Busy>,
-    peers: HashMap<Arc<str>, Heard>,
-    kept: Kept,
+    servers: HashMap<Arc<str>, ServerLoad>,
+    peers: HashMap<Arc<str>, PeerLoad>,
+    prefixes: PrefixIndex,
 }
 
-/// Which servers are known to keep a prompt part, from own requests and from the reports of others.
+/// Index of the servers that cache a prompt prefix, from own requests and reports of other instances.
 #[derive(Debug, Default)]
-struct Kept {
-    parts: HashMap<u64, Vec<Copy>>,
-    fresh: Vec<(u64, Arc<str>, u64)>,
+struct PrefixIndex {
+    locations: HashMap<u64, Vec<Location>>,
+    /// New locations to report: prefix, server, time.
+    unreported: Vec<(u64, Arc<str>, u64)>,
 }
 
-/// A part at a server, and when it was last used there.
+/// A server that caches a prefix and the time of the last use.
 #[derive(Debug)]
-struct Copy {
+struct Location {
     server: Arc<str>,
-    used_ms: u64,
+    used_at_ms: u64,
 }
 
-/// A part that was not used for so long may have been displaced, in milliseconds.
-const KEPT_MS: u64 = 20_000;
-/// New copies are told for so long, in milliseconds, since a report may be lost.
-const FRESH_COPY_MS: u64 = 300;
-/// Most servers in one report, the busiest first: some 20 bytes each. Without a bound the report of an instance that has
-/// requests at a hundred servers outgrows a packet and is not sent at all.
-const MOST_SERVERS: usize = 40;
-/// Most copies in one report: it has to fit one packet.
-const MOST_COPIES: usize = 24;
-/// Most parts that are remembered.
-const MOST_PARTS: usize = 20_000;
-
-impl Kept {
-    /// Notes a use; returns whether the copy is new.
-    fn note(&mut self, part: u64, server: &Arc<str>, now_ms: u64) -> bool {
-        if self.parts.len() >= MOST_PARTS {
-            self.parts.clear();
+/// Time after its last use from which a prefix may have been evicted, in milliseconds.
+const PREFIX_TTL_MS: u64 = 20_000;
+/// Time for which a new location is repeated in reports, in milliseconds, since reports may be lost.
+const LOCATION_REPEAT_MS: u64 = 300;
+/// Maximum number of servers in a report, the busiest first; each takes some 20 bytes. A report of a hundred servers does not fit a
+/// packet and is not sent at all.
+const MAX_REPORTED_SERVERS: usize = 40;
+/// Maximum number of prefix locations in a report, which must fit a packet.
+const MAX_REPORTED_LOCATIONS: usize = 24;
+/// Maximum number of prefixes in the index.
+const MAX_PREFIXES: usize = 20_000;
+
+impl PrefixIndex {
+    /// Records a use. Returns `true` if the location is new.
+    fn record(&mut self, prefix: u64, server: &Arc<str>, now_ms: u64) -> bool {
+        if self.locations.len() >= MAX_PREFIXES {
+            self.locations.clear();
         }
-        let copies = self.parts.entry(part).or_default();
-        copies.retain(|copy| now_ms < copy.used_ms + KEPT_MS);
-        if let Some(copy) = copies.iter_mut().find(|copy| copy.server == *server) {
-            copy.used_ms = now_ms;
+        let locations = self.locations.entry(prefix).or_default();
+        locations.retain(|location| now_ms < location.used_at_ms + PREFIX_TTL_MS);
+        if let Some(location) = locations
+            .iter_mut()
+            .find(|location| location.server == *server)
+        {
+            location.used_at_ms = now_ms;
             return false;
         }
-        copies.push(Copy {
+        locations.push(Location {
             server: server.clone(),
-            used_ms: now_ms,
+            used_at_ms: now_ms,
         });
         true
     }
 
-    fn holds(&self, part: u64, server: &str) -> bool {
-        let copies = self.parts.get(&part);
-        copies.is_some_and(|copies| copies.iter().any(|copy| &*copy.server == server))
+    fn contains(&self, prefix: u64, server: &str) -> bool {
+        let locations = self.locations.get(&prefix);
+        locations
+            .is_some_and(|locations| locations.iter().any(|location| &*location.server == server))
     }
 }
 
-/// What another instance said of its own load.
+/// Load reported by another instance.
 #[derive(Debug)]
-struct Heard {
-    at_ms: u64,
-    number: u64,
-    servers: HashMap<Arc<str>, Busy>,
+struct PeerLoad {
+    received_at_ms: u64,
+    sequence: u64,
+    servers: HashMap<Arc<str>, ServerLoad>,
 }
 
-/// Age from which another instance's report counts no more, in milliseconds: it is repeated while it changes.
-const HEARD_MS: u64 = 1_500;
+/// Age from which a report of another instance is ignored, in milliseconds; instances repeat their reports more often.
+const REPORT_TTL_MS: u64 = 1_500;
 
-/// One instance's report of its load.
+/// Load report of one instance.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Who says it.
+    /// Name of the instance.
     pub instance: Arc<str>,
-    /// Rises with each report of one start.
-    pub number: u64,
-    /// Server, requests under way, prompt tokens still to be read.
+    /// Sequence number; increases for the lifetime of the process.
+    pub sequence: u64,
+    /// Server, number of in-flight requests, prompt tokens pending prefill.
     pub servers: Vec<(Arc<str>, u32, u64)>,
-    /// Parts that servers have been given lately: part and server.
-    pub copies: Vec<(u64, Arc<str>)>,
+    /// New prefix locations: prefix and server.
+    pub locations: Vec<(u64, Arc<str>)>,
 }
 
 impl Load {
-    /// One more request, with a prompt of so many tokens that are still to be read.
-    pub fn begin(&mut self, id: &Arc<str>, unread: u64) {
-        let busy = self.servers.entry(id.clone()).or_default();
-        busy.running += 1;
-        busy.unread += unread;
+    /// Adds an in-flight request with `pending_prefill` prompt tokens to process.
+    pub fn begin(&mut self, id: &Arc<str>, pending_prefill: u64) {
+        let load = self.servers.entry(id.clone()).or_default();
+        load.in_flight += 1;
+        load.pending_prefill += pending_prefill;
     }
 
-    /// A prompt has been read.
-    pub fn read(&mut self, id: &str, unread: u64) {
-        if let Some(busy) = self.servers.get_mut(id) {
-            busy.unread = busy.unread.saturating_sub(unread);
+    /// Reports that the server has processed a prompt.
+    pub fn finish_prefill(&mut self, id: &str, pending_prefill: u64) {
+        if let Some(load) = self.servers.get_mut(id) {
+            load.pending_prefill = load.pending_prefill.saturating_sub(pending_prefill);
         }
     }
 
-    /// One request fewer, its prompt having been read or given up.
+    /// Removes an in-flight request whose prefill is finished or abandoned.
     pub fn end(&mut self, id: &str) {
-        let Some(busy) = self.servers.get_mut(id) else {
+        let Some(load) = self.servers.get_mut(id) else {
             return;
         };
-        busy.running = busy.running.saturating_sub(1);
-        if busy.running == 0 {
+        load.in_flight = load.in_flight.saturating_sub(1);
+        if load.in_flight == 0 {
             self.servers.remove(id);
         }
     }
 
-    /// A server is given a prompt that has this part.
-    pub fn keep(&mut self, part: &str, server: &Arc<str>, now_ms: u64) {
-        let part = part_number(part);
-        if self.kept.note(part, server, now_ms) {
-            self.kept.fresh.push((part, server.clone(), now_ms));
+    /// Records that a server receives a prompt with this prefix.
+    pub fn record_prefix(&mut self, prefix: &str, server: &Arc<str>, now_ms: u64) {
+        let prefix = prefix_hash(prefix);
+        if self.prefixes.record(prefix, server, now_ms) {
+            self.prefixes
+                .unreported
+                .push((prefix, server.clone(), now_ms));
         }
     }
 
-    /// Tokens that a server would have to read for a prompt of `prompt` tokens: without the shared part that it keeps.
-    pub fn to_read(&self, prompt: u64, query: &Query<'_>, id: &str) -> u64 {
-        let is_kept = query
+    /// Number of tokens of a prompt that a server has to process: all of them, less the shared prefix if it is cached there.
+    pub fn uncached_tokens(&self, prompt: u64, criteria: &Criteria<'_>, id: &str) -> u64 {
+        let is_cached = criteria
             .affinity
-            .is_some_and(|part| self.kept.holds(part_number(part), id));
-        match is_kept {
-            true => prompt.saturating_sub(query.shared_tokens),
+            .is_some_and(|prefix| self.prefixes.contains(prefix_hash(prefix), id));
+        match is_cached {
+            true => prompt.saturating_sub(criteria.shared_tokens),
             false => prompt,
         }
     }
 
-    /// The own load, for the others.
-    pub fn report(&mut self, instance: Arc<str>, number: u64, now_ms: u64) -> Report {
-        self.kept
-            .fresh
-            .retain(|(_, _, at)| now_ms < at + FRESH_COPY_MS);
-        let copies = self.kept.fresh.iter().rev().take(MOST_COPIES);
-        let copies = copies.map(|(part, server, _)| (*part, server.clone()));
-        let copies = copies.collect();
-        let mut busiest: Vec<(&Arc<str>, &Busy)> = self.servers.iter().collect();
-        busiest.sort_by_key(|(_, busy)| std::cmp::Reverse((busy.unread, busy.running)));
-        let servers = busiest.into_iter().take(MOST_SERVERS);
-        let servers = servers.map(|(id, busy)| (id.clone(), busy.running, busy.unread));
+    /// Builds the report of the own load.
+    pub fn report(&mut self, instance: Arc<str>, sequence: u64, now_ms: u64) -> Report {
+        self.prefixes
+            .unreported
+            .retain(|(_, _, at)| now_ms < at + LOCATION_REPEAT_MS);
+        let locations = self
+            .prefixes
+            .unreported
+            .iter()
+            .rev()
+            .take(MAX_REPORTED_LOCATIONS);
+        let locations = locations.map(|(prefix, server, _)| (*prefix, server.clone()));
+        let locations = locations.collect();
+        let mut busiest: Vec<(&Arc<str>, &ServerLoad)> = self.servers.iter().collect();
+        busiest.sort_by_key(|(_, load)| std::cmp::Reverse((load.pending_prefill, load.in_flight)));
+        let servers = busiest.into_iter().take(MAX_REPORTED_SERVERS);
+        let servers = servers.map(|(id, load)| (id.clone(), load.in_flight, load.pending_prefill));
         Report {
             instance,
-            number,
+            sequence,
             servers: servers.collect(),
-            copies,
+            locations,
         }
     }
 
-    /// Takes another instance's report.
-    pub fn hear(&mut self, report: Report, now_ms: u64) {
+    /// Applies another instance's report. Older reports than the last one are ignored until that one expires.
+    pub fn apply_report(&mut self, report: Report, now_ms: u64) {
         let known = self.peers.get(&report.instance);
-        let is_old = known
-            .is_some_and(|heard| report.number <= heard.number && now_ms < heard.at_ms + HEARD_MS);
+        let is_old = known.is_some_and(|known| {
+            report.sequence <= known.sequence && now_ms < known.received_at_ms + REPORT_TTL_MS
+        });
         if is_old {
             return;
         }
-        for (part, server) in &report.copies {
-            self.kept.note(*part, server, now_ms);
+        for (prefix, server) in &report.locations {
+            self.prefixes.record(*prefix, server, now_ms);
         }
         let servers = report.servers.into_iter();
-        let servers = servers.map(|(id, running, unread)| (id, Busy { running, unread }));
-        let heard = Heard {
-            at_ms: now_ms,
-            number: report.number,
+        let servers = servers.map(|(id, in_flight, pending_prefill)| {
+            (
+                id,
+                ServerLoad {
+                    in_flight,
+                    pending_prefill,
+                },
+            )
+        });
+        let peer = PeerLoad {
+            received_at_ms: now_ms,
+            sequence: report.sequence,
             servers: servers.collect(),
         };
-        self.peers.insert(report.instance, heard);
+        self.peers.insert(report.instance, peer);
     }
 
-    /// Forgets the prompt parts that a server kept: it has started again, or is gone.
+    /// Forgets the prefixes cached by a server that has restarted or is gone.
     pub fn forget(&mut self, id: &str) {
-        for copies in self.kept.parts.values_mut() {
-            copies.retain(|copy| &*copy.server != id);
+        for locations in self.prefixes.locations.values_mut() {
+            locations.retain(|location| &*location.server != id);
         }
-        self.kept.fresh.retain(|(_, server, _)| &**server != id);
+        self.prefixes
+            .unreported
+            .retain(|(_, server, _)| &**server != id);
     }
 
-    /// Forgets reports that are too old.
+    /// Drops expired reports.
     pub fn expire(&mut self, now_ms: u64) {
         self.peers
-            .retain(|_, heard| now_ms < heard.at_ms + HEARD_MS);
+            .retain(|_, peer| now_ms < peer.received_at_ms + REPORT_TTL_MS);
     }
 
-    fn all(&self, id: &str) -> impl Iterator<Item = &Busy> {
-        let heard = self
+    /// Returns the loads that this instance and others place on a server.
+    fn loads(&self, id: &str) -> impl Iterator<Item = &ServerLoad> {
+        let reported = self
             .peers
             .values()
-            .filter_map(move |heard| heard.servers.get(id));
-        self.servers.get(id).into_iter().chain(heard)
+            .filter_map(move |peer| peer.servers.get(id));
+        self.servers.get(id).into_iter().chain(reported)
     }
 
-    /// Requests under way, of all instances that reported.
-    pub fn running(&self, id: &str) -> u32 {
-        self.all(id).map(|busy| busy.running).sum()
+    /// Number of in-flight requests at a server, including reported ones.
+    pub fn in_flight(&self, id: &str) -> u32 {
+        self.loads(id).map(|load| load.in_flight).sum()
     }
 
-    /// Prompt tokens still to be read.
-    pub fn unread(&self, id: &str) -> u64 {
-        self.all(id).map(|busy| busy.unread).sum()
+    /// Number of prompt tokens pending prefill at a server, including reported ones.
+    pub fn pending_prefill(&self, id: &str) -> u64 {
+        self.loads(id).map(|load| load.pending_prefill).sum()
     }
 }
 
-/// What reading shared parts again costs against waiting for so many tokens, in percent: the price of the
-/// second copy comes on top of its time.
-const AGAIN_PERCENT: u64 = 400;
-/// The same where no copy is known: instances that have not heard of each other then still agree.
+/// Cost of processing a cached prefix again at another server, in percent of its tokens. Above 100, since a second copy costs more
+/// than its computation time.
+const RECOMPUTE_PERCENT: u64 = 400;
+/// The same if no server is known to cache the prefix; keeps instances in agreement that have not received each other's reports.
 const UNKNOWN_PERCENT: u64 = 50;
-/// A running request slows the others down about as much as so many prompt tokens do.
-const RUNNING_TOKENS: u64 = 300;
-/// Shared tokens from which finding them again is worth more than an even load.
-const LEAST_SHARED: u64 = 1_000;
+/// Cost of an in-flight request, in prompt tokens; it slows the others down about as much as processing these would.
+const IN_FLIGHT_TOKENS: u64 = 300;
+/// Minimum number of shared tokens for which reuse of the prefix is worth more than an even load.
+const MIN_SHARED_TOKENS: u64 = 1_000;
 
-/// Picks one of the candidates; `None` when there are none.
+/// Picks one of the candidates, or returns `None` without candidates.
 pub fn pick<'a>(
     candidates: &[&'a Arc<Entry>],
-    query: &Query<'_>,
+    criteria: &Criteria<'_>,
     load: &Load,
     health: &Health,
     now_ms: u64,
 ) -> Option<&'a Arc<Entry>> {
-    let open: Vec<&Arc<Entry>> = candidates
+    let healthy: Vec<&Arc<Entry>> = candidates
         .iter()
         .copied()
-        .filter(|entry| !health.is_out(&entry.id, now_ms))
+        .filter(|entry| !health.is_ejected(&entry.id, now_ms))
         .collect();
-    // With all of them left out, the judgement is more likely wrong than every server.
-    let from = if open.is_empty() { candidates } else { &open };
-    match query.affinity {
-        Some(part) if query.shared_tokens >= LEAST_SHARED => by_cost(from, part, query, load),
-        _ => by_load(&not_slow(from, health, now_ms), query, load, health),
+    // If all servers are ejected, the cause is more likely elsewhere than in every server.
+    let from = if healthy.is_empty() {
+        candidates
+    } else {
+        &healthy
+    };
+    match criteria.affinity {
+        Some(prefix) if criteria.shared_tokens >= MIN_SHARED_TOKENS => {
+            pick_by_cost(from, prefix, criteria, load)
+        }
+        _ => pick_by_load(&without_slow(from, health, now_ms), criteria, load, health),
     }
 }
 
-/// Picks the candidate with the fewest in-flight requests, or `None` without candidates.
-pub fn quietest<'a>(
+/// Picks the candidate with the fewest in-flight requests, or returns `None` without candidates.
+pub fn least_loaded<'a>(
     candidates: &[&'a Arc<Entry>],
     load: &Load,
     health: &Health,
     now_ms: u64,
 ) -> Option<&'a Arc<Entry>> {
     let cost = |entry: &Arc<Entry>| {
-        let is_out = health.is_out(&entry.id, now_ms);
-        (is_out, load.running(&entry.id), entry.id.clone())
+        let is_ejected = health.is_ejected(&entry.id, now_ms);
+        (is_ejected, load.in_flight(&entry.id), entry.id.clone())
     };
     candidates.iter().copied().min_by_key(|entry| cost(entry))
 }
 
-/// Those that are not much slower than the others. Only where nothing is kept for the request: reading a
-/// long prompt again costs more than a slow server does.
-fn not_slow<'a>(from: &[&'a Arc<Entry>], health: &Health, now_ms: u64) -> Vec<&'a Arc<Entry>> {
+/// Returns the candidates that are not much slower than the others, or all of them if none remains. Not used for requests with a
+/// shared prefix: processing a long prefix again costs more than a slow server does.
+fn without_slow<'a>(from: &[&'a Arc<Entry>], health: &Health, now_ms: u64) -> Vec<&'a Arc<Entry>> {
     let ids = from.iter().map(|entry| &*entry.id);
-    let limit = health.slow_from(ids, now_ms).unwrap_or(f64::INFINITY);
-    let is_slow = |id: &str| health.measured(id, now_ms).is_some_and(|time| time > limit);
+    let limit_ms = health
+        .slow_threshold_ms(ids, now_ms)
+        .unwrap_or(f64::INFINITY);
+    let is_slow = |id: &str| {
+        health
+            .latency_ms(id, now_ms)
+            .is_some_and(|latency_ms| latency_ms > limit_ms)
+    };
     let fast: Vec<&Arc<Entry>> = from
         .iter()
         .copied()
@@ -293,67 +330,68 @@
     if fast.is_empty() { from.to_vec() } else { fast }
 }
 
-/// The server at which the prompt is read first: what waits there, and what it has to read again.
-fn by_cost<'a>(
+/// Picks the server that would finish processing the prompt first, by its pending tokens and the prefix tokens to process again.
+fn pick_by_cost<'a>(
     from: &[&'a Arc<Entry>],
-    part: &str,
-    query: &Query<'_>,
+    prefix: &str,
+    criteria: &Criteria<'_>,
     load: &Load,
 ) -> Option<&'a Arc<Entry>> {
     let mut ranked: Vec<&Arc<Entry>> = from.to_vec();
-    ranked.sort_by_key(|entry| std::cmp::Reverse(rank(part, &entry.id)));
-    let number = part_number(part);
-    let is_kept = ranked
+    ranked.sort_by_key(|entry| std::cmp::Reverse(rendezvous_weight(prefix, &entry.id)));
+    let hash = prefix_hash(prefix);
+    let is_cached = ranked
         .iter()
-        .any(|entry| load.kept.holds(number, &entry.id));
-    let again = query.shared_tokens * AGAIN_PERCENT / 100;
-    let cost = |place: usize, entry: &Arc<Entry>| {
-        let again = match (is_kept, place) {
-            (true, _) if load.kept.holds(number, &entry.id) => 0,
-            (true, _) => again,
-            // As far as is known the part has to be read wherever it goes.
+        .any(|entry| load.prefixes.contains(hash, &entry.id));
+    let recompute = criteria.shared_tokens * RECOMPUTE_PERCENT / 100;
+    let cost = |rank: usize, entry: &Arc<Entry>| {
+        let recompute = match (is_cached, rank) {
+            (true, _) if load.prefixes.contains(hash, &entry.id) => 0,
+            (true, _) => recompute,
+            // Every server has to process the prefix.
             (false, 0) => 0,
-            (false, _) => query.shared_tokens * UNKNOWN_PERCENT / 100,
+            (false, _) => criteria.shared_tokens * UNKNOWN_PERCENT / 100,
         };
-        let decoding = u64::from(load.running(&entry.id)) * RUNNING_TOKENS;
-        load.unread(&entry.id) + again + decoding
+        let decoding = u64::from(load.in_flight(&entry.id)) * IN_FLIGHT_TOKENS;
+        load.pending_prefill(&entry.id) + recompute + decoding
     };
     let costs = ranked.iter().enumerate();
-    let costs = costs.map(|(place, entry)| (cost(place, entry), place, *entry));
+    let costs = costs.map(|(rank, entry)| (cost(rank, entry), rank, *entry));
     costs
-        .min_by_key(|(cost, place, _)| (*cost, *place))
+        .min_by_key(|(cost, rank, _)| (*cost, *rank))
         .map(|(_, _, entry)| entry)
 }
 
-fn by_load<'a>(
+/// Picks the server with the lowest utilization and health penalty.
+fn pick_by_load<'a>(
     from: &[&'a Arc<Entry>],
-    query: &Query<'_>,
+    criteria: &Criteria<'_>,
     load: &Load,
     health: &Health,
 ) -> Option<&'a Arc<Entry>> {
     let cost = |entry: &Arc<Entry>| {
-        let running = f64::from(load.running(&entry.id));
-        let busy = running / f64::from(entry.slots.max(1));
-        busy + health.penalty(&entry.id)
+        let in_flight = f64::from(load.in_flight(&entry.id));
+        let utilization = in_flight / f64::from(entry.slots.max(1));
+        utilization + health.penalty(&entry.id)
     };
-    let tie = |entry: &Arc<Entry>| rank(&query.draw.to_string(), &entry.id);
+    let tie = |entry: &Arc<Entry>| rendezvous_weight(&criteria.random.to_string(), &entry.id);
     from.iter().copied().min_by(|left, right| {
         let order = cost(left).total_cmp(&cost(right));
         order.then_with(|| tie(left).cmp(&tie(right)))
     })
 }
 
-/// A part's identity as a number; equal on all instances of one program version.
-fn part_number(part: &str) -> u64 {
+/// Hash of a prefix's identity; equal on all instances of one program version.
+fn prefix_hash(prefix: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
-    part.hash(&mut hasher);
+    prefix.hash(&mut hasher);
     hasher.finish()
 }
 
-/// Rank of a server for a prompt part; equal on all instances of one program version.
-fn rank(part: &str, id: &str) -> u64 {
+/// Rendezvous weight of a server for a key; equal on all instances of one program version.
+fn rendezvous_weight(key: &str, id: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
-    part.hash(&mut hasher);
+    key.hash(&mut hasher);
     id.hash(&mut hasher);
     hasher.finish()
 }
--- a/crates/fescuewell_forward/src/config.rs
+++ b/crates/fescuewell_forward/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: routes, services, client accounts and limits, and lookups in them.
+//! The configuration: routes, services, client accounts and limits, and an index for lookups.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -6,38 +6,38 @@
 
 use crate::warmup;
 
-/// What a request of a route may suffer.
+/// Retry and streaming semantics of a route's requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// May run more than once.
+    /// May be executed more than once.
     Safe,
-    /// Runs at most once.
+    /// Executed at most once.
     Unsafe,
-    /// Answered by a series of events; runs at most once unless `resumable`.
+    /// Streams events; executed at most once unless `resumable`.
     Stream {
-        /// Whether another backend server may go on after the last event.
+        /// Whether another backend server can resume after the last event received.
         resumable: bool,
     },
 }
 
 impl Kind {
-    /// Whether a second run does no harm.
+    /// Returns `true` if the request may be executed more than once.
     pub fn is_idempotent(self) -> bool {
         matches!(self, Self::Safe | Self::Stream { resumable: true })
     }
 
-    /// Whether the answer is a series of events.
+    /// Returns `true` if the response is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
 }
 
-/// One service of a route and its part of the route's requests.
+/// A service of a route and its share of the route's requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Split {
     /// Name of the service.
     pub service: Arc<str>,
-    /// Weight against the route's other services.
+    /// Weight relative to the route's other services.
     pub weight: u32,
 }
 
@@ -46,39 +46,39 @@
 pub struct Route {
     /// Unique name.
     pub name: Arc<str>,
-    /// Host that it belongs to.
+    /// Host that it matches.
     pub host: Arc<str>,
-    /// Start of the paths that it serves.
+    /// Path prefix that it matches.
     pub prefix: Arc<str>,
-    /// What its requests may suffer.
+    /// Retry and streaming semantics of its requests.
     pub kind: Kind,
-    /// Longest time that a request is kept waiting.
+    /// Request timeout.
     pub timeout: Duration,
-    /// Time within which an answer has its full value.
+    /// Latency objective: a response within this time has its full value.
     pub target_latency: Duration,
-    /// Rank; 0 is served first.
+    /// Priority; 0 is the highest.
     pub priority: u8,
     /// Services that serve it.
     pub splits: Vec<Split>,
-    /// Most backend servers to which one request is sent.
+    /// Maximum number of backend servers that a request is sent to.
     pub max_attempts: u32,
-    /// Whether it is served without an account key.
+    /// Whether requests need no account key.
     pub public: bool,
-    /// Whether its requests name prompts whose parts backend servers keep.
+    /// Whether backend servers cache prompt prefixes of its requests.
     pub sticky: bool,
-    /// Longest pause between two events of an answer that is still on time.
-    pub gap: Duration,
+    /// Objective for the gap between two events of a stream.
+    pub target_gap: Duration,
 }
 
 impl Route {
-    /// The service for a request, by a number that is spread evenly over the requests.
-    pub fn service(&self, draw: u64) -> Option<&Arc<str>> {
+    /// Selects a service by weight, or returns `None` if all weights are 0. `random` is uniformly distributed.
+    pub fn service(&self, random: u64) -> Option<&Arc<str>> {
         let total: u64 = self
             .splits
             .iter()
             .map(|split| u64::from(split.weight))
             .sum();
-        let mut left = draw.checked_rem(total)?;
+        let mut left = random.checked_rem(total)?;
         for split in &self.splits {
             if left < u64::from(split.weight) {
                 return Some(&split.service);
@@ -89,77 +89,77 @@
     }
 }
 
-/// Properties of the model engines of a service.
+/// Properties of a service's model engines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Engine {
-    /// Requests in one batch.
+    /// Maximum batch size in requests.
     pub slots: u32,
-    /// Memory for tokens of one backend server.
-    pub capacity: u64,
-    /// Output tokens that one event holds.
+    /// Capacity of a backend server's KV cache in tokens.
+    pub kv_capacity: u64,
+    /// Number of output tokens per event.
     pub tokens_per_event: u64,
 }
 
-/// A group of backend servers that do the same work.
+/// A group of interchangeable backend servers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Service {
     /// Unique name.
     pub name: Arc<str>,
-    /// Connections that one backend server accepts from all its clients.
+    /// Maximum number of connections that a backend server accepts from all clients together.
     pub max_connections: usize,
-    /// Set where the backend servers are model engines.
+    /// Set if the backend servers are model engines.
     pub engine: Option<Engine>,
-    /// Set where its backend servers bear few requests after their start.
-    pub warmup: Option<warmup::Bound>,
+    /// Rate limit for cold backend servers, if any.
+    pub warmup: Option<warmup::Limit>,
 }
 
 /// A client account.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Tenant {
+pub struct Account {
     /// Unique name.
     pub name: Arc<str>,
-    /// Keys that its callers show.
+    /// API keys of its callers.
     pub keys: Vec<Arc<str>>,
-    /// Rank that goes before that of the route.
+    /// Priority that overrides the route's.
     pub priority: Option<u8>,
-    /// Total of tokens that it may consume; none where it does not pay by tokens.
+    /// Prepaid tokens in total, or `None` if it is not billed by tokens.
     pub prepaid: Option<u64>,
 }
 
-/// Bounds on what a caller may send and for how long it may stay idle.
+/// Limits on the size and duration of callers' requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Largest head, in bytes.
+    /// Maximum size of a request head in bytes.
     pub head_bytes: usize,
-    /// Largest body, in bytes.
+    /// Maximum size of a request body in bytes.
     pub body_bytes: usize,
-    /// Time for a whole head.
-    pub head_time: Duration,
-    /// Time between two requests of a connection.
-    pub idle_time: Duration,
+    /// Timeout for receiving a complete request head.
+    pub head_timeout: Duration,
+    /// Timeout for the next request on an open connection.
+    pub idle_timeout: Duration,
 }
 
-/// A whole configuration.
+/// A complete configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Configuration {
-    /// Rises with each change.
+    /// Increases with each change.
     pub version: u64,
     /// All routes.
     pub routes: Vec<Arc<Route>>,
     /// All services.
     pub services: Vec<Service>,
-    /// All client accounts; none where callers show no keys.
-    pub tenants: Vec<Arc<Tenant>>,
-    /// Bounds for callers, where the operator sets them.
+    /// All client accounts; empty if callers need no keys.
+    pub accounts: Vec<Arc<Account>>,
+    /// Limits for callers, if the operator sets them.
     pub limits: Option<Limits>,
 }
 
-/// A configuration with the lookups that each request needs.
+/// A configuration with an index for the lookups of each request.
 #[derive(Debug, Default)]
 pub struct Table {
     configuration: Configuration,
     hosts: HashMap<Arc<str>, Vec<Arc<Route>>>,
-    keys: HashMap<Arc<str>, Arc<Tenant>>,
+    keys: HashMap<Arc<str>, Arc<Account>>,
     services: HashMap<Arc<str>, Service>,
 }
 
@@ -175,9 +175,9 @@
             routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         }
         let mut keys = HashMap::new();
-        for tenant in &configuration.tenants {
-            for key in &tenant.keys {
-                keys.insert(key.clone(), tenant.clone());
+        for account in &configuration.accounts {
+            for key in &account.keys {
+                keys.insert(key.clone(), account.clone());
             }
         }
         let services = configuration.services.iter();
@@ -190,12 +190,12 @@
         }
     }
 
-    /// The configuration itself.
+    /// Returns the configuration.
     pub fn configuration(&self) -> &Configuration {
         &self.configuration
     }
 
-    /// The route with the longest prefix among those of the host; a port behind the host is ignored.
+    /// Finds the route of a host with the longest matching prefix; a port in the host is ignored.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.split(':').next().unwrap_or_default();
         let routes = self.hosts.get(name.to_ascii_lowercase().as_str())?;
@@ -204,17 +204,17 @@
             .find(|route| path.starts_with(route.prefix.as_ref()))
     }
 
-    /// The client account that a key belongs to.
-    pub fn tenant(&self, key: &str) -> Option<&Arc<Tenant>> {
+    /// Finds the client account of an API key.
+    pub fn account(&self, key: &str) -> Option<&Arc<Account>> {
         self.keys.get(key)
     }
 
-    /// Whether callers have to show keys.
-    pub fn has_tenants(&self) -> bool {
-        !self.configuration.tenants.is_empty()
+    /// Returns `true` if callers need a key, except on public routes.
+    pub fn has_accounts(&self) -> bool {
+        !self.configuration.accounts.is_empty()
     }
 
-    /// A service by its name.
+    /// Finds a service by name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
     }
--- a/crates/fescuewell_forward/src/crash.rs
+++ b/crates/fescuewell_forward/src/crash.rs
@@ -1,7 +1,7 @@
 //! Requests that crash the backend servers which run them.
 //!
 //! Each attempt of a caller has its own id and may reach any instance, so a single attempt does not show that earlier servers
-//! crashed under the same request. A [`Fingerprint`] identifies the request across attempts, a [`Watch`] distinguishes a server
+//! crashed under the same request. A [`Fingerprint`] identifies the request across attempts, a [`Detector`] distinguishes a server
 //! crash from a lost connection, and a [`Quarantine`] counts crashes per request across instances and decides whether the request
 //! may be sent again.
 
@@ -13,4 +13,4 @@
 pub use fingerprint::{Content, Fingerprint};
 pub use quarantine::{Quarantine, Update, Verdict};
 pub use record::{Crash, Record, THRESHOLD};
-pub use watch::{Evidence, Finding, Loss, Watch};
+pub use watch::{Detector, Evidence, Finding, Loss};
--- a/crates/fescuewell_forward/src/crash/watch.rs
+++ b/crates/fescuewell_forward/src/crash/watch.rs
@@ -8,7 +8,7 @@
 //! ```
 //!
 //! Servers that are draining, delisted or in an evacuated zone may close connections at any time and must not be reported to
-//! [`Watch::lost`].
+//! [`Detector::lost`].
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -74,12 +74,12 @@
 
 /// Suspected and crashed servers, as seen by one instance.
 #[derive(Debug, Default)]
-pub struct Watch {
+pub struct Detector {
     suspected: HashMap<Incarnation, Suspicion>,
     crashed: HashMap<Incarnation, u64>,
 }
 
-impl Watch {
+impl Detector {
     /// Reports a lost exchange at `now_ms` of the local clock.
     pub fn lost(
         &mut self,
--- a/crates/fescuewell_forward/src/directory.rs
+++ b/crates/fescuewell_forward/src/directory.rs
@@ -1,4 +1,4 @@
-//! Which addresses callers are told to use.
+//! Membership of the fleet, and the instance addresses advertised to callers.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,98 +9,102 @@
 
 use crate::quota::era::Sign;
 use crate::quota::row::Usage;
-use crate::relay::{MOST_READING, READERS};
+use crate::relay::{MAX_ALL_READERS, READERS};
 
-/// What an instance tells the others of itself.
+/// Heartbeat of an instance, as written to the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// Address for callers.
     pub address: SocketAddr,
-    /// Address for the other instances, if it takes their words.
+    /// Address for messages of other instances, if it accepts them.
     pub peer: Option<SocketAddr>,
     /// Availability zone.
     pub zone: Arc<str>,
-    /// How much traffic it can carry against others, in thousandths of a core with a link to match.
+    /// Traffic capacity relative to other instances, in thousandths of a core with a link to match.
     pub weight: u32,
-    /// Requests a second that callers send it.
-    pub requests: u32,
-    /// Its use of the accounts that pay by tokens.
+    /// Requests received from callers per second.
+    pub requests_per_s: u32,
+    /// Its usage of the prepaid accounts.
     pub usage: Vec<Usage>,
-    /// When it wrote this, by the store's clock, in milliseconds; 0 once it has left.
-    pub at_ms: u64,
-    /// Until when it stays out because callers sent it too much, by the store's clock, in milliseconds; see
-    /// [`crate::admission`].
-    pub out_until_ms: u64,
+    /// When it wrote this heartbeat, in milliseconds of the store's clock; 0 once it has left.
+    pub heartbeat_at_ms: u64,
+    /// Until when it is unready because callers overloaded it, in milliseconds of the store's clock; see [`crate::admission`].
+    pub unready_until_ms: u64,
     /// Era of the store in which it has confirmed its grants; see [`crate::quota::era`].
     pub era: u32,
-    /// Whether it knew what it was granted when it started.
+    /// Whether it knew its grants when it started.
     pub is_certain: bool,
 }
 
-/// What the program version before did not write: era 0, and certain.
-const NO_ERA: [u8; 2] = [0, 1];
+/// Encoded fields that the previous program version does not write: era 0, and certain.
+const LEGACY_DEFAULTS: [u8; 2] = [0, 1];
 
-/// Age of a member's last sign, in milliseconds, from which it counts as absent and its grants count as
-/// spent. Large fleets sign less often than small ones; see [`Directory::set_lapse`].
-pub const MEMBER_LAPSE_MS: u64 = 3_500;
-/// Age of a member's last sign, in milliseconds, up to which callers are still sent to it. Longer than the other: an
-/// instance that is cut from the store still serves, with tokens that nobody else has.
-const NAMED_LAPSE_MS: u64 = 6_000;
-/// Weight, in thousandths of a core, that one request a second takes with ease: a request costs about 0.9 ms of
-/// processor time, half of which is left free.
-const WEIGHT_EACH: u32 = 2;
-/// Named instances carry so many times the present traffic, so that the loss of some of them, or a burst, finds room.
-const HEADROOM: u32 = 2;
-/// An instance with less than such a part of the strongest one's weight is not named for its zone's sake: a narrow link
-/// that gets an equal share of the callers delays all of them.
-const WEAKEST_PART: u32 = 3;
-/// One instance in so many is named however low the traffic is, so that a sudden rise finds them with tokens.
-const LEAST_PART: usize = 6;
-/// One instance in so many of an availability zone may stay out.
-const MOST_OUT_PART: usize = 3;
-/// Most addresses in one answer.
-const MOST: usize = 64;
+/// Age of its last heartbeat, in milliseconds, from which a member counts as failed and its grants as spent. Longer in large
+/// fleets, which send heartbeats less often; see [`Directory::set_member_timeout`].
+pub const MEMBER_TIMEOUT_MS: u64 = 3_500;
+/// Age of its last heartbeat, in milliseconds, from which a member is no longer advertised. Longer than [`MEMBER_TIMEOUT_MS`]: an
+/// instance without a connection to the store still serves requests, with tokens that no other instance holds.
+const ADVERTISED_TIMEOUT_MS: u64 = 6_000;
+/// Weight, in thousandths of a core, per request a second: a request takes about 0.9 ms of processor time, and half of the
+/// processor is left free.
+const WEIGHT_PER_REQUEST: u32 = 2;
+/// Ratio of the advertised instances' capacity to the present traffic, to absorb bursts and the loss of some instances.
+const HEADROOM_FACTOR: u32 = 2;
+/// An instance whose weight is below the highest weight divided by this is not advertised just to represent its zone: a narrow link
+/// that receives an equal share of the callers would delay all of them.
+const WEAK_DIVISOR: u32 = 3;
+/// One instance in this many is advertised even without traffic, so that a sudden rise finds instances that hold tokens.
+const MIN_ADVERTISED_DIVISOR: usize = 6;
+/// One instance in this many of an availability zone may be unready.
+const MAX_UNREADY_DIVISOR: usize = 3;
+/// Maximum number of addresses in a response.
+const MAX_ADDRESSES: usize = 64;
 
-/// The instances as last read.
+/// Members of the fleet as of the last read.
 #[derive(Debug, Default)]
 pub struct Directory {
     members: BTreeMap<Arc<str>, Member>,
     read_at_ms: u64,
-    lapse_ms: u64,
+    member_timeout_ms: u64,
     era: u32,
 }
 
 impl Directory {
-    /// Whether the list was ever read.
-    pub fn is_read(&self) -> bool {
+    /// Returns `true` once the members have been read.
+    pub fn is_loaded(&self) -> bool {
         self.read_at_ms > 0
     }
 
-    /// Sets the age from which a member counts as absent, in milliseconds.
-    pub fn set_lapse(&mut self, lapse_ms: u64) {
-        self.lapse_ms = lapse_ms;
+    /// Sets the age of the last heartbeat from which a member counts as failed, in milliseconds.
+    pub fn set_member_timeout(&mut self, timeout_ms: u64) {
+        self.member_timeout_ms = timeout_ms;
     }
 
-    /// Age from which a member counts as absent, in milliseconds.
-    pub fn lapse_ms(&self) -> u64 {
-        self.lapse_ms.max(MEMBER_LAPSE_MS)
+    /// Age of the last heartbeat from which a member counts as failed, in milliseconds.
+    pub fn member_timeout_ms(&self) -> u64 {
+        self.member_timeout_ms.max(MEMBER_TIMEOUT_MS)
     }
 
-    /// Takes the list as read at `now_ms` of the store's clock.
+    /// Replaces the members with those read at `now_ms` of the store's clock.
     pub fn replace(&mut self, members: BTreeMap<Arc<str>, Member>, now_ms: u64) {
         self.members = members;
         self.read_at_ms = now_ms;
     }
 
-    /// Takes the list of an era of the store. The first one of an era is a copy some seconds old: signs that are known and newer count
-    /// on, or most instances would seem to be gone until they have signed again.
-    pub fn replace_in(&mut self, era: u32, mut members: BTreeMap<Arc<str>, Member>, now_ms: u64) {
+    /// Replaces the members with those read in an era of the store. The first read of an era returns a backup that is some seconds old;
+    /// known newer heartbeats are kept, or most instances would count as failed until their next one.
+    pub fn replace_in_era(
+        &mut self,
+        era: u32,
+        mut members: BTreeMap<Arc<str>, Member>,
+        now_ms: u64,
+    ) {
         if self.era < era {
             self.era = era;
             let known = std::mem::take(&mut self.members);
             for (name, member) in known {
                 let listed = members.get(&name);
-                if listed.is_none_or(|listed| listed.at_ms < member.at_ms) {
+                if listed.is_none_or(|listed| listed.heartbeat_at_ms < member.heartbeat_at_ms) {
                     members.insert(name, member);
                 }
             }
@@ -108,96 +112,104 @@
         self.replace(members, now_ms);
     }
 
-    /// What all instances say of their grants. Those without a fresh sign count only if they lived when the copy was made from which the
-    /// store has come back: whoever was gone by then can have drawn nothing since.
-    pub fn signs(&self) -> Vec<Sign> {
+    /// Returns the state of all instances' grants. Instances without a recent heartbeat are included only if they were alive when the
+    /// backup was made from which the store was restored: one that had failed before cannot have drawn tokens since.
+    pub fn heartbeats(&self) -> Vec<Sign> {
         let live: BTreeSet<&Arc<str>> = self.live().map(|(name, _)| name).collect();
         let former = self.members.values().filter(|member| member.era < self.era);
-        let copied_ms = former.map(|member| member.at_ms).max().unwrap_or_default();
-        let mut signs = Vec::new();
+        let backup_ms = former
+            .map(|member| member.heartbeat_at_ms)
+            .max()
+            .unwrap_or_default();
+        let mut heartbeats = Vec::new();
         for (name, member) in &self.members {
             let is_live = live.contains(name);
-            let is_former = member.at_ms > 0 && member.era < self.era;
-            let lived = is_former && member.at_ms + self.lapse_ms() >= copied_ms;
-            if !(is_live || lived) {
+            let is_former = member.heartbeat_at_ms > 0 && member.era < self.era;
+            let was_live =
+                is_former && member.heartbeat_at_ms + self.member_timeout_ms() >= backup_ms;
+            if !(is_live || was_live) {
                 continue;
             }
-            signs.push(Sign {
+            heartbeats.push(Sign {
                 holder: name.clone(),
                 era: member.era,
                 is_certain: member.is_certain,
                 is_live,
             });
         }
-        signs
+        heartbeats
     }
 
-    /// The instances that gave a sign lately, as of the last reading.
+    /// Returns the members with a recent heartbeat as of the last read.
     ///
-    /// While the store cannot be reached nobody's sign gets newer; the list then stays as it was last read.
+    /// During a store outage the result does not change, since no newer heartbeats can be read.
     pub fn live(&self) -> impl Iterator<Item = (&Arc<str>, &Member)> {
-        let now = self.read_at_ms;
-        let lapse = self.lapse_ms();
-        self.members
-            .iter()
-            .filter(move |(_, member)| member.at_ms > 0 && now < member.at_ms + lapse)
+        let now_ms = self.read_at_ms;
+        let timeout_ms = self.member_timeout_ms();
+        self.members.iter().filter(move |(_, member)| {
+            member.heartbeat_at_ms > 0 && now_ms < member.heartbeat_at_ms + timeout_ms
+        })
     }
 
-    /// Number of live instances, at least 1.
+    /// Number of live members, at least 1.
     pub fn count(&self) -> usize {
         self.live().count().max(1)
     }
 
-    /// Whether an instance may stay out: callers are not sent to it, its availability zone has one to which they are, and
-    /// no more than a third of the zone's instances would be out. Where half are not ready, readiness tells callers nothing
-    /// any more: they then go on as if all were. Signs are late, so the bound is below a half.
+    /// Returns `true` if an instance may be unready: it is not advertised, its availability zone has an instance that is, and at most
+    /// a third of the zone's instances would be unready. If half of them are, callers ignore readiness and use all of them; since
+    /// heartbeats are late, the limit is lower.
     pub fn can_spare(&self, name: &str) -> bool {
         let Some(own) = self.members.get(name) else {
             return false;
         };
-        let named = self.named();
-        let has_other = named.iter().any(|(_, member)| member.zone == own.zone);
-        let beside: Vec<&Member> = self
+        let advertised = self.advertised();
+        let has_other = advertised.iter().any(|(_, member)| member.zone == own.zone);
+        let others: Vec<&Member> = self
             .live()
             .filter(|(other, member)| &***other != name && member.zone == own.zone)
             .map(|(_, member)| member)
             .collect();
-        let now = self.read_at_ms;
-        let out = beside.iter().filter(|member| now < member.out_until_ms);
-        let is_few = (out.count() + 1) * MOST_OUT_PART <= beside.len() + 1;
-        !self.is_named(name) && has_other && is_few
+        let now_ms = self.read_at_ms;
+        let unready = others
+            .iter()
+            .filter(|member| now_ms < member.unready_until_ms);
+        let is_within_limit = (unready.count() + 1) * MAX_UNREADY_DIVISOR <= others.len() + 1;
+        !self.is_advertised(name) && has_other && is_within_limit
     }
 
-    /// Whether callers are sent to an instance.
-    pub fn is_named(&self, name: &str) -> bool {
-        self.named().iter().any(|(named, _)| &***named == name)
+    /// Returns `true` if an instance is advertised to callers.
+    pub fn is_advertised(&self, name: &str) -> bool {
+        self.advertised()
+            .iter()
+            .any(|(advertised, _)| &***advertised == name)
     }
 
-    /// Returns `true` if the other instances that address answers name have spare capacity.
+    /// Returns `true` if the other advertised instances have spare capacity.
     pub fn has_capacity_beside(&self, name: &str) -> bool {
-        let named = self.named();
-        let others = named.iter().filter(|(other, _)| &***other != name);
-        let (mut requests, mut carried) = (0, 0);
+        let advertised = self.advertised();
+        let others = advertised.iter().filter(|(other, _)| &***other != name);
+        let (mut requests, mut capacity) = (0, 0);
         for (_, member) in others {
-            requests += member.requests;
-            carried += member.carries();
+            requests += member.requests_per_s;
+            capacity += member.capacity();
         }
-        requests < carried
+        requests < capacity
     }
 
-    /// The instances that read the list of backend servers for an availability zone, see [`crate::relay`]: the strongest, and
-    /// of equals those that all instances agree on. Nothing where all read.
+    /// Returns the readers of an availability zone, see [`crate::relay`]: the instances with the highest weights, with ties broken the
+    /// same way on all instances. Empty if all instances are readers.
     pub fn readers(&self, zone: &str) -> Vec<&Arc<str>> {
-        let mut members = self.zone(zone);
-        if members.len() <= MOST_READING {
+        let mut members = self.live_in_zone(zone);
+        if members.len() <= MAX_ALL_READERS {
             return Vec::new();
         }
-        members.sort_by_key(|(name, member)| (Reverse(member.weight), spread(name)));
+        members.sort_by_key(|(name, member)| (Reverse(member.weight), name_hash(name)));
         let first = members.into_iter().take(READERS);
         first.map(|(name, _)| name).collect()
     }
 
-    /// Whether an instance reads the list of backend servers by itself.
+    /// Returns `true` if an instance is a reader.
     pub fn is_reader(&self, name: &str) -> bool {
         let Some(own) = self.members.get(name) else {
             return true;
@@ -206,124 +218,129 @@
         readers.is_empty() || readers.iter().any(|reader| &***reader == name)
     }
 
-    /// Where those of an availability zone listen to whom readers tell what changed.
+    /// Returns the addresses of an availability zone's followers.
     pub fn followers(&self, zone: &str) -> Vec<SocketAddr> {
         let readers = self.readers(zone);
         if readers.is_empty() {
             return Vec::new();
         }
-        let members = self.zone(zone).into_iter();
+        let members = self.live_in_zone(zone).into_iter();
         let others = members.filter(|(name, _)| !readers.contains(name));
         others.filter_map(|(_, member)| member.peer).collect()
     }
 
-    fn zone(&self, zone: &str) -> Vec<(&Arc<str>, &Member)> {
+    fn live_in_zone(&self, zone: &str) -> Vec<(&Arc<str>, &Member)> {
         let members = self.live();
         members
             .filter(|(_, member)| &*member.zone == zone)
             .collect()
     }
 
-    /// Where an instance takes the words of others.
-    pub fn peer(&self, name: &str) -> Option<SocketAddr> {
+    /// Returns the address at which an instance accepts messages of others.
+    pub fn peer_address(&self, name: &str) -> Option<SocketAddr> {
         self.members.get(name)?.peer
     }
 
-    /// How much longer an instance stays out by its own row, in milliseconds.
+    /// Remaining time for which an instance's own row declares it unready, in milliseconds.
     pub fn unready_left_ms(&self, name: &str) -> u64 {
         let own = self.members.get(name);
-        own.map_or(0, |own| own.out_until_ms.saturating_sub(self.read_at_ms))
+        own.map_or(0, |own| {
+            own.unready_until_ms.saturating_sub(self.read_at_ms)
+        })
     }
 
-    /// Addresses for a caller, at most 64: those of the named instances, or `own` where none is known.
-    pub fn addresses(&self, own: Option<SocketAddr>, draw: u64) -> Vec<SocketAddr> {
-        let named = self.named();
-        let mut addresses: Vec<SocketAddr> =
-            named.iter().map(|(_, member)| member.address).collect();
+    /// Returns the addresses for a caller, at most 64: those of the advertised instances, or `own` if there are none. The random number
+    /// selects among more than 64.
+    pub fn addresses(&self, own: Option<SocketAddr>, random: u64) -> Vec<SocketAddr> {
+        let advertised = self.advertised();
+        let mut addresses: Vec<SocketAddr> = advertised
+            .iter()
+            .map(|(_, member)| member.address)
+            .collect();
         if let Some(own) = own.filter(|_| addresses.is_empty()) {
             addresses.push(own);
         }
-        if addresses.len() > MOST {
-            let start = draw as usize % addresses.len();
+        if addresses.len() > MAX_ADDRESSES {
+            let start = random as usize % addresses.len();
             addresses.rotate_left(start);
-            addresses.truncate(MOST);
+            addresses.truncate(MAX_ADDRESSES);
         }
         addresses
     }
 
-    /// The instances that callers are sent to: as many as the traffic needs, and one in each availability zone
-    /// that has one to match the others.
+    /// Returns the instances advertised to callers: as many as the traffic requires, and one in each availability zone that has one of
+    /// sufficient weight.
     ///
-    /// What is prepaid is divided among the instances that take requests. Spread over more of them than the traffic
-    /// needs, the part of each covers only a few requests, and requests are refused although the account has
-    /// tokens elsewhere. All instances choose the same ones, since they read the same rows.
-    pub fn named(&self) -> Vec<(&Arc<str>, &Member)> {
+    /// Prepaid tokens are divided among the instances that receive requests. With more of them than the traffic requires, the share
+    /// of each covers only a few requests, and requests are rejected although the account has tokens at other instances. All instances
+    /// select the same ones, since they read the same rows.
+    pub fn advertised(&self) -> Vec<(&Arc<str>, &Member)> {
         let mut known: Vec<(&Arc<str>, &Member)> = self
             .members
             .iter()
-            .filter(|(_, member)| member.at_ms > 0)
-            .filter(|(_, member)| self.read_at_ms < member.at_ms + NAMED_LAPSE_MS)
+            .filter(|(_, member)| member.heartbeat_at_ms > 0)
+            .filter(|(_, member)| self.read_at_ms < member.heartbeat_at_ms + ADVERTISED_TIMEOUT_MS)
             .collect();
-        let now = self.read_at_ms;
+        let now_ms = self.read_at_ms;
         known.sort_by_key(|(name, member)| {
-            let is_out = now < member.out_until_ms;
-            (is_out, Reverse(member.weight), spread(name))
+            let is_unready = now_ms < member.unready_until_ms;
+            (is_unready, Reverse(member.weight), name_hash(name))
         });
-        let requests: u32 = known.iter().map(|(_, member)| member.requests).sum();
-        let wanted = requests * HEADROOM;
-        let least = known.len() / LEAST_PART;
+        let requests: u32 = known.iter().map(|(_, member)| member.requests_per_s).sum();
+        let required = requests * HEADROOM_FACTOR;
+        let min_count = known.len() / MIN_ADVERTISED_DIVISOR;
         let weights = known.iter().map(|(_, member)| member.weight);
-        let strongest = weights.max().unwrap_or(0);
+        let highest = weights.max().unwrap_or(0);
         let mut zones: Vec<&Arc<str>> = Vec::new();
-        let mut first = Vec::new();
+        let mut selected = Vec::new();
         let mut rest = Vec::new();
         for (name, member) in known {
-            let is_strong = member.weight >= strongest / WEAKEST_PART;
+            let is_strong = member.weight >= highest / WEAK_DIVISOR;
             if zones.contains(&&member.zone) || !is_strong {
                 rest.push((name, member));
             } else {
                 zones.push(&member.zone);
-                first.push((name, member));
+                selected.push((name, member));
             }
         }
-        let mut carried: u32 = first.iter().map(|(_, member)| member.carries()).sum();
+        let mut capacity: u32 = selected.iter().map(|(_, member)| member.capacity()).sum();
         for (name, member) in rest {
-            let is_strong = member.weight >= strongest / WEAKEST_PART;
-            if carried >= wanted && (first.len() >= least || !is_strong) {
+            let is_strong = member.weight >= highest / WEAK_DIVISOR;
+            if capacity >= required && (selected.len() >= min_count || !is_strong) {
                 break;
             }
-            carried += member.carries();
-            first.push((name, member));
+            capacity += member.capacity();
+            selected.push((name, member));
         }
-        first
+        selected
     }
 }
 
 impl Member {
-    /// The row's bytes; the program version before passes over what it does not know at their end.
+    /// Encodes the row. The previous program version ignores trailing fields that it does not know.
     pub fn encode(&self) -> Vec<u8> {
-        // Only a type that cannot be written at all fails here.
+        // Fails only for types that cannot be serialized at all.
         postcard::to_extend(self, Vec::new()).unwrap_or_default()
     }
 
-    /// Reads a row, also one of the program version before.
+    /// Decodes a row, including one of the previous program version.
     ///
     /// # Errors
     ///
-    /// What the decoder says of it.
+    /// Returns the decoder's error.
     pub fn decode(bytes: &[u8]) -> Result<Self, postcard::Error> {
         postcard::from_bytes(bytes)
-            .or_else(|_| postcard::from_bytes(&[bytes, NO_ERA.as_slice()].concat()))
+            .or_else(|_| postcard::from_bytes(&[bytes, LEGACY_DEFAULTS.as_slice()].concat()))
     }
 
-    /// Requests a second that it carries with ease.
-    fn carries(&self) -> u32 {
-        (self.weight / WEIGHT_EACH).max(1)
+    /// Capacity in requests per second.
+    fn capacity(&self) -> u32 {
+        (self.weight / WEIGHT_PER_REQUEST).max(1)
     }
 }
 
-/// A number that spreads names evenly and is the same on all instances.
-fn spread(name: &str) -> u64 {
+/// Hash of an instance's name; equal on all instances.
+fn name_hash(name: &str) -> u64 {
     let mut hasher = std::hash::DefaultHasher::new();
     std::hash::Hash::hash(name, &mut hasher);
     std::hash::Hasher::finish(&hasher)
--- a/crates/fescuewell_forward/src/health.rs
+++ b/crates/fescuewell_forward/src/health.rs
@@ -1,136 +1,140 @@
-//! Which backend servers fail or answer slowly, judged by the outcomes of our own requests.
+//! Outlier detection: which backend servers fail or respond slowly, judged by the outcomes of this instance's requests.
 //!
-//! A server can pass its own health check and still fail what it is sent. Outcomes show it within a few requests;
-//! such a server is left out for a while and then tried again with single requests.
+//! A server can pass its own health check and still fail the requests it receives. Outcomes reveal it within a few requests; such a
+//! server is ejected for a while and then retried.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// How one request at a backend server ended.
+/// Outcome of a request at a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Answered.
+    /// It responded successfully.
     Good,
-    /// Turned away without a run: it is full.
+    /// It rejected the request without running it, since it is at capacity.
     Full,
-    /// The server says that it ran and failed; some requests fail at every server.
+    /// It ran the request and reported a failure; some requests fail at every server.
     Failed,
-    /// It broke off or did not answer in time.
+    /// The exchange broke off or timed out.
     Bad,
 }
 
-/// Score that one bad outcome adds; a good one takes the score down by half.
-const BAD: f64 = 1.0;
-/// Score of a refusal for want of room.
-const FULL: f64 = 0.5;
-/// Score of a failure that the server reports itself.
-const FAILED: f64 = 0.35;
-/// Score from which a server is left out.
-const EJECT: f64 = 2.0;
-/// First time for which a server is left out, in milliseconds; doubles with each further one.
-const FIRST_OUT_MS: u64 = 1_000;
-/// Longest time for which a server is left out, in milliseconds.
-const MOST_OUT_MS: u64 = 4_000;
+/// Score of an [`Outcome::Bad`]; an [`Outcome::Good`] halves the server's score.
+const BAD_SCORE: f64 = 1.0;
+/// Score of an [`Outcome::Full`].
+const FULL_SCORE: f64 = 0.5;
+/// Score of an [`Outcome::Failed`].
+const FAILED_SCORE: f64 = 0.35;
+/// Score from which a server is ejected.
+const EJECTION_SCORE: f64 = 2.0;
+/// Duration of the first ejection in milliseconds; doubles with each further one.
+const BASE_EJECTION_MS: u64 = 1_000;
+/// Maximum duration of an ejection in milliseconds.
+const MAX_EJECTION_MS: u64 = 4_000;
 
-/// Weight of the newest measured time against the older ones.
-const NEWEST: f64 = 0.2;
-/// Age from which a measured time says nothing any more, in milliseconds: a server that was avoided for being slow
-/// is then tried again.
-const FRESH_MS: u64 = 3_000;
-/// A server is slow at so many times the median of its peers,
+/// Weight of the newest sample in the moving average of latencies.
+const LATENCY_WEIGHT: f64 = 0.2;
+/// Age from which a latency is discarded, in milliseconds; a server that was avoided as slow is then tried again.
+const LATENCY_TTL_MS: u64 = 3_000;
+/// A server is slow if its latency exceeds the median by this factor
 const SLOW_FACTOR: f64 = 3.0;
-/// if it also exceeds it by this, in milliseconds.
-const SLOW_LEAST_MS: f64 = 40.0;
-/// Servers whose times are needed for a median.
-const LEAST_PEERS: usize = 3;
+/// and by at least this amount, in milliseconds.
+const MIN_SLOW_EXCESS_MS: f64 = 40.0;
+/// Minimum number of servers with a latency for a meaningful median.
+const MIN_MEASURED_SERVERS: usize = 3;
 
 #[derive(Debug, Default)]
-struct Score {
-    bad: f64,
-    out_until: u64,
-    out_ms: u64,
-    time_ms: f64,
-    timed_at: Option<u64>,
+struct ServerHealth {
+    /// Sum of the outcomes' scores.
+    score: f64,
+    ejected_until_ms: u64,
+    /// Duration of the last ejection.
+    ejection_ms: u64,
+    /// Exponentially weighted moving average.
+    latency_ms: f64,
+    measured_at_ms: Option<u64>,
 }
 
-/// Scores by the server's id.
+/// Health of the backend servers by id.
 #[derive(Debug, Default)]
 pub struct Health {
-    scores: HashMap<Arc<str>, Score>,
+    servers: HashMap<Arc<str>, ServerHealth>,
 }
 
 impl Health {
-    /// Takes one outcome; returns whether the server is left out from now on.
-    pub fn outcome(&mut self, id: &Arc<str>, outcome: Outcome, now_ms: u64) -> bool {
-        let score = self.scores.entry(id.clone()).or_default();
+    /// Records an outcome. Returns `true` if it ejects the server.
+    pub fn record_outcome(&mut self, id: &Arc<str>, outcome: Outcome, now_ms: u64) -> bool {
+        let server = self.servers.entry(id.clone()).or_default();
         match outcome {
             Outcome::Good => {
-                score.bad *= 0.5;
-                if score.bad < 0.1 {
-                    score.out_ms = 0;
+                server.score *= 0.5;
+                if server.score < 0.1 {
+                    server.ejection_ms = 0;
                 }
                 return false;
             }
-            Outcome::Full => score.bad += FULL,
-            Outcome::Failed => score.bad += FAILED,
-            Outcome::Bad => score.bad += BAD,
+            Outcome::Full => server.score += FULL_SCORE,
+            Outcome::Failed => server.score += FAILED_SCORE,
+            Outcome::Bad => server.score += BAD_SCORE,
         }
-        if score.bad < EJECT || now_ms < score.out_until {
+        if server.score < EJECTION_SCORE || now_ms < server.ejected_until_ms {
             return false;
         }
-        score.out_ms = (score.out_ms * 2).clamp(FIRST_OUT_MS, MOST_OUT_MS);
-        score.out_until = now_ms + score.out_ms;
-        // One more bad outcome after the time is enough to leave it out again.
-        score.bad = EJECT - BAD;
+        server.ejection_ms = (server.ejection_ms * 2).clamp(BASE_EJECTION_MS, MAX_EJECTION_MS);
+        server.ejected_until_ms = now_ms + server.ejection_ms;
+        // A single bad outcome after the ejection is enough for the next one.
+        server.score = EJECTION_SCORE - BAD_SCORE;
         true
     }
 
-    /// Whether the server is left out at this moment.
-    pub fn is_out(&self, id: &str, now_ms: u64) -> bool {
-        let score = self.scores.get(id);
-        score.is_some_and(|score| now_ms < score.out_until)
+    /// Returns `true` if the server is ejected.
+    pub fn is_ejected(&self, id: &str, now_ms: u64) -> bool {
+        let server = self.servers.get(id);
+        server.is_some_and(|server| now_ms < server.ejected_until_ms)
     }
 
-    /// Takes a measured time of a server: of one whole answer, or between two events of a stream.
-    pub fn time(&mut self, id: &Arc<str>, time_ms: f64, now_ms: u64) {
-        let score = self.scores.entry(id.clone()).or_default();
-        let known = score.timed_at.filter(|at| now_ms < at + FRESH_MS);
-        score.time_ms = match known {
-            Some(_) => score.time_ms * (1.0 - NEWEST) + time_ms * NEWEST,
-            None => time_ms,
+    /// Records a latency of a server: of a complete response or between two events of a stream.
+    pub fn record_latency(&mut self, id: &Arc<str>, latency_ms: f64, now_ms: u64) {
+        let server = self.servers.entry(id.clone()).or_default();
+        let known = server
+            .measured_at_ms
+            .filter(|at| now_ms < at + LATENCY_TTL_MS);
+        server.latency_ms = match known {
+            Some(_) => server.latency_ms * (1.0 - LATENCY_WEIGHT) + latency_ms * LATENCY_WEIGHT,
+            None => latency_ms,
         };
-        score.timed_at = Some(now_ms);
+        server.measured_at_ms = Some(now_ms);
     }
 
-    /// The measured time, if it is fresh.
-    pub fn measured(&self, id: &str, now_ms: u64) -> Option<f64> {
-        let score = self.scores.get(id)?;
-        let at = score.timed_at?;
-        (now_ms < at + FRESH_MS).then_some(score.time_ms)
+    /// Returns the average latency of a server unless it is outdated.
+    pub fn latency_ms(&self, id: &str, now_ms: u64) -> Option<f64> {
+        let server = self.servers.get(id)?;
+        let at = server.measured_at_ms?;
+        (now_ms < at + LATENCY_TTL_MS).then_some(server.latency_ms)
     }
 
-    /// The time from which one of these servers is slow, if enough of them were measured.
-    pub fn slow_from<'a, Ids>(&self, ids: Ids, now_ms: u64) -> Option<f64>
+    /// Returns the latency above which one of these servers is slow, or `None` if too few of them were measured.
+    pub fn slow_threshold_ms<'a, Ids>(&self, ids: Ids, now_ms: u64) -> Option<f64>
     where
         Ids: Iterator<Item = &'a str>,
     {
-        let mut times: Vec<f64> = ids.filter_map(|id| self.measured(id, now_ms)).collect();
-        if times.len() < LEAST_PEERS {
+        let mut latencies: Vec<f64> = ids.filter_map(|id| self.latency_ms(id, now_ms)).collect();
+        if latencies.len() < MIN_MEASURED_SERVERS {
             return None;
         }
-        times.sort_by(f64::total_cmp);
-        let median = times[times.len() / 2];
-        Some((median * SLOW_FACTOR).max(median + SLOW_LEAST_MS))
+        latencies.sort_by(f64::total_cmp);
+        let median = latencies[latencies.len() / 2];
+        Some((median * SLOW_FACTOR).max(median + MIN_SLOW_EXCESS_MS))
     }
 
-    /// How much worse than sound the server is; 0 for a sound one.
+    /// Returns the server's score as a load balancing penalty; 0 for a healthy server.
     pub fn penalty(&self, id: &str) -> f64 {
-        self.scores.get(id).map_or(0.0, |score| score.bad)
+        self.servers.get(id).map_or(0.0, |server| server.score)
     }
 
-    /// Forgets a server: it has started again, or is gone.
+    /// Forgets a server that has restarted or is gone.
     pub fn forget(&mut self, id: &str) {
-        self.scores.remove(id);
+        self.servers.remove(id);
     }
 
     /// Forgets servers that are no longer listed.
@@ -138,6 +142,6 @@
     where
         Listed: Fn(&str) -> bool,
     {
-        self.scores.retain(|id, _| listed(id));
+        self.servers.retain(|id, _| listed(id));
     }
 }
--- a/crates/fescuewell_forward/src/lib.rs
+++ b/crates/fescuewell_forward/src/lib.rs
@@ -1,8 +1,6 @@
-//! Decisions of the forwarding path: which route a request takes, which backend server runs it, whether
-//! its client account can pay for it, and whether it may be sent once more.
+//! Decisions of the forwarding path: routing, load balancing, prepaid quotas and retries.
 //!
-//! Nothing here has a socket, a thread or a clock: events and time come in as arguments, answers go out as
-//! values.
+//! The crate performs no I/O and uses no threads or clocks: events and times are arguments, and decisions are return values.
 //!
 //! ```
 //! use fescuewell_forward::prelude::*;
@@ -29,9 +27,9 @@
 pub mod warmup;
 pub mod window;
 
-/// What nearly every user of this crate needs.
+/// Commonly used items.
 pub mod prelude {
-    pub use crate::config::{Configuration, Kind, Limits, Route, Service, Table, Tenant};
+    pub use crate::config::{Account, Configuration, Kind, Limits, Route, Service, Table};
     pub use crate::quota::{Quota, Verdict};
-    pub use crate::server::{Entry, Movement, Registry, Said, State};
+    pub use crate::server::{Change, Entry, Registry, State, Update};
 }
--- a/crates/fescuewell_forward/src/message.rs
+++ b/crates/fescuewell_forward/src/message.rs
@@ -1,4 +1,6 @@
-//! Sealed messages between instances.
+//! Authenticated messages between instances.
+//!
+//! Messages are not encrypted; a keyed hash proves that the sender knows the fleet's key.
 //!
 //! ```
 //! use fescuewell_forward::loan::Ask;
@@ -23,27 +25,28 @@
 use crate::loan::{Answer, Ask};
 use crate::relay::Digest;
 
-/// Leading byte of every sealed message. A load report begins with the length of a name, which is never 0.
+/// First byte of every authenticated message. Load reports are not authenticated and begin with the length of a name, which is never
+/// 0.
 pub const FORMAT: u8 = 0;
-/// Bytes of the seal: 128 bits of a keyed hash.
-const SEAL: usize = 16;
+/// Size of the authentication tag in bytes: 128 bits of a keyed hash.
+const TAG_BYTES: usize = 16;
 
-/// What instances say to each other, each proved by the fleet's key.
+/// Message between instances.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Tokens are wanted.
+    /// Requests a loan of tokens.
     Ask(Ask),
-    /// Tokens are given or refused.
+    /// Grants or declines a loan.
     Answer(Answer),
-    /// What changed in the list of backend servers.
+    /// Changes of the server list.
     Digest(Digest),
-    /// Requests that crash backend servers.
+    /// Records of requests that crash backend servers.
     Crashes(Vec<crash::Update>),
-    /// An instance that has just started asks for those.
+    /// Asks for these records after a start.
     CrashesWanted,
 }
 
-/// The fleet's key: only who knows it can ask for tokens, give any, or tell of backend servers.
+/// Secret key of the fleet; messages of senders without it are ignored.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Key([u8; 32]);
 
@@ -54,46 +57,46 @@
 }
 
 impl Key {
-    /// A key of random bytes.
+    /// Creates a key from random bytes.
     pub fn new(bytes: [u8; 32]) -> Self {
         Self(bytes)
     }
 
-    /// The bytes, for the row that keeps them.
+    /// Returns the bytes for storage.
     pub fn bytes(&self) -> &[u8; 32] {
         &self.0
     }
 
-    /// A message as it is sent.
+    /// Encodes and authenticates a message.
     pub fn seal(&self, message: &Message) -> Vec<u8> {
-        // Only a type that cannot be written at all fails here.
+        // Fails only for types that cannot be serialized at all.
         let content = postcard::to_allocvec(message).unwrap_or_default();
         let mut bytes = vec![FORMAT];
-        bytes.extend_from_slice(&self.hash(&content));
+        bytes.extend_from_slice(&self.tag(&content));
         bytes.extend_from_slice(&content);
         bytes
     }
 
-    /// Reads a message; nothing if it was not sealed with this key.
+    /// Verifies and decodes a message. Returns `None` if it is malformed or was not sealed with this key.
     pub fn open(&self, bytes: &[u8]) -> Option<Message> {
-        let sealed = bytes.strip_prefix(&[FORMAT])?;
-        let (seal, content) = sealed.split_at_checked(SEAL)?;
-        // Hashes compare in constant time.
-        let padded = |half: &[u8]| {
-            let mut whole = [0; blake3::OUT_LEN];
-            whole[..SEAL].copy_from_slice(half);
-            blake3::Hash::from_bytes(whole)
+        let authenticated = bytes.strip_prefix(&[FORMAT])?;
+        let (tag, content) = authenticated.split_at_checked(TAG_BYTES)?;
+        // `Hash` compares in constant time.
+        let padded = |truncated: &[u8]| {
+            let mut full = [0; blake3::OUT_LEN];
+            full[..TAG_BYTES].copy_from_slice(truncated);
+            blake3::Hash::from_bytes(full)
         };
-        if padded(seal) != padded(&self.hash(content)) {
+        if padded(tag) != padded(&self.tag(content)) {
             return None;
         }
         postcard::from_bytes(content).ok()
     }
 
-    fn hash(&self, content: &[u8]) -> [u8; SEAL] {
+    fn tag(&self, content: &[u8]) -> [u8; TAG_BYTES] {
         let hash = blake3::keyed_hash(&self.0, content);
-        let mut seal = [0; SEAL];
-        seal.copy_from_slice(&hash.as_bytes()[..SEAL]);
-        seal
+        let mut tag = [0; TAG_BYTES];
+        tag.copy_from_slice(&hash.as_bytes()[..TAG_BYTES]);
+        tag
     }
 }
--- a/crates/fescuewell_forward/src/relay.rs
+++ b/crates/fescuewell_forward/src/relay.rs
@@ -1,18 +1,18 @@
-//! Passing changes of the list of backend servers on between instances.
+//! Relays changes of the server list between instances.
 //!
-//! Each server writes to its row about once a second, and whoever follows the rows reads all of that. In a large fleet only a
-//! few *readers* in each availability zone do. They pass on what changed: who came, left, is about to leave or started again. A
-//! [`Digest`] says from which version of the store to which it is complete, so that a follower knows whether it missed one, and
-//! reads by itself then, or when no reader is heard for a while.
+//! Each backend server writes its row about once a second, and reading the list returns all of these writes. In a large fleet only a
+//! few *readers* per availability zone read it; the other instances are *followers*. Readers send them a [`Digest`] of the changes:
+//! servers that joined, left, are draining or restarted. A digest states the range of store versions that it covers completely, so
+//! that a follower detects a gap. It then reads the list itself, as it does without digests.
 //!
 //! ```text
-//!            digest that follows on, fresh
-//!             +-----+
-//!             v     |
-//!  Reading ---+-> Fed --- FED_MS without one, or a gap ---> Reading
+//!             fresh digest without a gap
+//!               +-----+
+//!               v     |
+//!  Reading ---+-> Following --- gap, or DIGEST_TIMEOUT_MS without a digest ---> Reading
 //! ```
 //!
-//! Versions only rise, whoever tells them: a digest that is late, comes twice or out of order changes nothing.
+//! Versions only increase, whatever their source, so that a late, repeated or reordered digest changes nothing.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -20,53 +20,53 @@
 use serde::{Deserialize, Serialize};
 
 use crate::evacuation::Order;
-use crate::server::Movement;
+use crate::server::Update;
 
-/// Instances of an availability zone that read the list for all of it: one may fail at any time.
+/// Number of readers per availability zone; one may fail at any time.
 pub const READERS: usize = 2;
-/// Instances of an availability zone up to which all of them read the list.
-pub const MOST_READING: usize = 6;
-/// Time without a digest after which a follower reads by itself, in milliseconds: some three digests. A leaving server must get no
-/// new work two seconds after its word where the bounds are narrowest.
-pub const FED_MS: u64 = 1_000;
-/// Age of a digest from which it does not count, in milliseconds: it stood in a queue, and says nothing of now.
-const STALE_MS: u64 = 1_000;
-/// Rows in one digest: it has to fit one packet of an Ethernet, and a row takes some 70 bytes.
-const MOST_ROWS: usize = 14;
-/// Most orders on availability zones in one digest. A fleet has fewer zones.
-const MOST_ORDERS: usize = 16;
-/// Time for which a change is repeated in each digest, in milliseconds: some ten digests, of which all may be lost but one.
-const REPEATED_MS: u64 = 2_500;
+/// Number of instances in an availability zone up to which all of them are readers.
+pub const MAX_ALL_READERS: usize = 6;
+/// Time without a digest after which a follower reads the list itself, in milliseconds; about three digests. Under the strictest
+/// bounds a server must receive no new work two seconds after it reports that it is draining.
+pub const DIGEST_TIMEOUT_MS: u64 = 1_000;
+/// Age from which a digest is ignored, in milliseconds; it was delayed in a queue and may be outdated.
+const STALE_DIGEST_MS: u64 = 1_000;
+/// Maximum number of rows in a digest, which must fit an Ethernet frame; a row takes some 70 bytes.
+const MAX_ROWS: usize = 14;
+/// Maximum number of evacuation orders in a digest; a fleet has fewer zones.
+const MAX_ORDERS: usize = 16;
+/// Time for which each digest repeats a change, in milliseconds; about ten digests, all but one of which may be lost.
+const REPEAT_MS: u64 = 2_500;
 
-/// What changed in the list of backend servers.
+/// Changes of the server list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    /// Who read it.
+    /// Name of the sending reader.
     pub reader: Arc<str>,
-    /// All changes after this version of the store
+    /// Store version after which the digest is complete.
     pub after: u64,
-    /// up to this one are in it.
+    /// Store version up to which the digest is complete, inclusive.
     pub until: u64,
-    /// When the reader read them, by the store's clock, in milliseconds.
+    /// Time of the reader's last read in milliseconds of the store's clock.
     pub at_ms: u64,
-    /// Version of the configuration that the reader has in force.
+    /// Version of the configuration in force at the reader.
     pub configuration: u64,
-    /// Orders on availability zones that the reader knows.
+    /// Evacuation orders known to the reader.
     pub evacuations: Vec<Order>,
-    /// The changes, in their order.
-    pub rows: Vec<Movement>,
+    /// Changes in the order of their versions.
+    pub rows: Vec<Update>,
 }
 
-/// The changes that a reader passes on: those of the last seconds.
+/// Recent changes that a reader sends to followers.
 #[derive(Debug, Default)]
 pub struct Outbox {
     after: u64,
     until: u64,
-    rows: VecDeque<(u64, Movement)>,
+    rows: VecDeque<(u64, Update)>,
 }
 
 impl Outbox {
-    /// Begins anew at a version: what came before is not known to be complete.
+    /// Restarts at a version; earlier changes may be incomplete.
     pub fn restart(&mut self, version: u64) {
         *self = Self {
             after: version,
@@ -75,17 +75,17 @@
         };
     }
 
-    /// Adds the changes after one version up to another, read at `now_ms` of the own clock. Where they do not follow on those before,
-    /// since the instance was told of some by others, all begins anew: a digest with a gap inside would hide it from who hears it.
-    pub fn add(&mut self, rows: Vec<Movement>, after: u64, version: u64, now_ms: u64) {
+    /// Adds the changes after one version up to another, read at `now_ms` of the local clock. Restarts if they leave a gap, which
+    /// occurs when this instance received changes through digests; followers could not detect a gap within a digest.
+    pub fn add(&mut self, rows: Vec<Update>, after: u64, version: u64, now_ms: u64) {
         if after != self.until {
             self.restart(after);
         }
         self.rows.extend(rows.into_iter().map(|row| (now_ms, row)));
         self.until = self.until.max(version);
         while let Some((at_ms, row)) = self.rows.front() {
-            let is_old = now_ms >= at_ms + REPEATED_MS;
-            if !is_old && self.rows.len() <= MOST_ROWS {
+            let is_old = now_ms >= at_ms + REPEAT_MS;
+            if !is_old && self.rows.len() <= MAX_ROWS {
                 break;
             }
             self.after = self.after.max(row.version);
@@ -93,7 +93,7 @@
         }
     }
 
-    /// The changes, with the time, the configuration and the orders that they are told with.
+    /// Builds the next digest.
     pub fn digest(
         &self,
         reader: Arc<str>,
@@ -101,7 +101,7 @@
         configuration: u64,
         mut evacuations: Vec<Order>,
     ) -> Digest {
-        evacuations.truncate(MOST_ORDERS);
+        evacuations.truncate(MAX_ORDERS);
         Digest {
             reader,
             after: self.after,
@@ -114,46 +114,47 @@
     }
 }
 
-/// How far an instance knows the list, by its own readings and by digests.
+/// Store version up to which an instance knows the server list, from its own reads and from digests.
 #[derive(Debug, Default)]
 pub struct Cursor {
     version: u64,
-    fed_ms: Option<u64>,
-    configuration: u64,
+    last_digest_ms: Option<u64>,
+    configuration_version: u64,
 }
 
 impl Cursor {
-    /// Version of the store up to which the list is known.
+    /// Store version up to which the list is known.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Newest version of the configuration that a reader told.
-    pub fn configuration(&self) -> u64 {
-        self.configuration
+    /// Newest configuration version that a reader reported.
+    pub fn configuration_version(&self) -> u64 {
+        self.configuration_version
     }
 
-    /// Notes an own reading.
-    pub fn read(&mut self, version: u64) {
+    /// Advances to the version of an own read.
+    pub fn advance(&mut self, version: u64) {
         self.version = self.version.max(version);
     }
 
-    /// Takes a digest at `now_ms` of the own clock, which is `store_ms` of the store's; returns whether its rows follow on what is
-    /// known.
-    pub fn take(&mut self, digest: &Digest, store_ms: u64, now_ms: u64) -> bool {
-        let follows = digest.after <= self.version && self.version <= digest.until;
-        let is_fresh = digest.at_ms.abs_diff(store_ms) < STALE_MS;
-        if self.version == 0 || !follows || !is_fresh {
+    /// Advances to the end of a digest at `now_ms` of the local clock, which is `store_ms` of the store's clock. Returns `false` if
+    /// its rows must not be applied: the digest is stale, or there is a gap before it.
+    pub fn apply(&mut self, digest: &Digest, store_ms: u64, now_ms: u64) -> bool {
+        let is_contiguous = digest.after <= self.version && self.version <= digest.until;
+        let is_fresh = digest.at_ms.abs_diff(store_ms) < STALE_DIGEST_MS;
+        if self.version == 0 || !is_contiguous || !is_fresh {
             return false;
         }
         self.version = digest.until;
-        self.fed_ms = Some(now_ms);
-        self.configuration = self.configuration.max(digest.configuration);
+        self.last_digest_ms = Some(now_ms);
+        self.configuration_version = self.configuration_version.max(digest.configuration);
         true
     }
 
-    /// Whether readers tell what changes.
-    pub fn is_fed(&self, now_ms: u64) -> bool {
-        self.fed_ms.is_some_and(|fed_ms| now_ms < fed_ms + FED_MS)
+    /// Returns `true` while digests arrive.
+    pub fn is_following(&self, now_ms: u64) -> bool {
+        self.last_digest_ms
+            .is_some_and(|last_digest_ms| now_ms < last_digest_ms + DIGEST_TIMEOUT_MS)
     }
 }
--- a/crates/fescuewell_forward/src/retry.rs
+++ b/crates/fescuewell_forward/src/retry.rs
@@ -1,4 +1,4 @@
-//! The retry budget that all instances share.
+//! Retry budget of the fleet, divided among the instances.
 //!
 //! Retries prolong an overload. Each instance may retry a fraction of its own requests plus its share of a fixed allowance, so that
 //! the fleet stays within its budget without coordination.
@@ -8,7 +8,7 @@
 
 use crate::window::Window;
 
-/// Bounds of the fleet's budget.
+/// Limits of the fleet's budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
     /// Retries allowed per request of the window.
@@ -19,18 +19,18 @@
     pub window_ms: u64,
 }
 
-/// Part of the budget that is used: windows of instances are not aligned, and a dead instance's requests are not
+/// Fraction of the budget that is used. The windows of instances are not aligned, and the requests of a failed instance are not
 /// counted by those that take over its callers.
-const USED_PART: f64 = 0.6;
+const USED_FRACTION: f64 = 0.6;
 
-/// Requests and retries of one service.
+/// Requests and retries of a service.
 #[derive(Debug)]
 struct Counts {
     requests: Window,
     retries: Window,
 }
 
-/// The part of one instance.
+/// Share of one instance in the fleet's budget.
 #[derive(Debug)]
 pub struct Budget {
     bounds: Bounds,
@@ -38,7 +38,7 @@
 }
 
 impl Budget {
-    /// A budget with nothing used.
+    /// Creates an unused budget.
     pub fn new(bounds: Bounds) -> Self {
         Self {
             bounds,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Counts a request for a service.
+    /// Counts a request to a service.
     pub fn request(&mut self, service: &Arc<str>, now_ms: u64) {
         self.counts(service).requests.add(now_ms, 1);
     }
@@ -57,7 +57,7 @@
         let counts = self.counts(service);
         let requests = counts.requests.sum(now_ms) as f64;
         let retries = counts.retries.sum(now_ms) as f64;
-        let allowed = USED_PART * (ratio * requests + slack / instances.max(1) as f64);
+        let allowed = USED_FRACTION * (ratio * requests + slack / instances.max(1) as f64);
         if retries + 1.0 > allowed {
             return false;
         }
--- a/crates/fescuewell_forward/src/retry_after.rs
+++ b/crates/fescuewell_forward/src/retry_after.rs
@@ -1,14 +1,14 @@
 //! Retry delays for rejected requests.
 
-/// Minimum retry delay during a store outage in milliseconds; a few store calls.
-pub const OUTAGE_LEAST_MS: u64 = 150;
+/// Minimum retry delay during a store outage in milliseconds; the duration of a few store calls.
+pub const MIN_OUTAGE_DELAY_MS: u64 = 150;
 /// Maximum retry delay during a store outage in milliseconds; callers honour up to a third of their remaining time.
-pub const OUTAGE_MOST_MS: u64 = 4_000;
+pub const MAX_OUTAGE_DELAY_MS: u64 = 4_000;
 
-/// Estimates the remaining time of a store outage in milliseconds as its duration so far, with a jitter of 50% taken from the random
-/// number `draw`.
-pub fn outage_left_ms(silence_ms: u64, draw: u64) -> u64 {
-    let part = 0.5 + draw as f64 / u64::MAX as f64;
-    let left_ms = (silence_ms as f64 * part) as u64;
-    left_ms.clamp(OUTAGE_LEAST_MS, OUTAGE_MOST_MS)
+/// Estimates the remaining time of a store outage in milliseconds as its duration so far, with a jitter of 50% derived from
+/// `random`.
+pub fn outage_left_ms(silence_ms: u64, random: u64) -> u64 {
+    let factor = 0.5 + random as f64 / u64::MAX as f64;
+    let left_ms = (silence_ms as f64 * factor) as u64;
+    left_ms.clamp(MIN_OUTAGE_DELAY_MS, MAX_OUTAGE_DELAY_MS)
 }
--- a/crates/fescuewell_forward/src/server.rs
+++ b/crates/fescuewell_forward/src/server.rs
@@ -1,4 +1,4 @@
-//! The backend servers that have registered themselves, and which of them may get new work.
+//! Registry of the backend servers: their entries and which of them may receive new work.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -9,34 +9,33 @@
 use crate::evacuation::{Order, Zones};
 use crate::{version, warmup};
 
-/// What a backend server says of itself.
+/// State that a backend server reports of itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum State {
-    /// It takes work.
+    /// It accepts work.
     Ready,
-    /// It is about to leave and must get no new work.
+    /// It is shutting down and must not receive new work.
     Draining,
 }
 
-/// One backend server.
+/// Entry of a backend server in the server list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its name, which a restart may keep.
+    /// Unique name; may be the same after a restart.
     pub id: Arc<str>,
-    /// Start of this incarnation, in Unix milliseconds by the server's own clock. It only tells one start from another;
-    /// nothing if the server does not say it.
-    pub born: Option<u64>,
+    /// Start time in Unix milliseconds of the server's clock, if reported. Only used to distinguish incarnations.
+    pub started_at_ms: Option<u64>,
     /// Service that it belongs to.
     pub service: Arc<str>,
-    /// Where it listens.
+    /// Address it listens on.
     pub address: SocketAddr,
     /// Availability zone.
     pub zone: Arc<str>,
-    /// Requests that it works on at once.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// How much longer it stays cold, in milliseconds, as of the writing of the entry; see [`crate::warmup`].
+    /// Remaining time for which it is cold when the entry is written, in milliseconds; see [`crate::warmup`].
     pub cold_left_ms: u64,
-    /// Whether it takes work.
+    /// Whether it accepts work.
     pub state: State,
 }
 
@@ -57,7 +56,7 @@
     pub fn incarnation(&self) -> Incarnation {
         let mut hasher = blake3::Hasher::new();
         hasher.update(self.id.as_bytes());
-        hasher.update(&self.born.unwrap_or_default().to_le_bytes());
+        hasher.update(&self.started_at_ms.unwrap_or_default().to_le_bytes());
         let mut bytes = [0; 8];
         bytes.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
         Incarnation(u64::from_le_bytes(bytes))
@@ -68,8 +67,8 @@
         self.state == State::Draining
     }
 
-    /// Whether another entry says the same, but for the time that runs off.
-    fn is_alike(&self, other: &Self) -> bool {
+    /// Returns `true` if another entry equals this one, ignoring the remaining cold time.
+    fn is_equivalent(&self, other: &Self) -> bool {
         let other = Self {
             cold_left_ms: self.cold_left_ms,
             ..other.clone()
@@ -78,290 +77,305 @@
     }
 }
 
-/// What a row of the list says.
+/// Content of a server list update.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Said {
-    /// A backend server's own entry.
+pub enum Change {
+    /// The server's entry was written.
     Entry(Entry),
     /// The row was removed.
     Removed,
-    /// The row names no server: something else wrote it.
+    /// The row is not a valid server entry.
     Unreadable {
-        /// What is wrong with it.
+        /// Decoding error.
         reason: Arc<str>,
     },
 }
 
-/// One row of the list.
+/// Update of one row of the server list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Movement {
-    /// The server that it speaks of.
+pub struct Update {
+    /// Id of the server.
     pub id: Arc<str>,
-    /// Version of its last write.
+    /// Version of the row's last write.
     pub version: u64,
-    /// What it says.
-    pub said: Said,
+    /// Content of the row.
+    pub change: Change,
 }
 
-/// A registered entry with the version of its last write.
+/// A registered server.
 #[derive(Debug, Clone)]
-struct Known {
+struct Registration {
     entry: Arc<Entry>,
+    /// Version of the entry's last write.
     version: u64,
-    /// It said itself that it leaves, ahead of the list.
-    is_marked: bool,
-    /// The row has vanished, and from this moment the server counts as gone, in milliseconds of the own clock.
-    lapses_at_ms: Option<u64>,
-    /// Until when it may be cold, in milliseconds of the own clock. Its entry is seconds old when it is read, so this is later than
-    /// the truth.
+    /// The server reported in a response that it is draining, before the list did.
+    is_marked_draining: bool,
+    /// When the registration expires because the row is missing, in milliseconds of the local clock.
+    expires_at_ms: Option<u64>,
+    /// Until when the server may be cold, in milliseconds of the local clock. An upper bound, since the entry is seconds old when it
+    /// is read.
     cold_until_ms: u64,
 }
 
-/// All backend servers as last read.
+/// Registry of all backend servers.
 ///
-/// Reads of the list can be stale by seconds while writes go on. A snapshot or a change that is older than what
-/// is known would bring a server back that has left, and requests would run into its end; versions
-/// therefore only rise.
+/// Reads of the server list may be seconds old. Versions of a row only increase and older updates are ignored; otherwise a stale
+/// read would restore a server that has left, and requests sent to it would fail.
 ///
-/// A store that comes back from a copy shows what was true some seconds before, under newer versions. Servers that have left or
-/// said so since then, and zones that were evacuated, stay so until they or the operator write again.
+/// A store that is restored from a backup returns state that is some seconds old, under newer versions. Servers that were removed or
+/// draining and zones that were evacuated stay so until the server or the operator writes again.
 #[derive(Debug, Default)]
 pub struct Registry {
-    known: HashMap<Arc<str>, Known>,
-    gone: HashMap<Arc<str>, u64>,
-    snapshot: u64,
-    spared_until_ms: u64,
+    registrations: HashMap<Arc<str>, Registration>,
+    /// Versions at which servers were removed.
+    tombstones: HashMap<Arc<str>, u64>,
+    snapshot_version: u64,
+    /// Until when registrations without a row are kept.
+    removal_grace_until_ms: u64,
     ended: Vec<Arc<Entry>>,
     zones: Zones,
-    warmups: HashMap<Arc<str>, warmup::Bound>,
+    warmup_limits: HashMap<Arc<str>, warmup::Limit>,
+    /// Era of the store; see [`crate::version`].
     era: u32,
-    restored_until_ms: u64,
+    /// Until when evacuations that a restored store lacks are kept.
+    restore_grace_until_ms: u64,
 }
 
-/// Removed names that are remembered, so that an older read cannot bring them back.
-const GONE_KEPT: usize = 4_096;
-/// Silence of the store, in milliseconds, from which entries may have lapsed although their servers live: an entry lapses
-/// after three missed heartbeats of 1.2 s, less one that was due anyway.
-pub const LAPSING_SILENCE_MS: u64 = 2_400;
-/// Time after the store's return within which the entries of servers that live are back, in milliseconds. Without it an
-/// instance has no backend server at all until the first heartbeats arrive, and refuses what they could serve.
-const RETURN_MS: u64 = 2_000;
-/// Time after the store's return from a copy within which the operator's word that was lost is written again, in milliseconds. Until
-/// then an evacuation that the copy lacks goes on.
-const REWRITTEN_MS: u64 = 5_000;
-/// Difference from which a later end of a server's cold time is news, in milliseconds: entries are written about once a second and
-/// take up to another one to be read.
-const COLD_NEWS_MS: u64 = 1_500;
+/// Maximum number of tombstones; they prevent stale reads from restoring removed servers.
+const MAX_TOMBSTONES: usize = 4_096;
+/// Duration of a store outage, in milliseconds, from which entries of live servers may have expired. Entries expire after three
+/// missed heartbeats of 1.2 s; one of them may be due when the outage begins.
+pub const ENTRY_EXPIRY_OUTAGE_MS: u64 = 2_400;
+/// Time after an outage within which live servers write their entries again, in milliseconds. Without this grace period an instance
+/// has no backend servers and rejects requests until the first heartbeats arrive.
+const REMOVAL_GRACE_MS: u64 = 2_000;
+/// Time after a restore within which the operator's lost writes are repeated, in milliseconds. Evacuations that the backup lacks
+/// stay in force until then.
+const RESTORE_GRACE_MS: u64 = 5_000;
+/// Tolerance when comparing the ends of cold times, in milliseconds: entries are written about once a second and may take another
+/// second to be read.
+const COLD_TOLERANCE_MS: u64 = 1_500;
 
 impl Registry {
-    /// Whether a row says anything that is not known at `now_ms` of the own clock: most say only that their servers live.
-    pub fn is_news(&self, movement: &Movement, now_ms: u64) -> bool {
-        match (&movement.said, self.known.get(&movement.id)) {
-            (Said::Entry(entry), Some(known)) => {
-                let is_colder = now_ms + entry.cold_left_ms > known.cold_until_ms + COLD_NEWS_MS;
+    /// Returns `true` if the update changes anything at `now_ms` of the local clock; most are mere heartbeats.
+    pub fn is_change(&self, update: &Update, now_ms: u64) -> bool {
+        match (&update.change, self.registrations.get(&update.id)) {
+            (Change::Entry(entry), Some(known)) => {
+                let is_colder =
+                    now_ms + entry.cold_left_ms > known.cold_until_ms + COLD_TOLERANCE_MS;
                 let turns_cold = entry.cold_left_ms > 0 && is_colder;
-                // What it told this instance alone is news to the others.
-                let was_told = known.is_marked || known.lapses_at_ms.is_some();
-                !known.entry.is_alike(entry) || was_told || turns_cold
+                // Other instances do not know a state that only this instance has observed.
+                let has_local_state = known.is_marked_draining || known.expires_at_ms.is_some();
+                !known.entry.is_equivalent(entry) || has_local_state || turns_cold
             }
-            (Said::Entry(_), None) => true,
+            (Change::Entry(_), None) => true,
             (_, known) => known.is_some(),
         }
     }
 
-    /// Number of known servers.
+    /// Number of registered servers.
     pub fn count(&self) -> usize {
-        self.known.len()
+        self.registrations.len()
     }
 
-    /// Takes one row of the list at `now_ms` of the own clock; returns whether it was news.
-    pub fn change(&mut self, movement: Movement, now_ms: u64) -> bool {
-        let Movement { id, version, said } = movement;
-        let known = self.known.get(&id).map(|known| known.version);
-        let gone = self.gone.get(&id).copied();
-        let newest = known.max(gone).unwrap_or_default();
+    /// Applies an update at `now_ms` of the local clock. Returns `false` if it is stale.
+    pub fn apply(&mut self, update: Update, now_ms: u64) -> bool {
+        let Update {
+            id,
+            version,
+            change,
+        } = update;
+        let registered = self.registrations.get(&id).map(|known| known.version);
+        let removed = self.tombstones.get(&id).copied();
+        let newest = registered.max(removed).unwrap_or_default();
         if version <= newest {
             return false;
         }
-        self.enter(version::era(version), now_ms);
-        let is_ghost = gone.is_some_and(|gone| version::era(gone) < version::era(version));
-        if is_ghost && matches!(said, Said::Entry(_)) {
-            // It stands in the copy and has left since. A server that lives writes again.
-            self.gone.insert(id, version);
+        self.enter_era(version::era(version), now_ms);
+        let was_removed_before_restore =
+            removed.is_some_and(|removed| version::era(removed) < version::era(version));
+        if was_removed_before_restore && matches!(change, Change::Entry(_)) {
+            // The entry comes from the backup. A live server writes again.
+            self.tombstones.insert(id, version);
             return false;
         }
-        match said {
-            Said::Entry(entry) => self.put(entry, version, now_ms),
-            Said::Removed => self.remove(&id, version, now_ms),
-            Said::Unreadable { .. } => self.bury(id, version),
+        match change {
+            Change::Entry(entry) => self.register(entry, version, now_ms),
+            Change::Removed => self.remove(&id, version, now_ms),
+            Change::Unreadable { .. } => self.delete(id, version),
         }
         true
     }
 
-    /// Takes the whole list as of `version`; returns the rows that were news.
-    pub fn snapshot(&mut self, version: u64, rows: Vec<Movement>, now_ms: u64) -> Vec<Movement> {
-        if version < self.snapshot {
+    /// Applies the whole list as of `version`. Returns the rows that were not stale.
+    pub fn apply_snapshot(&mut self, version: u64, rows: Vec<Update>, now_ms: u64) -> Vec<Update> {
+        if version < self.snapshot_version {
             return Vec::new();
         }
-        self.snapshot = version;
-        self.enter(version::era(version), now_ms);
+        self.snapshot_version = version;
+        self.enter_era(version::era(version), now_ms);
         let listed: HashSet<Arc<str>> = rows.iter().map(|row| row.id.clone()).collect();
-        let news = rows
+        let applied = rows
             .into_iter()
-            .filter(|row| self.change(row.clone(), now_ms));
-        let news = news.collect();
-        let missing = self.known.iter();
+            .filter(|row| self.apply(row.clone(), now_ms));
+        let applied = applied.collect();
+        let missing = self.registrations.iter();
         let missing =
             missing.filter(|(id, known)| known.version <= version && !listed.contains(*id));
         let missing: Vec<Arc<str>> = missing.map(|(id, _)| id.clone()).collect();
         for id in missing {
             self.remove(&id, version, now_ms);
         }
-        news
+        applied
     }
 
-    /// The store has come back from a copy: entries that it lacks are written again by the servers that live.
-    fn enter(&mut self, era: u32, now_ms: u64) {
+    /// Starts the grace periods if the store was restored from a backup. Live servers write entries again that the backup lacks.
+    fn enter_era(&mut self, era: u32, now_ms: u64) {
         if era <= self.era {
             return;
         }
         self.era = era;
-        self.spared_until_ms = self.spared_until_ms.max(now_ms + RETURN_MS);
-        self.restored_until_ms = now_ms + REWRITTEN_MS;
+        self.removal_grace_until_ms = self.removal_grace_until_ms.max(now_ms + REMOVAL_GRACE_MS);
+        self.restore_grace_until_ms = now_ms + RESTORE_GRACE_MS;
     }
 
-    /// The store answers again after `silence_ms`. Entries may have lapsed meanwhile, since heartbeats did not arrive
-    /// either; those of servers that live come back.
-    pub fn store_returned(&mut self, silence_ms: u64, now_ms: u64) {
-        if silence_ms >= LAPSING_SILENCE_MS {
-            self.spared_until_ms = now_ms + RETURN_MS;
+    /// Reports that the store responds again after an outage of `silence_ms`. Entries of live servers may have expired, since
+    /// heartbeats could not be written either.
+    pub fn store_recovered(&mut self, silence_ms: u64, now_ms: u64) {
+        if silence_ms >= ENTRY_EXPIRY_OUTAGE_MS {
+            self.removal_grace_until_ms = now_ms + REMOVAL_GRACE_MS;
         }
     }
 
-    /// Marks a server as leaving because it said so itself in an answer, ahead of the list. Whatever is written of it
-    /// later goes before the mark.
+    /// Marks a server as draining because it reported so in a response, before the list did. The next update of its row replaces
+    /// the mark.
     pub fn mark_draining(&mut self, id: &str) {
-        let Some(known) = self.known.get_mut(id) else {
+        let Some(known) = self.registrations.get_mut(id) else {
             return;
         };
         let mut entry = Entry::clone(&known.entry);
         entry.state = State::Draining;
         known.entry = Arc::new(entry);
-        known.is_marked = true;
+        known.is_marked_draining = true;
     }
 
-    /// Last entries of servers that have started again under their names, or were removed, since the last call: what was
-    /// observed of them says nothing of whoever bears the name next.
+    /// Takes the last entries of servers that were removed or restarted since the last call. Observations of these incarnations do not
+    /// apply to later ones with the same id.
     pub fn take_ended(&mut self) -> Vec<Arc<Entry>> {
         std::mem::take(&mut self.ended)
     }
 
-    /// Whether the server has started again since it gave this entry.
-    pub fn is_reborn(&self, entry: &Entry) -> bool {
-        let known = self.known.get(&entry.id);
-        known.is_some_and(|known| is_birth(entry, &known.entry))
+    /// Returns `true` if the server has restarted since it wrote this entry.
+    pub fn has_restarted(&self, entry: &Entry) -> bool {
+        let known = self.registrations.get(&entry.id);
+        known.is_some_and(|known| is_restart(entry, &known.entry))
     }
 
-    /// Whether the server is listed at all.
+    /// Returns `true` if the server is registered, in whatever state.
     pub fn is_known(&self, id: &str) -> bool {
-        self.known.contains_key(id)
+        self.registrations.contains_key(id)
     }
 
-    /// Whether the server is still known and takes work.
+    /// Returns `true` if the server is registered and may receive new work.
     pub fn is_ready(&self, id: &str, now_ms: u64) -> bool {
-        let known = self.known.get(id);
-        known.is_some_and(|known| self.takes_work(known, now_ms))
+        let known = self.registrations.get(id);
+        known.is_some_and(|known| self.is_available(known, now_ms))
     }
 
-    /// Whether the server may be cold; see [`crate::warmup`].
+    /// Returns `true` if the server may be cold; see [`crate::warmup`].
     pub fn is_cold(&self, id: &str, now_ms: u64) -> bool {
-        let known = self.known.get(id);
+        let known = self.registrations.get(id);
         known.is_some_and(|known| now_ms < known.cold_until_ms)
     }
 
-    /// Sets for how long servers are cold, by their service.
-    pub fn set_warmups<Bounds>(&mut self, bounds: Bounds)
+    /// Sets the limits for cold servers, by service.
+    pub fn set_warmup_limits<Limits>(&mut self, limits: Limits)
     where
-        Bounds: Iterator<Item = (Arc<str>, warmup::Bound)>,
+        Limits: Iterator<Item = (Arc<str>, warmup::Limit)>,
     {
-        self.warmups = bounds.collect();
+        self.warmup_limits = limits.collect();
     }
 
-    /// The availability zones that are evacuated.
+    /// Returns the availability zones with their evacuation orders.
     pub fn zones(&self) -> &Zones {
         &self.zones
     }
 
-    /// Takes the operator's order on an availability zone at `now_ms` of the own clock; returns whether the zone changes by it.
-    pub fn evacuate(&mut self, order: Order, now_ms: u64) -> bool {
+    /// Applies an evacuation order at `now_ms` of the local clock. Returns `true` if it changes the zone's state.
+    pub fn apply_evacuation(&mut self, order: Order, now_ms: u64) -> bool {
         let zone = order.zone.clone();
-        let is_back = !order.is_evacuated;
-        let is_news = self.zones.take(order);
-        if is_news && is_back {
-            self.chill(&zone, now_ms);
+        let is_end = !order.is_evacuated;
+        let is_changed = self.zones.apply(order);
+        if is_changed && is_end {
+            self.mark_zone_cold(&zone, now_ms);
         }
-        is_news
+        is_changed
     }
 
-    /// Takes all orders as of `version`; returns those by which zones change.
-    pub fn evacuations(&mut self, version: u64, listed: Vec<Order>, now_ms: u64) -> Vec<Order> {
-        self.enter(version::era(version), now_ms);
-        let missing = match now_ms < self.restored_until_ms {
+    /// Applies the whole list of orders as of `version`. Returns those that change a zone's state.
+    pub fn apply_evacuations(
+        &mut self,
+        version: u64,
+        listed: Vec<Order>,
+        now_ms: u64,
+    ) -> Vec<Order> {
+        self.enter_era(version::era(version), now_ms);
+        let withdrawn = match now_ms < self.restore_grace_until_ms {
             true => Vec::new(),
-            false => self.zones.missing(version, &listed),
+            false => self.zones.withdrawn(version, &listed),
         };
-        let orders = listed.into_iter().chain(missing);
-        let mut news = Vec::new();
+        let orders = listed.into_iter().chain(withdrawn);
+        let mut changes = Vec::new();
         for order in orders {
-            if self.evacuate(order.clone(), now_ms) {
-                news.push(order);
+            if self.apply_evacuation(order.clone(), now_ms) {
+                changes.push(order);
             }
         }
-        news
+        changes
     }
 
-    /// Counts the servers of a zone as cold from now on. They may have become so while they got nothing, and what they say of it
-    /// is read a second or two after the end of the evacuation: until then all instances would send to them at once.
-    fn chill(&mut self, zone: &str, now_ms: u64) {
-        for known in self.known.values_mut() {
+    /// Marks the servers of a zone as cold. They may have cooled down during the evacuation; their own reports arrive a second or two
+    /// after its end, and until then all instances would send to them at once.
+    fn mark_zone_cold(&mut self, zone: &str, now_ms: u64) {
+        for known in self.registrations.values_mut() {
             if &*known.entry.zone != zone {
                 continue;
             }
-            let Some(bound) = self.warmups.get(&known.entry.service) else {
+            let Some(limit) = self.warmup_limits.get(&known.entry.service) else {
                 continue;
             };
-            let until_ms = now_ms + bound.time.as_millis() as u64;
+            let until_ms = now_ms + limit.duration.as_millis() as u64;
             known.cold_until_ms = known.cold_until_ms.max(until_ms);
         }
     }
 
-    fn takes_work(&self, known: &Known, now_ms: u64) -> bool {
-        known.takes_work(now_ms) && !self.zones.is_evacuated(&known.entry.zone)
+    fn is_available(&self, known: &Registration, now_ms: u64) -> bool {
+        known.is_available(now_ms) && !self.zones.is_evacuated(&known.entry.zone)
     }
 
-    /// Servers of a service that take work.
+    /// Returns the servers of a service that may receive new work.
     pub fn ready<'a>(
         &'a self,
         service: &'a str,
         now_ms: u64,
     ) -> impl Iterator<Item = &'a Arc<Entry>> + 'a {
-        self.known
+        self.registrations
             .values()
-            .filter(move |known| self.takes_work(known, now_ms))
+            .filter(move |known| self.is_available(known, now_ms))
             .map(|known| &known.entry)
             .filter(move |entry| &*entry.service == service)
     }
 
-    /// All known servers.
+    /// Returns the entries of all registered servers.
     pub fn entries(&self) -> impl Iterator<Item = &Arc<Entry>> {
-        self.known.values().map(|known| &known.entry)
+        self.registrations.values().map(|known| &known.entry)
     }
 
-    fn put(&mut self, mut entry: Entry, version: u64, now_ms: u64) {
+    fn register(&mut self, mut entry: Entry, version: u64, now_ms: u64) {
         let id = entry.id.clone();
-        self.gone.remove(&id);
-        let known = self.known.get(&id);
-        if known.is_some_and(|known| known.has_left_before(&entry, version)) {
+        self.tombstones.remove(&id);
+        let known = self.registrations.get(&id);
+        if known.is_some_and(|known| known.was_draining_before_restore(&entry, version)) {
             entry.state = State::Draining;
         }
         let before_ms = known.map_or(0, |known| known.cold_until_ms);
@@ -370,56 +384,58 @@
             left_ms => before_ms.max(now_ms + left_ms),
         };
         let entry = Arc::new(entry);
-        let known = Known {
+        let registration = Registration {
             entry: entry.clone(),
             version,
-            is_marked: false,
-            lapses_at_ms: None,
+            is_marked_draining: false,
+            expires_at_ms: None,
             cold_until_ms,
         };
-        let before = self.known.insert(id, known);
-        if let Some(before) = before.filter(|before| is_birth(&before.entry, &entry)) {
-            self.ended.push(before.entry);
+        let former = self.registrations.insert(id, registration);
+        if let Some(former) = former.filter(|former| is_restart(&former.entry, &entry)) {
+            self.ended.push(former.entry);
         }
     }
 
+    /// Removes a server, after the grace period if one is running.
     fn remove(&mut self, id: &Arc<str>, version: u64, now_ms: u64) {
-        let spared_until_ms = self.spared_until_ms;
-        match self.known.get_mut(id) {
-            Some(known) if now_ms < spared_until_ms => {
+        let grace_until_ms = self.removal_grace_until_ms;
+        match self.registrations.get_mut(id) {
+            Some(known) if now_ms < grace_until_ms => {
                 known.version = version;
-                known.lapses_at_ms = Some(known.lapses_at_ms.unwrap_or(spared_until_ms));
+                known.expires_at_ms = Some(known.expires_at_ms.unwrap_or(grace_until_ms));
             }
-            _ => self.bury(id.clone(), version),
+            _ => self.delete(id.clone(), version),
         }
     }
 
-    fn bury(&mut self, id: Arc<str>, version: u64) {
-        if let Some(known) = self.known.remove(&id) {
+    /// Deletes a registration at once and leaves a tombstone.
+    fn delete(&mut self, id: Arc<str>, version: u64) {
+        if let Some(known) = self.registrations.remove(&id) {
             self.ended.push(known.entry);
         }
-        if self.gone.len() >= GONE_KEPT {
-            self.gone.clear();
+        if self.tombstones.len() >= MAX_TOMBSTONES {
+            self.tombstones.clear();
         }
-        self.gone.insert(id, version);
+        self.tombstones.insert(id, version);
     }
 }
 
-impl Known {
-    /// Whether it said in a former era of the store that it leaves, and the copy does not know it yet. A server that is about to
-    /// leave does not come back under its name.
-    fn has_left_before(&self, entry: &Entry, version: u64) -> bool {
+impl Registration {
+    /// Returns `true` if the same incarnation was draining in a former era of the store, which the backup may lack. A draining server
+    /// does not become ready again.
+    fn was_draining_before_restore(&self, entry: &Entry, version: u64) -> bool {
         let is_former = version::era(self.version) < version::era(version);
-        is_former && self.entry.state == State::Draining && !is_birth(&self.entry, entry)
+        is_former && self.entry.state == State::Draining && !is_restart(&self.entry, entry)
     }
 
-    fn takes_work(&self, now_ms: u64) -> bool {
-        let is_lapsed = self.lapses_at_ms.is_some_and(|at| at <= now_ms);
-        self.entry.state == State::Ready && !is_lapsed
+    fn is_available(&self, now_ms: u64) -> bool {
+        let is_expired = self.expires_at_ms.is_some_and(|at| at <= now_ms);
+        self.entry.state == State::Ready && !is_expired
     }
 }
 
-/// Whether two entries of one name are of different starts.
-fn is_birth(before: &Entry, after: &Entry) -> bool {
-    matches!((before.born, after.born), (Some(before), Some(after)) if before != after)
+/// Returns `true` if two entries with the same id belong to different incarnations.
+fn is_restart(before: &Entry, after: &Entry) -> bool {
+    matches!((before.started_at_ms, after.started_at_ms), (Some(before), Some(after)) if before != after)
 }
--- a/crates/fescuewell_forward/src/version.rs
+++ b/crates/fescuewell_forward/src/version.rs
@@ -1,8 +1,8 @@
-//! Versions of the store that go on rising when it comes back from a copy.
+//! Store versions that increase across restores from a backup.
 //!
-//! The store counts its writes. After it was restored from a copy some seconds old the count goes back, and numbers are given out
-//! again; each restoration begins a new *era*. A version holds both, the era in its upper bits, so that one of a later era is always the
-//! newer one. `0` stands for a row that does not exist.
+//! The store counts its writes. A restore from a backup that is some seconds old sets the count back, so that numbers are
+//! assigned twice; each restore begins a new *era*. A version contains both, with the era in its upper bits, so that versions of a later era are always
+//! newer. Version 0 denotes a row that does not exist.
 //!
 //! ```
 //! use fescuewell_forward::version;
@@ -13,24 +13,24 @@
 //! assert_eq!((version::era(restored), version::number(restored)), (1, 850));
 //! ```
 
-/// Bits of the count: enough for thirty years of a thousand writes a second.
+/// Bits of the count; enough for thirty years of a thousand writes per second.
 const NUMBER_BITS: u32 = 40;
-const NUMBERS: u64 = (1 << NUMBER_BITS) - 1;
+const NUMBER_MASK: u64 = (1 << NUMBER_BITS) - 1;
 
-/// The version of a write, by the store's era and its count; 0 where the count is 0.
+/// Combines the store's era and write count to a version; 0 if the count is 0.
 pub fn join(era: u32, number: u64) -> u64 {
-    match number & NUMBERS {
+    match number & NUMBER_MASK {
         0 => 0,
         number => u64::from(era) << NUMBER_BITS | number,
     }
 }
 
-/// The era of a version.
+/// Returns the era of a version.
 pub fn era(version: u64) -> u32 {
     (version >> NUMBER_BITS) as u32
 }
 
-/// The store's own count.
+/// Returns the store's write count.
 pub fn number(version: u64) -> u64 {
-    version & NUMBERS
+    version & NUMBER_MASK
 }
--- a/crates/fescuewell_forward/src/warmup.rs
+++ b/crates/fescuewell_forward/src/warmup.rs
@@ -1,11 +1,10 @@
-//! How fast cold backend servers may be sent requests.
+//! Slow start: rate limits for cold backend servers.
 //!
-//! A server that has just started bears few requests a second and falls over at many more. The bound holds over all instances
-//! together, also those that do not hear each other. So only a few of them, the *introducers* of a server, send to it while it is
-//! cold, and each keeps to its part of the rate. All instances compute the same introducers from the same list.
+//! A server that has just started handles few requests a second and fails at many more. The limit holds over all instances, also those
+//! that do not receive each other's messages: only the few instances *assigned* to a cold server send to it, and each keeps to its
+//! share of the rate. All instances compute the same assignment from the same list of instances.
 //!
-//! The load that this answers: an availability zone comes back at once. Its servers are idle, so that every instance's choice
-//! falls on them.
+//! This protects an availability zone that returns all at once: its servers are idle, so that every instance would pick them.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -13,104 +12,104 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What cold servers of a service bear.
+/// Rate limit for cold servers of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Bound {
+pub struct Limit {
     /// Time for which a server is cold after its start.
-    pub time: Duration,
-    /// Time between two requests that a cold server bears, in the mean.
-    pub pause: Duration,
+    pub duration: Duration,
+    /// Mean interval between two requests to a cold server.
+    pub interval: Duration,
 }
 
-/// Instances that send to one cold server. Two, so that one may be down or have no traffic; while their list changes another one
-/// or two may take part, which the slack of the bound covers.
-pub const INTRODUCERS: usize = 2;
-/// Requests that an introducer may send at one moment.
-const AT_ONCE: f64 = 1.0;
+/// Number of instances assigned to a cold server. Two, so that one may be down or without traffic. While the list of instances
+/// changes, one or two more may send; the margin of the limit covers them.
+pub const INSTANCES_PER_SERVER: usize = 2;
+/// Maximum number of requests in a burst.
+const BURST: f64 = 1.0;
 
-/// What is left of an introducer's part at one server.
+/// Requests that this instance may send to a server, as of a time.
 #[derive(Debug, Clone, Copy)]
 struct Credit {
     requests: f64,
     at_ms: u64,
 }
 
-/// This instance's parts at cold servers.
+/// This instance's share of the limits.
 #[derive(Debug, Default)]
 pub struct Warmup {
     credits: HashMap<Arc<str>, Credit>,
-    named: Vec<Arc<str>>,
-    /// By server: how many instances share it if this one is among them. Ranking the instances for each of hundreds of cold servers at
-    /// each request would cost a narrow instance more than the request itself.
-    shares: HashMap<Arc<str>, Option<usize>>,
+    instances: Vec<Arc<str>>,
+    /// Number of instances assigned to a server if this one is among them. Cached, since ranking the instances for hundreds of cold
+    /// servers at each request would cost more than the request itself.
+    assignments: HashMap<Arc<str>, Option<usize>>,
 }
 
 impl Warmup {
-    /// Sets the instances that callers are sent to.
-    pub fn set_named(&mut self, named: Vec<Arc<str>>) {
-        if self.named != named {
-            self.named = named;
-            self.shares.clear();
+    /// Sets the instances that receive callers' requests.
+    pub fn set_instances(&mut self, instances: Vec<Arc<str>>) {
+        if self.instances != instances {
+            self.instances = instances;
+            self.assignments.clear();
         }
     }
 
-    /// How many instances share a cold server, if `instance` is one of them.
-    pub fn share(&mut self, server: &Arc<str>, instance: &str) -> Option<usize> {
-        if let Some(share) = self.shares.get(server) {
-            return *share;
+    /// Returns the number of instances assigned to a cold server, or `None` if `instance` is not one of them.
+    pub fn assigned_count(&mut self, server: &Arc<str>, instance: &str) -> Option<usize> {
+        if let Some(count) = self.assignments.get(server) {
+            return *count;
         }
-        let named: Vec<&Arc<str>> = self.named.iter().collect();
-        let chosen = introducers(server, &named);
-        let is_own = chosen.iter().any(|name| &***name == instance);
-        let share = is_own.then_some(chosen.len());
-        self.shares.insert(server.clone(), share);
-        share
+        let instances: Vec<&Arc<str>> = self.instances.iter().collect();
+        let assigned = assigned_instances(server, &instances);
+        let is_assigned = assigned.iter().any(|name| &***name == instance);
+        let count = is_assigned.then_some(assigned.len());
+        self.assignments.insert(server.clone(), count);
+        count
     }
 
-    /// Whether a cold server may be sent a request now, by an introducer of it that is one of `introducers`.
-    pub fn has_credit(&self, server: &str, bound: &Bound, introducers: usize, now_ms: u64) -> bool {
-        self.left(server, bound, introducers, now_ms) >= 1.0
+    /// Returns `true` if this instance, one of `assigned`, may send a request to a cold server now.
+    pub fn has_credit(&self, server: &str, limit: &Limit, assigned: usize, now_ms: u64) -> bool {
+        self.available(server, limit, assigned, now_ms) >= 1.0
     }
 
-    /// Counts a request that is sent to a cold server.
-    pub fn send(&mut self, server: &Arc<str>, bound: &Bound, introducers: usize, now_ms: u64) {
-        let left = self.left(server, bound, introducers, now_ms);
+    /// Takes the credit for a request to a cold server.
+    pub fn record_send(&mut self, server: &Arc<str>, limit: &Limit, assigned: usize, now_ms: u64) {
+        let available = self.available(server, limit, assigned, now_ms);
         let credit = Credit {
-            requests: (left - 1.0).max(0.0),
+            requests: (available - 1.0).max(0.0),
             at_ms: now_ms,
         };
         self.credits.insert(server.clone(), credit);
     }
 
-    /// Forgets servers that are not cold any more.
+    /// Forgets servers that are no longer cold.
     pub fn retain<Cold>(&mut self, cold: Cold)
     where
         Cold: Fn(&str) -> bool,
     {
         self.credits.retain(|id, _| cold(id));
-        self.shares.retain(|id, _| cold(id));
+        self.assignments.retain(|id, _| cold(id));
     }
 
-    fn left(&self, server: &str, bound: &Bound, introducers: usize, now_ms: u64) -> f64 {
+    fn available(&self, server: &str, limit: &Limit, assigned: usize, now_ms: u64) -> f64 {
         let Some(credit) = self.credits.get(server) else {
-            return AT_ONCE;
+            return BURST;
         };
-        let pause_ms = bound.pause.as_secs_f64() * 1_000.0 * introducers.max(1) as f64;
-        let since_ms = now_ms.saturating_sub(credit.at_ms) as f64;
-        (credit.requests + since_ms / pause_ms).min(AT_ONCE)
+        let interval_ms = limit.interval.as_secs_f64() * 1_000.0 * assigned.max(1) as f64;
+        let elapsed_ms = now_ms.saturating_sub(credit.at_ms) as f64;
+        (credit.requests + elapsed_ms / interval_ms).min(BURST)
     }
 }
 
-/// The instances that send to a server while it is cold, of those that callers are sent to.
-pub fn introducers<'a>(server: &str, named: &[&'a Arc<str>]) -> Vec<&'a Arc<str>> {
-    let mut ranked = named.to_vec();
-    ranked.sort_by_key(|name| Reverse(rank(server, name)));
-    ranked.truncate(INTRODUCERS);
+/// Returns the instances that may send to a server while it is cold.
+pub fn assigned_instances<'a>(server: &str, instances: &[&'a Arc<str>]) -> Vec<&'a Arc<str>> {
+    let mut ranked = instances.to_vec();
+    ranked.sort_by_key(|name| Reverse(rendezvous_weight(server, name)));
+    ranked.truncate(INSTANCES_PER_SERVER);
     ranked
 }
 
-/// Rank of an instance for a server; equal on all instances of one program version.
-fn rank(server: &str, instance: &str) -> u64 {
+/// Rendezvous weight of an instance for a server; equal on all instances of one program version.
+fn rendezvous_weight(server: &str, instance: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     server.hash(&mut hasher);
     instance.hash(&mut hasher);
--- a/crates/fescuewell_forward/src/window.rs
+++ b/crates/fescuewell_forward/src/window.rs
@@ -1,9 +1,9 @@
-//! Sums over a sliding span of time, kept in a ring of equal slices.
+//! Sums over a sliding time window, kept in a ring of equal slices.
 
-/// Slices of the ring; the span is known to one part in so many.
+/// Number of slices; the resolution of the window.
 const SLICES: usize = 10;
 
-/// A sum over the last span.
+/// A sum over a sliding time window.
 #[derive(Debug, Clone)]
 pub struct Window {
     slice_ms: u64,
@@ -12,7 +12,7 @@
 }
 
 impl Window {
-    /// A window over `span_ms` milliseconds.
+    /// Creates a window of `span_ms` milliseconds.
     pub fn new(span_ms: u64) -> Self {
         Self {
             slice_ms: (span_ms / SLICES as u64).max(1),
@@ -21,18 +21,19 @@
         }
     }
 
-    /// Adds an amount at a moment, in milliseconds of any steady clock.
+    /// Adds an amount at `now_ms` of a monotonic clock.
     pub fn add(&mut self, now_ms: u64, amount: u64) {
         self.advance(now_ms);
         self.sums[self.current as usize % SLICES] += amount;
     }
 
-    /// The sum over the span that ends now.
+    /// Returns the sum over the window that ends at `now_ms`.
     pub fn sum(&mut self, now_ms: u64) -> u64 {
         self.advance(now_ms);
         self.sums.iter().sum()
     }
 
+    /// Clears the slices that are older than the window.
     fn advance(&mut self, now_ms: u64) {
         let slice = now_ms / self.slice_ms;
         if slice <= self.current {
--- a/crates/fescuewell_forward/tests/admission.rs
+++ b/crates/fescuewell_forward/tests/admission.rs
@@ -34,23 +34,23 @@
     went
 }
 
-fn member(index: u16, zone: &str, weight: u32, out_until_ms: u64) -> Member {
+fn member(index: u16, zone: &str, weight: u32, unready_until_ms: u64) -> Member {
     Member {
         address: ([127, 0, 0, 1], index).into(),
         peer: None,
         zone: zone.into(),
         weight,
-        requests: 5,
+        requests_per_s: 5,
         usage: Vec::new(),
         era: 0,
         is_certain: true,
-        at_ms: 10_000,
-        out_until_ms,
+        heartbeat_at_ms: 10_000,
+        unready_until_ms,
     }
 }
 
 /// Two availability zones with a strong instance and three weak ones each; `weak-a-0` may stay out.
-fn fleet(out_until_ms: u64) -> Directory {
+fn fleet(unready_until_ms: u64) -> Directory {
     let mut members: BTreeMap<Arc<str>, Member> = BTreeMap::new();
     for (number, zone) in ["a", "b"].into_iter().enumerate() {
         let port = number as u16 * 10;
@@ -58,8 +58,8 @@
         members.insert(format!("strong-{zone}").into(), strong);
         for index in 0..3 {
             let is_out = index == 0 && zone == "a";
-            let out_until_ms = if is_out { out_until_ms } else { 0 };
-            let weak = member(port + 1 + index, zone, 50, out_until_ms);
+            let unready_until_ms = if is_out { unready_until_ms } else { 0 };
+            let weak = member(port + 1 + index, zone, 50, unready_until_ms);
             members.insert(format!("weak-{zone}-{index}").into(), weak);
         }
     }
@@ -212,7 +212,7 @@
         let mut members: BTreeMap<Arc<str>, Member> = BTreeMap::new();
         for index in 0..3 {
             let mut strong = member(index, "a", 500, 0);
-            strong.requests = requests;
+            strong.requests_per_s = requests;
             members.insert(format!("strong-{index}").into(), strong);
         }
         let mut directory = Directory::default();
@@ -319,12 +319,12 @@
 fn an_instance_that_has_left_is_nobody() {
     let mut members: BTreeMap<Arc<str>, Member> = BTreeMap::new();
     let mut left = member(1, "a", 500, 60_000);
-    left.at_ms = 0;
+    left.heartbeat_at_ms = 0;
     members.insert("left".into(), left);
     let mut directory = Directory::default();
 
     directory.replace(members, 1_000);
 
     assert_eq!(directory.live().count(), 0);
-    assert!(directory.named().is_empty());
+    assert!(directory.advertised().is_empty());
 }
--- a/crates/fescuewell_forward/tests/crashes.rs
+++ b/crates/fescuewell_forward/tests/crashes.rs
@@ -1,13 +1,13 @@
 //! Which backend servers crashed, and what they were running.
 
-use fescuewell_forward::crash::{Content, Evidence, Finding, Fingerprint, Loss, Watch};
+use fescuewell_forward::crash::{Content, Detector, Evidence, Finding, Fingerprint, Loss};
 use fescuewell_forward::server::{Entry, State};
 use std::sync::Arc;
 
 fn entry(id: &str, born: u64) -> Entry {
     Entry {
         id: id.into(),
-        born: Some(born),
+        started_at_ms: Some(born),
         service: "pool".into(),
         address: "127.0.0.1:9".parse().unwrap(),
         zone: "a".into(),
@@ -83,7 +83,7 @@
 
 #[test]
 fn a_crash_names_each_request_that_was_running_once() {
-    let mut watch = Watch::default();
+    let mut watch = Detector::default();
     let server = entry("i-0", 1);
 
     let first = watch.lost(&server, request(1), Loss::Broken, 0);
@@ -102,7 +102,7 @@
 
 #[test]
 fn a_server_that_accepts_connections_has_not_crashed() {
-    let mut watch = Watch::default();
+    let mut watch = Detector::default();
     let server = entry("i-0", 1);
     watch.lost(&server, request(1), Loss::Broken, 0);
 
@@ -120,7 +120,7 @@
 
 #[test]
 fn the_list_shows_a_crash_only_of_servers_that_did_not_drain() {
-    let mut watch = Watch::default();
+    let mut watch = Detector::default();
     let sound = Arc::new(entry("i-0", 1));
     let leaving = Arc::new(Entry {
         state: State::Draining,
@@ -136,7 +136,7 @@
 
 #[test]
 fn a_doubt_ends_after_a_while() {
-    let mut watch = Watch::default();
+    let mut watch = Detector::default();
     let server = Arc::new(entry("i-0", 1));
     watch.lost(&server, request(1), Loss::Broken, 0);
 
@@ -148,7 +148,7 @@
 /// Guards against a crash that nobody looks for since another request had waited for an answer in vain.
 #[test]
 fn a_broken_connection_is_followed_by_a_probe_though_the_server_was_silent_before() {
-    let mut watch = Watch::default();
+    let mut watch = Detector::default();
     let server = entry("i-0", 1);
 
     let silent = watch.lost(&server, request(1), Loss::Silent, 0);
@@ -162,7 +162,7 @@
 
 #[test]
 fn a_probe_without_a_finding_is_not_awaited() {
-    let mut watch = Watch::default();
+    let mut watch = Detector::default();
     let server = entry("i-0", 1);
     watch.lost(&server, request(1), Loss::Broken, 0);
 
--- a/crates/fescuewell_forward/tests/evacuation.rs
+++ b/crates/fescuewell_forward/tests/evacuation.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use fescuewell_forward::evacuation::{Order, Zones};
-use fescuewell_forward::server::{Entry, Movement, Registry, Said, State};
+use fescuewell_forward::server::{Change, Entry, Registry, State, Update};
 use fescuewell_forward::warmup;
 use proptest::prelude::*;
 
@@ -18,13 +18,13 @@
     }
 }
 
-fn row(id: &str, zone: &str, version: u64, cold_left_ms: u64) -> Movement {
-    Movement {
+fn row(id: &str, zone: &str, version: u64, cold_left_ms: u64) -> Update {
+    Update {
         id: id.into(),
         version,
-        said: Said::Entry(Entry {
+        change: Change::Entry(Entry {
             id: id.into(),
-            born: None,
+            started_at_ms: None,
             service: SERVICE.into(),
             address: "127.0.0.1:1".parse().unwrap(),
             zone: zone.into(),
@@ -38,12 +38,12 @@
 /// A list with one server in each of two zones, whose service bears few requests after a start.
 fn registry() -> Registry {
     let mut registry = Registry::default();
-    let bound = warmup::Bound {
-        time: Duration::from_secs(3),
-        pause: Duration::from_millis(150),
+    let bound = warmup::Limit {
+        duration: Duration::from_secs(3),
+        interval: Duration::from_millis(150),
     };
-    registry.set_warmups([(Arc::from(SERVICE), bound)].into_iter());
-    registry.snapshot(10, vec![row("one", "a", 8, 0), row("two", "b", 9, 0)], 0);
+    registry.set_warmup_limits([(Arc::from(SERVICE), bound)].into_iter());
+    registry.apply_snapshot(10, vec![row("one", "a", 8, 0), row("two", "b", 9, 0)], 0);
     registry
 }
 
@@ -62,7 +62,7 @@
 fn servers_of_an_evacuated_zone_get_no_work() {
     let mut registry = registry();
 
-    let is_news = registry.evacuate(order("a", 11, true), 100);
+    let is_news = registry.apply_evacuation(order("a", 11, true), 100);
 
     assert!(is_news);
     assert_eq!(ready(&registry, 100), ["two".into()]);
@@ -73,8 +73,8 @@
 fn no_server_is_left_when_all_zones_are_evacuated() {
     let mut registry = registry();
 
-    registry.evacuate(order("a", 11, true), 100);
-    registry.evacuate(order("b", 12, true), 100);
+    registry.apply_evacuation(order("a", 11, true), 100);
+    registry.apply_evacuation(order("b", 12, true), 100);
 
     assert!(ready(&registry, 100).is_empty());
 }
@@ -82,9 +82,9 @@
 #[test]
 fn a_server_that_appears_in_an_evacuated_zone_gets_no_work() {
     let mut registry = registry();
-    registry.evacuate(order("a", 11, true), 100);
+    registry.apply_evacuation(order("a", 11, true), 100);
 
-    registry.change(row("new", "a", 12, 0), 200);
+    registry.apply(row("new", "a", 12, 0), 200);
 
     assert_eq!(ready(&registry, 200), ["two".into()]);
 }
@@ -92,9 +92,9 @@
 #[test]
 fn a_zone_that_is_taken_back_gets_work_again() {
     let mut registry = registry();
-    registry.evacuate(order("a", 11, true), 100);
+    registry.apply_evacuation(order("a", 11, true), 100);
 
-    let is_news = registry.evacuate(order("a", 15, false), 5_000);
+    let is_news = registry.apply_evacuation(order("a", 15, false), 5_000);
 
     assert!(is_news);
     assert_eq!(ready(&registry, 5_000), ["one".into(), "two".into()]);
@@ -105,9 +105,9 @@
 #[test]
 fn servers_of_a_zone_that_is_taken_back_count_as_cold() {
     let mut registry = registry();
-    registry.evacuate(order("a", 11, true), 100);
+    registry.apply_evacuation(order("a", 11, true), 100);
 
-    registry.evacuate(order("a", 15, false), 5_000);
+    registry.apply_evacuation(order("a", 15, false), 5_000);
 
     assert!(registry.is_cold("one", 5_000));
     assert!(registry.is_cold("one", 7_999));
@@ -120,9 +120,9 @@
 #[test]
 fn an_old_reading_ends_no_evacuation() {
     let mut registry = registry();
-    registry.evacuate(order("a", 11, true), 100);
+    registry.apply_evacuation(order("a", 11, true), 100);
 
-    let news = registry.evacuations(10, Vec::new(), 200);
+    let news = registry.apply_evacuations(10, Vec::new(), 200);
 
     assert!(news.is_empty());
     assert!(!registry.is_ready("one", 200));
@@ -131,9 +131,9 @@
 #[test]
 fn a_whole_reading_without_the_order_ends_an_evacuation() {
     let mut registry = registry();
-    registry.evacuate(order("a", 11, true), 100);
+    registry.apply_evacuation(order("a", 11, true), 100);
 
-    let news = registry.evacuations(20, Vec::new(), 5_000);
+    let news = registry.apply_evacuations(20, Vec::new(), 5_000);
 
     assert_eq!(news, [order("a", 20, false)]);
     assert!(registry.is_ready("one", 5_000));
@@ -142,10 +142,10 @@
 #[test]
 fn an_order_that_comes_again_late_begins_nothing() {
     let mut registry = registry();
-    registry.evacuate(order("a", 11, true), 100);
-    registry.evacuate(order("a", 15, false), 5_000);
+    registry.apply_evacuation(order("a", 11, true), 100);
+    registry.apply_evacuation(order("a", 15, false), 5_000);
 
-    let is_news = registry.evacuate(order("a", 11, true), 6_000);
+    let is_news = registry.apply_evacuation(order("a", 11, true), 6_000);
 
     assert!(!is_news);
     assert!(registry.is_ready("one", 6_000));
@@ -155,7 +155,7 @@
 fn a_server_says_how_long_it_stays_cold() {
     let mut registry = registry();
 
-    registry.change(row("new", "a", 12, 2_500), 1_000);
+    registry.apply(row("new", "a", 12, 2_500), 1_000);
 
     assert!(registry.is_cold("new", 3_499));
     assert!(!registry.is_cold("new", 3_500));
@@ -165,7 +165,7 @@
 fn a_server_that_becomes_cold_again_is_news() {
     let registry = registry();
 
-    let is_news = registry.is_news(&row("one", "a", 12, 3_000), 1_000);
+    let is_news = registry.is_change(&row("one", "a", 12, 3_000), 1_000);
 
     assert!(is_news);
 }
@@ -174,10 +174,10 @@
 #[test]
 fn the_time_that_runs_off_is_no_news() {
     let mut registry = registry();
-    registry.change(row("new", "a", 12, 3_000), 1_000);
+    registry.apply(row("new", "a", 12, 3_000), 1_000);
 
-    let heartbeat = registry.is_news(&row("new", "a", 13, 1_800), 2_200);
-    let last = registry.is_news(&row("new", "a", 14, 0), 4_600);
+    let heartbeat = registry.is_change(&row("new", "a", 13, 1_800), 2_200);
+    let last = registry.is_change(&row("new", "a", 14, 0), 4_600);
 
     assert!(!heartbeat);
     assert!(!last);
@@ -199,10 +199,10 @@
             .collect();
         let mut zones = Zones::default();
         for at in heard {
-            zones.take(at.get(&orders).clone());
+            zones.apply(at.get(&orders).clone());
         }
         for order in orders.iter().rev() {
-            zones.take(order.clone());
+            zones.apply(order.clone());
         }
         prop_assert_eq!(zones.is_evacuated("a"), *said.last().unwrap());
     }
--- a/crates/fescuewell_forward/tests/limits.rs
+++ b/crates/fescuewell_forward/tests/limits.rs
@@ -81,7 +81,7 @@
         max_attempts: 1,
         public: false,
         sticky: false,
-        gap: Duration::ZERO,
+        target_gap: Duration::ZERO,
     })
 }
 
@@ -114,18 +114,18 @@
     assert_eq!(large, 900);
 }
 
-fn member(port: u16, zone: &str, requests: u32, at_ms: u64) -> Member {
+fn member(port: u16, zone: &str, requests_per_s: u32, heartbeat_at_ms: u64) -> Member {
     Member {
         address: ([127, 0, 0, 1], port).into(),
         peer: None,
         zone: zone.into(),
         weight: 250,
-        requests,
+        requests_per_s,
         usage: Vec::new(),
-        out_until_ms: 0,
+        unready_until_ms: 0,
         era: 0,
         is_certain: true,
-        at_ms,
+        heartbeat_at_ms,
     }
 }
 
@@ -147,7 +147,7 @@
 fn few_callers_are_sent_to_one_instance_in_each_zone() {
     let directory = directory(6, 10);
 
-    let named = directory.named();
+    let named = directory.advertised();
 
     let mut zones: Vec<&str> = named.iter().map(|(_, member)| &*member.zone).collect();
     zones.sort_unstable();
@@ -156,7 +156,7 @@
 
 #[test]
 fn many_callers_are_sent_to_all() {
-    assert_eq!(directory(60, 70).named().len(), 60);
+    assert_eq!(directory(60, 70).advertised().len(), 60);
 }
 
 /// Symptom: callers of all zones waited behind one link. Sequence: an instance with a link of 10 Mbit/s is the only one
@@ -239,10 +239,10 @@
     let mut directory = Directory::default();
 
     directory.replace(members.clone(), 6_999);
-    let just_before = directory.is_named("gone");
+    let just_before = directory.is_advertised("gone");
     directory.replace(members, 7_000);
 
     assert!(just_before);
-    assert!(!directory.is_named("gone"));
-    assert!(directory.is_named("live"));
+    assert!(!directory.is_advertised("gone"));
+    assert!(directory.is_advertised("live"));
 }
--- a/crates/fescuewell_forward/tests/relay.rs
+++ b/crates/fescuewell_forward/tests/relay.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use fescuewell_forward::relay::{Cursor, Digest, FED_MS, Outbox};
-use fescuewell_forward::server::{Entry, Movement, Registry, Said, State};
+use fescuewell_forward::relay::{Cursor, DIGEST_TIMEOUT_MS, Digest, Outbox};
+use fescuewell_forward::server::{Change, Entry, Registry, State, Update};
 use proptest::prelude::*;
 
 /// The store's clock is this far ahead of the own ones.
@@ -13,7 +13,7 @@
 fn entry(id: &str, state: State) -> Entry {
     Entry {
         id: id.into(),
-        born: Some(1),
+        started_at_ms: Some(1),
         service: "pool".into(),
         address: "127.0.0.1:80".parse().unwrap(),
         zone: "a".into(),
@@ -23,11 +23,11 @@
     }
 }
 
-fn row(id: &str, version: u64, state: State) -> Movement {
-    Movement {
+fn row(id: &str, version: u64, state: State) -> Update {
+    Update {
         id: id.into(),
         version,
-        said: Said::Entry(entry(id, state)),
+        change: Change::Entry(entry(id, state)),
     }
 }
 
@@ -45,24 +45,24 @@
         let mut instance = Self::default();
         instance
             .registry
-            .snapshot(10, vec![row("one", 9, State::Ready)], 0);
-        instance.cursor.read(10);
+            .apply_snapshot(10, vec![row("one", 9, State::Ready)], 0);
+        instance.cursor.advance(10);
         instance.outbox.restart(10);
         instance
     }
 
     /// Reads the changes up to a version.
-    fn read(&mut self, rows: &[Movement], version: u64, now_ms: u64) {
+    fn read(&mut self, rows: &[Update], version: u64, now_ms: u64) {
         let after = self.cursor.version();
         let mut news = Vec::new();
         for row in rows {
-            if self.registry.is_news(row, now_ms) {
+            if self.registry.is_change(row, now_ms) {
                 news.push(row.clone());
             }
-            self.registry.change(row.clone(), now_ms);
+            self.registry.apply(row.clone(), now_ms);
         }
         self.outbox.add(news, after, version, now_ms);
-        self.cursor.read(version);
+        self.cursor.advance(version);
     }
 
     fn digest(&self, now_ms: u64) -> Digest {
@@ -75,10 +75,10 @@
     }
 
     fn hear(&mut self, digest: &Digest, now_ms: u64) -> bool {
-        let taken = self.cursor.take(digest, STORE_MS + now_ms, now_ms);
+        let taken = self.cursor.apply(digest, STORE_MS + now_ms, now_ms);
         if taken {
             for row in &digest.rows {
-                self.registry.change(row.clone(), now_ms);
+                self.registry.apply(row.clone(), now_ms);
             }
         }
         taken
@@ -98,7 +98,7 @@
     assert!(taken);
     assert!(!follower.registry.is_ready("one", 101));
     assert_eq!(follower.cursor.version(), 14);
-    assert_eq!(follower.cursor.configuration(), 3);
+    assert_eq!(follower.cursor.configuration_version(), 3);
 }
 
 #[test]
@@ -128,7 +128,7 @@
     let taken = follower.hear(&reader.digest(3_000), 3_001);
 
     assert!(!taken);
-    assert!(!follower.cursor.is_fed(3_001));
+    assert!(!follower.cursor.is_following(3_001));
     assert_eq!(follower.cursor.version(), 10);
 }
 
@@ -159,8 +159,8 @@
     reader.read(&[], 14, 100);
     follower.hear(&reader.digest(100), 100);
 
-    assert!(follower.cursor.is_fed(100 + FED_MS - 1));
-    assert!(!follower.cursor.is_fed(100 + FED_MS));
+    assert!(follower.cursor.is_following(100 + DIGEST_TIMEOUT_MS - 1));
+    assert!(!follower.cursor.is_following(100 + DIGEST_TIMEOUT_MS));
 }
 
 /// Symptom looked for: a server that told one reader itself that it leaves (`Connection: close` on an answer) stays in use at all
@@ -220,37 +220,37 @@
 #[derive(Default)]
 struct Store {
     version: u64,
-    feed: Vec<Movement>,
+    feed: Vec<Update>,
 }
 
 impl Store {
     fn write(&mut self, server: usize, said: Option<State>) {
         self.version += 1;
         let id: Arc<str> = format!("server-{server}").into();
-        let said = match said {
-            Some(state) => Said::Entry(entry(&id, state)),
-            None => Said::Removed,
+        let change = match said {
+            Some(state) => Change::Entry(entry(&id, state)),
+            None => Change::Removed,
         };
-        self.feed.push(Movement {
+        self.feed.push(Update {
             id,
             version: self.version,
-            said,
+            change,
         });
     }
 
-    fn after(&self, version: u64) -> Vec<Movement> {
+    fn after(&self, version: u64) -> Vec<Update> {
         let rows = self.feed.iter().filter(|row| row.version > version);
         rows.cloned().collect()
     }
 
     /// The last row of each server that is listed as of a version.
-    fn listed(&self, version: u64) -> Vec<Movement> {
-        let mut last: BTreeMap<Arc<str>, Movement> = BTreeMap::new();
+    fn listed(&self, version: u64) -> Vec<Update> {
+        let mut last: BTreeMap<Arc<str>, Update> = BTreeMap::new();
         for row in self.feed.iter().filter(|row| row.version <= version) {
             last.insert(row.id.clone(), row.clone());
         }
         let rows = last.into_values();
-        rows.filter(|row| row.said != Said::Removed).collect()
+        rows.filter(|row| row.change != Change::Removed).collect()
     }
 }
 
@@ -265,8 +265,8 @@
         let mut readers = [Instance::default(), Instance::default()];
         let mut follower = Instance::default();
         for instance in readers.iter_mut().chain([&mut follower]) {
-            instance.registry.snapshot(10, Vec::new(), 0);
-            instance.cursor.read(10);
+            instance.registry.apply_snapshot(10, Vec::new(), 0);
+            instance.cursor.advance(10);
             instance.outbox.restart(10);
         }
         let mut sent: Vec<Digest> = Vec::new();
@@ -280,8 +280,8 @@
                 }
                 Step::Reread(who) => {
                     let rows = store.listed(store.version);
-                    readers[who].registry.snapshot(store.version, rows, now_ms);
-                    readers[who].cursor.read(store.version);
+                    readers[who].registry.apply_snapshot(store.version, rows, now_ms);
+                    readers[who].cursor.advance(store.version);
                     readers[who].outbox.restart(store.version);
                 }
                 Step::Send(who) => sent.push(readers[who].digest(now_ms)),
@@ -300,7 +300,7 @@
                 Step::Pass(ms) => now_ms += ms,
             }
             let listed = store.listed(follower.cursor.version());
-            let ready: Vec<&Arc<str>> = listed.iter().filter(|row| matches!(&row.said, Said::Entry(entry) if entry.state == State::Ready)).map(|row| &row.id).collect();
+            let ready: Vec<&Arc<str>> = listed.iter().filter(|row| matches!(&row.change, Change::Entry(entry) if entry.state == State::Ready)).map(|row| &row.id).collect();
             for server in 0..3 {
                 let id: Arc<str> = format!("server-{server}").into();
                 prop_assert_eq!(follower.registry.is_ready(&id, now_ms), ready.contains(&&id), "{} at {}", id, follower.cursor.version());
--- a/crates/fescuewell_forward/tests/retry_after.rs
+++ b/crates/fescuewell_forward/tests/retry_after.rs
@@ -1,6 +1,6 @@
 //! When callers are told to come back.
 
-use fescuewell_forward::retry_after::{OUTAGE_LEAST_MS, OUTAGE_MOST_MS, outage_left_ms};
+use fescuewell_forward::retry_after::{MAX_OUTAGE_DELAY_MS, MIN_OUTAGE_DELAY_MS, outage_left_ms};
 
 /// Symptom looked for: callers that come back into the same cut and are refused again. Sequence: the store has been away for seconds,
 /// nobody can lend. Cause: a time to come back that does not depend on how long it has been away.
@@ -23,6 +23,6 @@
 
 #[test]
 fn the_time_is_bounded() {
-    assert_eq!(outage_left_ms(0, 7), OUTAGE_LEAST_MS);
-    assert_eq!(outage_left_ms(60_000, 7), OUTAGE_MOST_MS);
+    assert_eq!(outage_left_ms(0, 7), MIN_OUTAGE_DELAY_MS);
+    assert_eq!(outage_left_ms(60_000, 7), MAX_OUTAGE_DELAY_MS);
 }
--- a/crates/fescuewell_forward/tests/servers.rs
+++ b/crates/fescuewell_forward/tests/servers.rs
@@ -2,14 +2,14 @@
 
 use std::sync::Arc;
 
-use fescuewell_forward::choice::{Load, Query, pick};
+use fescuewell_forward::choice::{Criteria, Load, pick};
 use fescuewell_forward::health::{Health, Outcome};
-use fescuewell_forward::server::{Entry, LAPSING_SILENCE_MS, Movement, Registry, Said, State};
+use fescuewell_forward::server::{Change, ENTRY_EXPIRY_OUTAGE_MS, Entry, Registry, State, Update};
 
 fn entry(id: &str, state: State) -> Entry {
     Entry {
         id: id.into(),
-        born: None,
+        started_at_ms: None,
         service: "pool".into(),
         address: "127.0.0.1:1".parse().unwrap(),
         zone: "a".into(),
@@ -21,32 +21,32 @@
 
 fn born(id: &str, born: u64) -> Entry {
     Entry {
-        born: Some(born),
+        started_at_ms: Some(born),
         ..entry(id, State::Ready)
     }
 }
 
-fn row(version: u64, entry: Entry) -> Movement {
-    Movement {
+fn row(version: u64, entry: Entry) -> Update {
+    Update {
         id: entry.id.clone(),
         version,
-        said: Said::Entry(entry),
+        change: Change::Entry(entry),
     }
 }
 
-fn removal(id: &str, version: u64) -> Movement {
-    Movement {
+fn removal(id: &str, version: u64) -> Update {
+    Update {
         id: id.into(),
         version,
-        said: Said::Removed,
+        change: Change::Removed,
     }
 }
 
-fn unreadable(id: &str, version: u64) -> Movement {
-    Movement {
+fn unreadable(id: &str, version: u64) -> Update {
+    Update {
         id: id.into(),
         version,
-        said: Said::Unreadable {
+        change: Change::Unreadable {
             reason: "not an entry".into(),
         },
     }
@@ -57,16 +57,21 @@
     ids.map(|id| Arc::new(entry(&id, State::Ready))).collect()
 }
 
-fn shared(part: &str) -> Query<'_> {
-    Query {
+fn shared(part: &str) -> Criteria<'_> {
+    Criteria {
         affinity: Some(part),
         shared_tokens: 10_000,
         zone: "a",
-        draw: 1,
+        random: 1,
     }
 }
 
-fn chosen(candidates: &[Arc<Entry>], query: &Query<'_>, load: &Load, health: &Health) -> Arc<str> {
+fn chosen(
+    candidates: &[Arc<Entry>],
+    query: &Criteria<'_>,
+    load: &Load,
+    health: &Health,
+) -> Arc<str> {
     let candidates: Vec<&Arc<Entry>> = candidates.iter().collect();
     pick(&candidates, query, load, health, 0)
         .unwrap()
@@ -79,7 +84,7 @@
 #[test]
 fn an_old_snapshot_brings_nobody_back() {
     let mut registry = Registry::default();
-    registry.snapshot(
+    registry.apply_snapshot(
         5,
         vec![
             row(3, entry("i-0", State::Ready)),
@@ -87,9 +92,9 @@
         ],
         0,
     );
-    registry.change(removal("i-0", 9), 0);
+    registry.apply(removal("i-0", 9), 0);
 
-    registry.snapshot(
+    registry.apply_snapshot(
         6,
         vec![
             row(3, entry("i-0", State::Ready)),
@@ -105,9 +110,9 @@
 #[test]
 fn an_older_entry_does_not_undo_a_drain() {
     let mut registry = Registry::default();
-    registry.change(row(7, entry("i-0", State::Draining)), 0);
+    registry.apply(row(7, entry("i-0", State::Draining)), 0);
 
-    registry.change(row(6, entry("i-0", State::Ready)), 0);
+    registry.apply(row(6, entry("i-0", State::Ready)), 0);
 
     assert!(!registry.is_ready("i-0", 0));
 }
@@ -115,9 +120,9 @@
 #[test]
 fn a_server_that_a_newer_list_lacks_is_gone() {
     let mut registry = Registry::default();
-    registry.snapshot(5, vec![row(3, entry("i-0", State::Ready))], 0);
+    registry.apply_snapshot(5, vec![row(3, entry("i-0", State::Ready))], 0);
 
-    registry.snapshot(8, Vec::new(), 0);
+    registry.apply_snapshot(8, Vec::new(), 0);
 
     assert!(!registry.is_known("i-0"));
 }
@@ -130,20 +135,20 @@
     let mut health = Health::default();
     let mut load = Load::default();
     let before = born("i-0", 1_000);
-    registry.change(row(1, before.clone()), 0);
-    health.outcome(&before.id, Outcome::Bad, 0);
-    health.outcome(&before.id, Outcome::Bad, 0);
-    load.keep("a", &before.id, 0);
+    registry.apply(row(1, before.clone()), 0);
+    health.record_outcome(&before.id, Outcome::Bad, 0);
+    health.record_outcome(&before.id, Outcome::Bad, 0);
+    load.record_prefix("a", &before.id, 0);
 
-    registry.change(row(2, born("i-0", 2_000)), 10);
+    registry.apply(row(2, born("i-0", 2_000)), 10);
     for former in registry.take_ended() {
         health.forget(&former.id);
         load.forget(&former.id);
     }
 
-    assert!(registry.is_reborn(&before));
+    assert!(registry.has_restarted(&before));
     assert!(registry.is_ready("i-0", 10));
-    assert!(!health.is_out("i-0", 10));
+    assert!(!health.is_ejected("i-0", 10));
     let candidates = entries(6);
     let fresh = chosen(&candidates, &shared("a"), &Load::default(), &health);
     assert_eq!(chosen(&candidates, &shared("a"), &load, &health), fresh);
@@ -152,12 +157,12 @@
 #[test]
 fn a_heartbeat_of_the_same_start_ends_nothing() {
     let mut registry = Registry::default();
-    registry.change(row(1, born("i-0", 1_000)), 0);
+    registry.apply(row(1, born("i-0", 1_000)), 0);
 
-    registry.change(row(2, born("i-0", 1_000)), 10);
+    registry.apply(row(2, born("i-0", 1_000)), 10);
 
     assert!(registry.take_ended().is_empty());
-    assert!(!registry.is_reborn(&born("i-0", 1_000)));
+    assert!(!registry.has_restarted(&born("i-0", 1_000)));
 }
 
 /// Symptom: a server got no work for as long as it lived. Sequence: its address answers for another server, which marks it as
@@ -165,11 +170,11 @@
 #[test]
 fn a_mark_of_leaving_ends_with_the_start() {
     let mut registry = Registry::default();
-    registry.change(row(1, born("i-0", 1_000)), 0);
+    registry.apply(row(1, born("i-0", 1_000)), 0);
     registry.mark_draining("i-0");
     assert!(!registry.is_ready("i-0", 0));
 
-    registry.change(row(2, born("i-0", 2_000)), 0);
+    registry.apply(row(2, born("i-0", 2_000)), 0);
 
     assert!(registry.is_ready("i-0", 0));
 }
@@ -180,7 +185,7 @@
 #[test]
 fn entries_that_lapsed_in_an_outage_hold_for_two_seconds() {
     let mut registry = Registry::default();
-    registry.snapshot(
+    registry.apply_snapshot(
         5,
         vec![
             row(3, entry("i-0", State::Ready)),
@@ -189,11 +194,11 @@
         0,
     );
 
-    registry.store_returned(LAPSING_SILENCE_MS, 10_000);
-    registry.snapshot(8, Vec::new(), 10_000);
-    registry.change(removal("i-1", 9), 10_100);
+    registry.store_recovered(ENTRY_EXPIRY_OUTAGE_MS, 10_000);
+    registry.apply_snapshot(8, Vec::new(), 10_000);
+    registry.apply(removal("i-1", 9), 10_100);
     let early = registry.ready("pool", 11_900).count();
-    registry.change(row(10, entry("i-0", State::Ready)), 11_950);
+    registry.apply(row(10, entry("i-0", State::Ready)), 11_950);
 
     assert_eq!(early, 2);
     assert!(registry.is_ready("i-0", 60_000));
@@ -204,10 +209,10 @@
 #[test]
 fn after_a_short_silence_a_missing_server_is_gone_at_once() {
     let mut registry = Registry::default();
-    registry.snapshot(5, vec![row(3, entry("i-0", State::Ready))], 0);
+    registry.apply_snapshot(5, vec![row(3, entry("i-0", State::Ready))], 0);
 
-    registry.store_returned(LAPSING_SILENCE_MS - 1, 10_000);
-    registry.change(removal("i-0", 9), 10_000);
+    registry.store_recovered(ENTRY_EXPIRY_OUTAGE_MS - 1, 10_000);
+    registry.apply(removal("i-0", 9), 10_000);
 
     assert!(!registry.is_known("i-0"));
 }
@@ -219,8 +224,8 @@
     let mut registry = Registry::default();
     let rows = vec![row(3, entry("i-0", State::Ready)), unreadable("i-1", 4)];
 
-    let news = registry.snapshot(5, rows, 0);
-    let repeated = registry.change(unreadable("i-1", 4), 0);
+    let news = registry.apply_snapshot(5, rows, 0);
+    let repeated = registry.apply(unreadable("i-1", 4), 0);
 
     assert!(registry.is_ready("i-0", 0));
     assert!(!registry.is_known("i-1"));
@@ -231,12 +236,12 @@
 #[test]
 fn a_server_whose_row_was_overwritten_gets_no_work_until_it_writes_again() {
     let mut registry = Registry::default();
-    registry.change(row(3, entry("i-0", State::Ready)), 0);
+    registry.apply(row(3, entry("i-0", State::Ready)), 0);
 
-    registry.store_returned(LAPSING_SILENCE_MS, 0);
-    registry.change(unreadable("i-0", 4), 0);
+    registry.store_recovered(ENTRY_EXPIRY_OUTAGE_MS, 0);
+    registry.apply(unreadable("i-0", 4), 0);
     let between = registry.is_ready("i-0", 0);
-    registry.change(row(5, entry("i-0", State::Ready)), 0);
+    registry.apply(row(5, entry("i-0", State::Ready)), 0);
 
     assert!(!between);
     assert!(registry.is_ready("i-0", 0));
@@ -249,14 +254,14 @@
     let mut health = Health::default();
     let id: Arc<str> = "i-0".into();
 
-    health.outcome(&id, Outcome::Bad, 0);
-    let ejected = health.outcome(&id, Outcome::Bad, 10);
+    health.record_outcome(&id, Outcome::Bad, 0);
+    let ejected = health.record_outcome(&id, Outcome::Bad, 10);
 
     assert!(ejected);
-    assert!(health.is_out(&id, 500));
-    assert!(!health.is_out(&id, 1_100));
-    assert!(health.outcome(&id, Outcome::Bad, 1_200));
-    assert!(health.is_out(&id, 3_000));
+    assert!(health.is_ejected(&id, 500));
+    assert!(!health.is_ejected(&id, 1_100));
+    assert!(health.record_outcome(&id, Outcome::Bad, 1_200));
+    assert!(health.is_ejected(&id, 3_000));
 }
 
 #[test]
@@ -270,7 +275,7 @@
         } else {
             Outcome::Good
         };
-        assert!(!health.outcome(&id, outcome, round));
+        assert!(!health.record_outcome(&id, outcome, round));
     }
 }
 
@@ -279,15 +284,17 @@
     let mut health = Health::default();
     let ids: Vec<Arc<str>> = (0..4).map(|index| format!("i-{index}").into()).collect();
     for id in &ids[..3] {
-        health.time(id, 20.0, 0);
+        health.record_latency(id, 20.0, 0);
     }
-    health.time(&ids[3], 300.0, 0);
+    health.record_latency(&ids[3], 300.0, 0);
 
-    let limit = health.slow_from(ids.iter().map(|id| &**id), 10).unwrap();
+    let limit = health
+        .slow_threshold_ms(ids.iter().map(|id| &**id), 10)
+        .unwrap();
 
-    assert!(health.measured("i-0", 10).unwrap() < limit);
-    assert!(health.measured("i-3", 10).unwrap() > limit);
-    assert_eq!(health.measured("i-3", 10_000), None);
+    assert!(health.latency_ms("i-0", 10).unwrap() < limit);
+    assert!(health.latency_ms("i-3", 10).unwrap() > limit);
+    assert_eq!(health.latency_ms("i-3", 10_000), None);
 }
 
 #[test]
@@ -314,7 +321,7 @@
     other.begin(&usual, 90_000);
     let mut own = Load::default();
 
-    own.hear(other.report("entry-2".into(), 1, 0), 0);
+    own.apply_report(other.report("entry-2".into(), 1, 0), 0);
 
     assert_ne!(chosen(&candidates, &shared("a"), &own, &health), usual);
     own.expire(60_000);
@@ -328,10 +335,10 @@
     let usual = chosen(&candidates, &shared("a"), &Load::default(), &health);
     let copy = candidates.iter().find(|entry| entry.id != usual).unwrap();
     let mut other = Load::default();
-    other.keep("a", &copy.id, 0);
+    other.record_prefix("a", &copy.id, 0);
     let mut own = Load::default();
 
-    own.hear(other.report("entry-2".into(), 1, 0), 0);
+    own.apply_report(other.report("entry-2".into(), 1, 0), 0);
 
     assert_eq!(chosen(&candidates, &shared("a"), &own, &health), copy.id);
 }
@@ -344,10 +351,10 @@
     let new = other.report("entry-2".into(), 2, 0);
     let mut own = Load::default();
 
-    own.hear(new, 0);
-    own.hear(old, 1);
+    own.apply_report(new, 0);
+    own.apply_report(old, 1);
 
-    assert_eq!(own.unread("i-0"), 500);
+    assert_eq!(own.pending_prefill("i-0"), 500);
 }
 
 #[test]
@@ -355,8 +362,8 @@
     let candidates = entries(2);
     let mut health = Health::default();
     for entry in &candidates {
-        health.outcome(&entry.id, Outcome::Bad, 0);
-        health.outcome(&entry.id, Outcome::Bad, 0);
+        health.record_outcome(&entry.id, Outcome::Bad, 0);
+        health.record_outcome(&entry.id, Outcome::Bad, 0);
     }
 
     chosen(&candidates, &shared("a"), &Load::default(), &health);
@@ -369,7 +376,7 @@
     load.begin(&"i-0".into(), 0);
     load.begin(&"i-2".into(), 0);
 
-    let server = chosen(&candidates, &Query::default(), &load, &Health::default());
+    let server = chosen(&candidates, &Criteria::default(), &load, &Health::default());
 
     assert_eq!(&*server, "i-1");
 }
@@ -384,15 +391,15 @@
     let query = shared("a");
     let mut load = Load::default();
     let keeper = chosen(&candidates, &query, &load, &health);
-    load.keep("a", &keeper, 0);
+    load.record_prefix("a", &keeper, 0);
 
     for _ in 0..5 {
-        let unread = load.to_read(12_000, &query, &keeper);
+        let unread = load.uncached_tokens(12_000, &query, &keeper);
         load.begin(&keeper, unread);
     }
 
-    assert_eq!(load.unread(&keeper), 5 * 2_000);
-    assert_eq!(load.to_read(12_000, &query, "i-other"), 12_000);
+    assert_eq!(load.pending_prefill(&keeper), 5 * 2_000);
+    assert_eq!(load.uncached_tokens(12_000, &query, "i-other"), 12_000);
     assert_eq!(chosen(&candidates, &query, &load, &health), keeper);
 }
 
@@ -404,7 +411,7 @@
     for index in 0..200u64 {
         let id: Arc<str> = format!("i-{index:010x}").into();
         load.begin(&id, 10_000 + index);
-        load.keep(&format!("part-{index}"), &id, 0);
+        load.record_prefix(&format!("part-{index}"), &id, 0);
     }
 
     let report = load.report("front-casa-c-13".into(), 1_000_000, 0);
--- a/crates/fescuewell_forward/tests/warmup.rs
+++ b/crates/fescuewell_forward/tests/warmup.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fescuewell_forward::warmup::{Bound, INTRODUCERS, Warmup, introducers};
+use fescuewell_forward::warmup::{INSTANCES_PER_SERVER, Limit, Warmup, assigned_instances};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -13,10 +13,10 @@
 /// and the bound on it in any second, over the whole fleet.
 const MOST_IN_A_SECOND: usize = 14;
 
-fn bound() -> Bound {
-    Bound {
-        time: Duration::from_secs(3),
-        pause: Duration::from_secs_f64(1.0 / PER_S),
+fn bound() -> Limit {
+    Limit {
+        duration: Duration::from_secs(3),
+        interval: Duration::from_secs_f64(1.0 / PER_S),
     }
 }
 
@@ -56,14 +56,14 @@
         let start = random.random_range(0..self.servers.len());
         for step in 0..self.servers.len() {
             let server = self.servers[(start + step) % self.servers.len()].clone();
-            let chosen = introducers(&server, &list);
+            let chosen = assigned_instances(&server, &list);
             if !chosen.contains(&&self.instances[at]) {
                 continue;
             }
             if !self.warmups[at].has_credit(&server, &bound(), chosen.len(), now_ms) {
                 continue;
             }
-            self.warmups[at].send(&server, &bound(), chosen.len(), now_ms);
+            self.warmups[at].record_send(&server, &bound(), chosen.len(), now_ms);
             self.sent.entry(server).or_default().push(now_ms);
             return;
         }
@@ -157,11 +157,11 @@
     let mut turned: Vec<&Arc<str>> = instances.iter().collect();
     turned.reverse();
 
-    let one = introducers("server", &instances.iter().collect::<Vec<_>>());
-    let other = introducers("server", &turned);
+    let one = assigned_instances("server", &instances.iter().collect::<Vec<_>>());
+    let other = assigned_instances("server", &turned);
 
     assert_eq!(one, other);
-    assert_eq!(one.len(), INTRODUCERS);
+    assert_eq!(one.len(), INSTANCES_PER_SERVER);
 }
 
 /// Symptom looked for: an instance goes on introducing servers that others introduce by now. Sequence: the list of instances changes after
@@ -170,15 +170,15 @@
 fn a_share_follows_the_list_of_instances() {
     let instances = names("instance", 9);
     let server: Arc<str> = "server".into();
-    let first = introducers(&server, &instances.iter().collect::<Vec<_>>())[0].clone();
+    let first = assigned_instances(&server, &instances.iter().collect::<Vec<_>>())[0].clone();
     let mut warmup = Warmup::default();
-    warmup.set_named(instances.clone());
-    let before = warmup.share(&server, &first);
+    warmup.set_instances(instances.clone());
+    let before = warmup.assigned_count(&server, &first);
 
     let others = instances.into_iter().filter(|name| *name != first);
-    warmup.set_named(others.collect());
-    let after = warmup.share(&server, &first);
+    warmup.set_instances(others.collect());
+    let after = warmup.assigned_count(&server, &first);
 
-    assert_eq!(before, Some(INTRODUCERS));
+    assert_eq!(before, Some(INSTANCES_PER_SERVER));
     assert_eq!(after, None);
 }
--- a/crates/fescuewell_gateway/src/control/lending.rs
+++ b/crates/fescuewell_gateway/src/control/lending.rs
@@ -174,7 +174,7 @@
         while let Some(lender) = lenders.pop_front() {
             let id = gateway.draw();
             let state = gateway.state();
-            let Some(address) = state.directory.peer(&lender) else {
+            let Some(address) = state.directory.peer_address(&lender) else {
                 continue;
             };
             let mut borrower = self.borrower.borrow_mut();
--- a/crates/fescuewell_gateway/src/control/members.rs
+++ b/crates/fescuewell_gateway/src/control/members.rs
@@ -28,7 +28,7 @@
     let member = own_row(gateway);
     let mut change = Change::default();
     // Callers that were sent away would come back to the next process at once, so the row stays and tells it.
-    if gateway.is_leaving() && member.out_until_ms == 0 {
+    if gateway.is_leaving() && member.unready_until_ms == 0 {
         change.removes.push(place);
     } else {
         change.puts.push((place, member.encode()));
@@ -50,12 +50,12 @@
         peer: settings.peer,
         zone: settings.zone.clone(),
         weight: weight(settings),
-        requests: state.arrivals.sum(now_ms) as u32 / ARRIVALS_S,
+        requests_per_s: state.arrivals.sum(now_ms) as u32 / ARRIVALS_S,
         usage: state.quota.usage(now_ms),
         era: sign.era,
         is_certain: sign.is_certain,
-        at_ms: if gateway.is_leaving() { 0 } else { store_ms },
-        out_until_ms: match state.admission.unready_left_ms(now_ms) {
+        heartbeat_at_ms: if gateway.is_leaving() { 0 } else { store_ms },
+        unready_until_ms: match state.admission.unready_left_ms(now_ms) {
             0 => 0,
             left_ms => store_ms + left_ms,
         },
@@ -92,9 +92,9 @@
         .collect();
     let named_before = names(&state.directory);
     let era = version::era(reading.version);
-    state.directory.replace_in(era, members, reading.now_ms);
-    let signs = state.directory.signs();
-    let lapse_ms = state.directory.lapse_ms();
+    state.directory.replace_in_era(era, members, reading.now_ms);
+    let signs = state.directory.heartbeats();
+    let lapse_ms = state.directory.member_timeout_ms();
     state.quota.hear(signs, lapse_ms);
     stay_out(&mut state, &control.gateway.settings.name, now_ms);
     let after: Vec<Arc<str>> = state
@@ -108,7 +108,7 @@
         .collect();
     let named: Vec<Arc<str>> = names(&state.directory);
     state.quota.set_peers(&said, &named);
-    state.warmup.set_named(named.clone());
+    state.warmup.set_instances(named.clone());
     drop(state);
     if named != named_before {
         log_event!(Event::InstancesNamed, "named={}", named.join(","));
@@ -134,7 +134,7 @@
 }
 
 fn names(directory: &Directory) -> Vec<Arc<str>> {
-    let named = directory.named();
+    let named = directory.advertised();
     named.iter().map(|(name, _)| (*name).clone()).collect()
 }
 
@@ -144,12 +144,12 @@
     state.admission.set_unready(now_ms, left_ms);
     let spared_ms = match state.directory.can_spare(name) {
         // Half of the time after which a sign is missed: two signs.
-        true => state.directory.lapse_ms() / 2,
+        true => state.directory.member_timeout_ms() / 2,
         false => 0,
     };
     state.admission.set_spare(now_ms + spared_ms);
     let has_room = state.directory.has_capacity_beside(name);
     state.admission.set_fleet_has_capacity(has_room);
-    let is_needed = state.directory.is_named(name);
+    let is_needed = state.directory.is_advertised(name);
     state.admission.set_required(now_ms, is_needed);
 }
--- a/crates/fescuewell_gateway/src/control/money.rs
+++ b/crates/fescuewell_gateway/src/control/money.rs
@@ -122,7 +122,7 @@
 fn set_periods(control: &Control, every: Duration) {
     let mut state = control.gateway.state();
     let lapse = every * LAPSE_SIGNS;
-    state.directory.set_lapse(lapse.as_millis() as u64);
+    state.directory.set_member_timeout(lapse.as_millis() as u64);
     let fresh = every.mul_f64(FRESH_PLANS);
     state.quota.set_fresh(fresh.as_millis() as u64);
 }
--- a/crates/fescuewell_gateway/src/control/peers.rs
+++ b/crates/fescuewell_gateway/src/control/peers.rs
@@ -84,7 +84,7 @@
         .load
         .report(gateway.settings.name.clone(), number, now_ms);
     let own = gateway.settings.peer;
-    let named = state.directory.named();
+    let named = state.directory.advertised();
     let peers = named.iter().filter_map(|(_, member)| member.peer);
     let peers = peers.filter(|peer| Some(*peer) != own).collect();
     (report, peers)
@@ -152,6 +152,6 @@
             continue;
         };
         let now_ms = control.gateway.now_ms();
-        control.gateway.state().load.hear(report, now_ms);
+        control.gateway.state().load.apply_report(report, now_ms);
     }
 }
--- a/crates/fescuewell_gateway/src/control/watch.rs
+++ b/crates/fescuewell_gateway/src/control/watch.rs
@@ -14,7 +14,7 @@
 use fescuewell_forward::crash::Evidence;
 use fescuewell_forward::evacuation::Order;
 use fescuewell_forward::relay::{Digest, Outbox};
-use fescuewell_forward::server::{Entry, Movement, Said};
+use fescuewell_forward::server::{Change, Entry, Update};
 use fescuewell_http::upstream::{self, Reach};
 use tokio::time::Instant;
 
@@ -88,7 +88,7 @@
     }
     let gateway = &control.gateway;
     let known = gateway.table().map(|table| table.configuration().version);
-    let told = gateway.state().cursor.configuration();
+    let told = gateway.state().cursor.configuration_version();
     told > known.unwrap_or(version) || read_at.elapsed() >= FED_REREAD
 }
 
@@ -99,7 +99,10 @@
     log_unreadable(control, news.content.unreadable);
     let mut state = control.gateway.state();
     let orders = news.content.evacuations;
-    for order in state.registry.evacuations(news.version, orders, now_ms) {
+    for order in state
+        .registry
+        .apply_evacuations(news.version, orders, now_ms)
+    {
         log_evacuation(&order);
     }
 }
@@ -133,7 +136,7 @@
             .gateway
             .state()
             .registry
-            .evacuate(order.clone(), now_ms)
+            .apply_evacuation(order.clone(), now_ms)
         {
             log_evacuation(&order);
         }
@@ -167,16 +170,16 @@
         known.unwrap_or_default(),
         configuration.routes.len(),
         configuration.services.len(),
-        configuration.tenants.len()
+        configuration.accounts.len()
     );
     {
         let mut state = gateway.state();
-        for tenant in &configuration.tenants {
+        for tenant in &configuration.accounts {
             state.quota.prepaid(&tenant.name, tenant.prepaid);
         }
         let services = configuration.services.iter();
         let warmups = services.filter_map(|service| Some((service.name.clone(), service.warmup?)));
-        state.registry.set_warmups(warmups);
+        state.registry.set_warmup_limits(warmups);
     }
     gateway.set_table(Table::new(configuration));
     gateway.want_tokens();
@@ -206,7 +209,7 @@
         };
         let mut outbox = Outbox::default();
         outbox.restart(news.version);
-        control.gateway.state().cursor.read(news.version);
+        control.gateway.state().cursor.advance(news.version);
         list(control, news);
         let reread_at = Instant::now() + reread(control);
         while Instant::now() < reread_at {
@@ -234,7 +237,7 @@
     for change in news.content {
         // Row by row: one server may come and go within one reading.
         let now_ms = gateway.now_ms();
-        if gateway.state().registry.is_news(&change, now_ms) {
+        if gateway.state().registry.is_change(&change, now_ms) {
             rows.push(change.clone());
         }
         follow(control, change);
@@ -243,7 +246,7 @@
     outbox.add(rows, version, version.max(news.version), now_ms);
     {
         let mut state = gateway.state();
-        state.cursor.read(news.version);
+        state.cursor.advance(news.version);
         if !state.directory.is_reader(&gateway.settings.name) {
             // It reads for itself alone, until readers are heard again.
             return Ok(());
@@ -268,7 +271,7 @@
     {
         let mut state = gateway.state();
         let store_ms = state.quota.store_time(now_ms);
-        if !state.cursor.take(&digest, store_ms, now_ms) {
+        if !state.cursor.apply(&digest, store_ms, now_ms) {
             return;
         }
     }
@@ -282,7 +285,7 @@
     let gateway = &control.gateway;
     let now_ms = gateway.now_ms();
     let state = gateway.state();
-    !state.directory.is_reader(&gateway.settings.name) && state.cursor.is_fed(now_ms)
+    !state.directory.is_reader(&gateway.settings.name) && state.cursor.is_following(now_ms)
 }
 
 /// Time after which the whole list is read again: so rarely that it stays within the bytes that an instance may read.
@@ -311,12 +314,14 @@
     SERVERS_PAUSE.max(Duration::from_secs_f64(share))
 }
 
-fn list(control: &Control, news: News<Vec<Movement>>) {
+fn list(control: &Control, news: News<Vec<Update>>) {
     let count = news.content.len();
     let now_ms = control.gateway.now_ms();
     let mut guard = control.gateway.state();
     let state = &mut *guard;
-    let changed = state.registry.snapshot(news.version, news.content, now_ms);
+    let changed = state
+        .registry
+        .apply_snapshot(news.version, news.content, now_ms);
     state.health.retain(|id| state.registry.is_known(id));
     state.warmup.retain(|id| state.registry.is_cold(id, now_ms));
     log_event!(
@@ -331,13 +336,13 @@
     conclude_ended(control, ended);
 }
 
-fn follow(control: &Control, movement: Movement) {
+fn follow(control: &Control, movement: Update) {
     let id = movement.id.clone();
     let version = movement.version;
     let now_ms = control.gateway.now_ms();
     let mut state = control.gateway.state();
     let was_ready = state.registry.is_ready(&id, now_ms);
-    if !state.registry.change(movement.clone(), now_ms) {
+    if !state.registry.apply(movement.clone(), now_ms) {
         return;
     }
     let is_ready = state.registry.is_ready(&id, now_ms);
@@ -353,9 +358,9 @@
 }
 
 /// Logs rows that name no server, once for each of their versions. One such row must not hide the others: it is passed over.
-fn log_unreadable_rows(news: &[Movement]) {
+fn log_unreadable_rows(news: &[Update]) {
     for movement in news {
-        let Said::Unreadable { reason } = &movement.said else {
+        let Change::Unreadable { reason } = &movement.change else {
             continue;
         };
         log_event!(
--- a/crates/fescuewell_gateway/src/front.rs
+++ b/crates/fescuewell_gateway/src/front.rs
@@ -96,9 +96,9 @@
         return Err(refuse(Code::NoSuchPath, version));
     };
     let mut tenant = None;
-    if table.has_tenants() && !route.public {
+    if table.has_accounts() && !route.public {
         let key = facts.key.as_deref().unwrap_or_default();
-        let Some(found) = table.tenant(key) else {
+        let Some(found) = table.account(key) else {
             return Err(refuse(Code::Unauthorized, version));
         };
         tenant = Some(found.clone());
--- a/crates/fescuewell_gateway/src/gateway.rs
+++ b/crates/fescuewell_gateway/src/gateway.rs
@@ -12,14 +12,14 @@
 use fescuewell_forward::admission;
 use fescuewell_forward::choice::Load;
 use fescuewell_forward::config::Table;
-use fescuewell_forward::crash::{Quarantine, Watch};
+use fescuewell_forward::crash::{Detector, Quarantine};
 use fescuewell_forward::directory::Directory;
 use fescuewell_forward::health::Health;
 use fescuewell_forward::message::Key;
 use fescuewell_forward::quota::Quota;
 use fescuewell_forward::relay;
 use fescuewell_forward::retry::Budget;
-use fescuewell_forward::server::{LAPSING_SILENCE_MS, Registry};
+use fescuewell_forward::server::{ENTRY_EXPIRY_OUTAGE_MS, Registry};
 use fescuewell_forward::warmup::Warmup;
 use fescuewell_forward::window::Window;
 use fescuewell_http::listener::Gate;
@@ -62,7 +62,7 @@
     /// How they do.
     pub health: Health,
     /// Which of them have crashed, and under what.
-    pub crashes: Watch,
+    pub crashes: Detector,
     /// Requests that are to blame for it.
     pub quarantine: Quarantine,
     /// Requests under way at them.
@@ -95,7 +95,7 @@
             if !self.registry.is_cold(&entry.id, now_ms) {
                 continue;
             }
-            if let Some(share) = self.warmup.share(&entry.id, instance) {
+            if let Some(share) = self.warmup.assigned_count(&entry.id, instance) {
                 shares.insert(entry.id.clone(), share);
             }
         }
@@ -192,7 +192,7 @@
             cursor: relay::Cursor::default(),
             warmup: Warmup::default(),
             health: Health::default(),
-            crashes: Watch::default(),
+            crashes: Detector::default(),
             quarantine: Quarantine::default(),
             load: Load::default(),
             quota: Quota::new(settings.name.clone(), 0),
@@ -310,8 +310,8 @@
             let now_ms = self.now_ms();
             let heard_ms = self.store_heard_ms.swap(now_ms, Ordering::Relaxed);
             let silence_ms = now_ms.saturating_sub(heard_ms);
-            if silence_ms >= LAPSING_SILENCE_MS {
-                self.state().registry.store_returned(silence_ms, now_ms);
+            if silence_ms >= ENTRY_EXPIRY_OUTAGE_MS {
+                self.state().registry.store_recovered(silence_ms, now_ms);
             }
         }
         let is_news = self.store_up.swap(up, Ordering::Relaxed) != up;
--- a/crates/fescuewell_gateway/src/gateway/crash.rs
+++ b/crates/fescuewell_gateway/src/gateway/crash.rs
@@ -39,7 +39,7 @@
         loss: Loss,
         now_ms: u64,
     ) -> Option<Finding> {
-        if self.registry.is_reborn(server) {
+        if self.registry.has_restarted(server) {
             let has_crashed = self.crashes.has_crashed(server.incarnation());
             return has_crashed.then_some(Finding::Crashed);
         }
--- a/crates/fescuewell_gateway/src/job.rs
+++ b/crates/fescuewell_gateway/src/job.rs
@@ -12,8 +12,8 @@
 use bytes::Bytes;
 use fescuewell_core::log_event;
 use fescuewell_core::prelude::*;
-use fescuewell_forward::choice::{self, Query};
-use fescuewell_forward::config::{Kind, Route, Service, Tenant};
+use fescuewell_forward::choice::{self, Criteria};
+use fescuewell_forward::config::{Account, Kind, Route, Service};
 use fescuewell_forward::crash::Fingerprint;
 use fescuewell_http::listener::{Reply, Request};
 use http::{HeaderMap, Method, Uri};
@@ -43,7 +43,7 @@
     pub(crate) route: Arc<Route>,
     pub(crate) service: Service,
     pub(crate) hold: Option<Hold>,
-    tenant: Option<Arc<Tenant>>,
+    tenant: Option<Arc<Account>>,
     version: u64,
     method: Method,
     target: Uri,
@@ -111,7 +111,7 @@
     }
 
     /// Sets the client account.
-    pub fn with_tenant(mut self, tenant: Option<Arc<Tenant>>) -> Self {
+    pub fn with_tenant(mut self, tenant: Option<Arc<Account>>) -> Self {
         self.tenant = tenant;
         self.fingerprint = self.identify();
         self
@@ -219,7 +219,7 @@
             });
         }
         let now_ms = self.gateway.now_ms();
-        let draw = self.gateway.draw();
+        let random = self.gateway.draw();
         let mut state = self.gateway.state();
         let shares = match self.service.warmup {
             Some(_) => state.introduced(&self.service.name, &self.gateway.settings.name, now_ms),
@@ -232,30 +232,30 @@
             .parts
             .split_last()
             .map_or(&[][..], |(_, shared)| shared);
-        let query = Query {
+        let query = Criteria {
             affinity: shared.last().map(|part| &*part.id),
             shared_tokens: shared.iter().map(|part| part.tokens).sum(),
             zone: &self.gateway.settings.zone,
-            draw,
+            random,
         };
         let chosen = match self.is_isolated(&state, now_ms) {
-            true => choice::quietest(&candidates.open, &state.load, &state.health, now_ms),
+            true => choice::least_loaded(&candidates.open, &state.load, &state.health, now_ms),
             false => choice::pick(&candidates.open, &query, &state.load, &state.health, now_ms),
         };
         let chosen = chosen.cloned();
         let prompt = self.facts.tokens.map_or(0, |tokens| tokens.prompt);
-        let unread = chosen
-            .as_ref()
-            .map_or(0, |server| state.load.to_read(prompt, &query, &server.id));
+        let unread = chosen.as_ref().map_or(0, |server| {
+            state.load.uncached_tokens(prompt, &query, &server.id)
+        });
         if let (Some(server), Some(part)) = (&chosen, query.affinity) {
-            state.load.keep(part, &server.id, now_ms);
+            state.load.record_prefix(part, &server.id, now_ms);
         }
         if let (Some(server), Some(bound)) = (&chosen, &self.service.warmup)
             && let Some(share) = shares.get(&server.id)
         {
-            state.warmup.send(&server.id, bound, *share, now_ms);
+            state.warmup.record_send(&server.id, bound, *share, now_ms);
         }
-        let running = chosen.as_ref().map(|entry| state.load.running(&entry.id));
+        let running = chosen.as_ref().map(|entry| state.load.in_flight(&entry.id));
         drop(state);
         let Some(server) = chosen else {
             return Err(match self.possibly_executed {
@@ -405,6 +405,6 @@
         max_attempts: 1,
         public: false,
         sticky: false,
-        gap: Duration::ZERO,
+        target_gap: Duration::ZERO,
     }
 }
--- a/crates/fescuewell_gateway/src/job/attempt.rs
+++ b/crates/fescuewell_gateway/src/job/attempt.rs
@@ -239,7 +239,7 @@
         let left = self.limit.saturating_duration_since(Instant::now());
         let progress = match self.route.kind {
             Kind::Stream { resumable: true } if !self.is_last() => {
-                self.route.gap.mul_f64(GAP_PATIENCE)
+                self.route.target_gap.mul_f64(GAP_PATIENCE)
             }
             Kind::Stream { .. } => self.deadline.saturating_duration_since(Instant::now()),
             _ => left,
--- a/crates/fescuewell_gateway/src/job/permit.rs
+++ b/crates/fescuewell_gateway/src/job/permit.rs
@@ -49,7 +49,10 @@
     /// The first event shows that the prompt has been read.
     pub(super) fn first_event(&mut self) {
         let unread = std::mem::take(&mut self.unread);
-        self.gateway.state().load.read(&self.server.id, unread);
+        self.gateway
+            .state()
+            .load
+            .finish_prefill(&self.server.id, unread);
         self.gateway.notify_load_changed();
     }
 
@@ -60,7 +63,7 @@
         let server = self.server.clone();
         async move {
             let mut ends = gateway.ends();
-            while !gateway.state().registry.is_reborn(&server) {
+            while !gateway.state().registry.has_restarted(&server) {
                 if ends.changed().await.is_err() {
                     std::future::pending::<()>().await;
                 }
@@ -73,8 +76,10 @@
         let now_ms = self.gateway.now_ms();
         let time_ms = time.as_secs_f64() * 1_000.0;
         let mut state = self.gateway.state();
-        if !state.registry.is_reborn(&self.server) {
-            state.health.time(&self.server.id, time_ms, now_ms);
+        if !state.registry.has_restarted(&self.server) {
+            state
+                .health
+                .record_latency(&self.server.id, time_ms, now_ms);
         }
     }
 
@@ -82,11 +87,13 @@
     pub(crate) fn judge(&self, outcome: Outcome) {
         let now_ms = self.gateway.now_ms();
         let mut state = self.gateway.state();
-        if state.registry.is_reborn(&self.server) {
+        if state.registry.has_restarted(&self.server) {
             // How the former process ended says nothing of the new one.
             return;
         }
-        let ejected = state.health.outcome(&self.server.id, outcome, now_ms);
+        let ejected = state
+            .health
+            .record_outcome(&self.server.id, outcome, now_ms);
         drop(state);
         if ejected {
             log_event!(
@@ -106,7 +113,7 @@
         };
         let now_ms = self.gateway.now_ms();
         let mut state = self.gateway.state();
-        state.load.read(&self.server.id, self.unread);
+        state.load.finish_prefill(&self.server.id, self.unread);
         state.load.end(&self.server.id);
         if !self.is_settled.load(Ordering::Relaxed) {
             let request = in_flight.request();
--- a/crates/fescuewell_gateway/src/side.rs
+++ b/crates/fescuewell_gateway/src/side.rs
@@ -40,7 +40,7 @@
     fn addresses(&self, reply: Reply) {
         // An instance that knows no other yet would name itself alone, and callers of its zone would all come to it and
         // keep that answer while its link is too full for a new one. They ask another instance meanwhile.
-        let is_read = self.gateway.state().directory.is_read();
+        let is_read = self.gateway.state().directory.is_loaded();
         let alone = is_read || self.gateway.uptime() > ALONE_AFTER;
         let own = self.gateway.is_ready() && alone;
         let own = own.then_some(self.gateway.settings.front);
--- a/crates/fescuewell_gateway/src/source.rs
+++ b/crates/fescuewell_gateway/src/source.rs
@@ -5,7 +5,7 @@
 
 use fescuewell_forward::config::Configuration;
 use fescuewell_forward::evacuation::Order;
-use fescuewell_forward::server::Movement;
+use fescuewell_forward::server::Update;
 
 use crate::store::Pending;
 
@@ -49,8 +49,8 @@
     fn word_after(&self, version: u64, wait: Duration) -> Pending<'_, News<Word>>;
 
     /// All backend servers.
-    fn servers(&self) -> Pending<'_, News<Vec<Movement>>>;
+    fn servers(&self) -> Pending<'_, News<Vec<Update>>>;
 
     /// Changes of backend servers after `version`, waiting up to `wait` for one.
-    fn servers_after(&self, version: u64, wait: Duration) -> Pending<'_, News<Vec<Movement>>>;
+    fn servers_after(&self, version: u64, wait: Duration) -> Pending<'_, News<Vec<Update>>>;
 }
--- a/crates/fescuewell_gateway/tests/common/mod.rs
+++ b/crates/fescuewell_gateway/tests/common/mod.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use fescuewell_forward::config::{Configuration, Tenant};
+use fescuewell_forward::config::{Account, Configuration};
 use fescuewell_forward::quota::row::Journal;
-use fescuewell_forward::server::Movement;
+use fescuewell_forward::server::Update;
 use fescuewell_gateway::control::Control;
 use fescuewell_gateway::dialect::{Dialect, Facts, Names};
 use fescuewell_gateway::gateway::Gateway;
@@ -58,7 +58,7 @@
 
 impl Memory {
     pub fn new(prepaid: u64) -> Arc<Self> {
-        let tenant = Tenant {
+        let tenant = Account {
             name: ACCOUNT.into(),
             keys: vec!["key".into()],
             priority: None,
@@ -75,7 +75,7 @@
             started: Instant::now(),
             configuration: Configuration {
                 version: 1,
-                tenants: vec![Arc::new(tenant)],
+                accounts: vec![Arc::new(tenant)],
                 ..Configuration::default()
             },
         })
@@ -255,11 +255,11 @@
         })
     }
 
-    fn servers(&self) -> Pending<'_, News<Vec<Movement>>> {
+    fn servers(&self) -> Pending<'_, News<Vec<Update>>> {
         Box::pin(self.news(Vec::new()))
     }
 
-    fn servers_after(&self, _: u64, wait: Duration) -> Pending<'_, News<Vec<Movement>>> {
+    fn servers_after(&self, _: u64, wait: Duration) -> Pending<'_, News<Vec<Update>>> {
         Box::pin(async move {
             tokio::time::sleep(wait).await;
             self.news(Vec::new()).await
--- a/crates/fescuewell_gateway/tests/quarantine.rs
+++ b/crates/fescuewell_gateway/tests/quarantine.rs
@@ -31,7 +31,7 @@
 fn server(number: u64) -> Entry {
     Entry {
         id: format!("i-{number}").into(),
-        born: Some(number),
+        started_at_ms: Some(number),
         service: "pool".into(),
         address: "127.0.0.1:9".parse().unwrap(),
         zone: "a".into(),
--- a/tests/forward/fixture.rs
+++ b/tests/forward/fixture.rs
@@ -207,7 +207,7 @@
             let is_back = || {
                 let state = gateway.state();
                 let mut entries = state.registry.entries();
-                entries.any(|entry| *entry.id == *id && entry.born == Some(born))
+                entries.any(|entry| *entry.id == *id && entry.started_at_ms == Some(born))
             };
             assert!(wait_until(is_back), "{id} was never listed again");
         }
@@ -256,7 +256,7 @@
     /// Waits until callers are sent to the instance.
     pub fn wait_named(&self) {
         let daemon = self.daemon.as_ref().unwrap();
-        let is_named = || daemon.gateway().state().directory.is_named(self.name);
+        let is_named = || daemon.gateway().state().directory.is_advertised(self.name);
         assert!(wait_until(is_named), "the instance is never named");
     }
 
--- a/tests/forward/pressure.rs
+++ b/tests/forward/pressure.rs
@@ -22,12 +22,12 @@
             peer: None,
             zone: "a".into(),
             weight: 1_000,
-            requests: 0,
+            requests_per_s: 0,
             usage: Vec::new(),
             era: 0,
             is_certain: true,
-            at_ms: u64::MAX / 2,
-            out_until_ms: 0,
+            heartbeat_at_ms: u64::MAX / 2,
+            unready_until_ms: 0,
         };
         let value = postcard::to_allocvec(&member).unwrap();
         let name = format!("strong-{index}");
@@ -44,7 +44,7 @@
 fn is_written(fixture: &Fixture) -> bool {
     let row = fixture.store.get("member", "fleet", "entry-1");
     let member: Option<Member> = row.and_then(|row| postcard::from_bytes(&row).ok());
-    member.is_some_and(|member| member.out_until_ms > 0)
+    member.is_some_and(|member| member.unready_until_ms > 0)
 }
 
 /// Symptom: callers came back to an overloaded instance as soon as it was restarted. Sequence: its link is full, it says
