--- a/crates/fescuewell_forward/src/directory.rs
+++ b/crates/fescuewell_forward/src/directory.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::quota::era::Sign;
+use crate::quota::era;
 use crate::quota::row::Usage;
 use crate::relay::{MAX_ALL_READERS, READERS};
 
@@ -114,7 +114,7 @@
 
     /// Returns the state of all instances' grants. Instances without a recent heartbeat are included only if they were alive when the
     /// backup was made from which the store was restored: one that had failed before cannot have drawn tokens since.
-    pub fn heartbeats(&self) -> Vec<Sign> {
+    pub fn heartbeats(&self) -> Vec<era::Status> {
         let live: BTreeSet<&Arc<str>> = self.live().map(|(name, _)| name).collect();
         let former = self.members.values().filter(|member| member.era < self.era);
         let backup_ms = former
@@ -130,10 +130,10 @@
             if !(is_live || was_live) {
                 continue;
             }
-            heartbeats.push(Sign {
+            heartbeats.push(era::Status {
                 holder: name.clone(),
                 era: member.era,
-                is_certain: member.is_certain,
+                knows_grants: member.is_certain,
                 is_live,
             });
         }
--- a/crates/fescuewell_forward/src/lib.rs
+++ b/crates/fescuewell_forward/src/lib.rs
@@ -30,6 +30,6 @@
 /// Commonly used items.
 pub mod prelude {
     pub use crate::config::{Account, Configuration, Kind, Limits, Route, Service, Table};
-    pub use crate::quota::{Quota, Verdict};
+    pub use crate::quota::{HoldOutcome, Quota};
     pub use crate::server::{Change, Entry, Registry, State, Update};
 }
--- a/crates/fescuewell_forward/src/message.rs
+++ b/crates/fescuewell_forward/src/message.rs
@@ -3,15 +3,15 @@
 //! Messages are not encrypted; a keyed hash proves that the sender knows the fleet's key.
 //!
 //! ```
-//! use fescuewell_forward::loan::Ask;
+//! use fescuewell_forward::loan::Request;
 //! use fescuewell_forward::message::{Key, Message};
 //!
-//! let ask = Ask {
+//! let ask = Request {
 //!     id: 1,
 //!     account: "group".into(),
-//!     least: 4_000,
-//!     tokens: 9_000,
-//!     at_ms: 5,
+//!     required_tokens: 4_000,
+//!     wanted_tokens: 9_000,
+//!     sent_at_ms: 5,
 //! };
 //! let key = Key::new([7; 32]);
 //! let bytes = key.seal(&Message::Ask(ask.clone()));
@@ -22,7 +22,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::crash;
-use crate::loan::{Answer, Ask};
+use crate::loan;
 use crate::relay::Digest;
 
 /// First byte of every authenticated message. Load reports are not authenticated and begin with the length of a name, which is never
@@ -35,9 +35,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// Requests a loan of tokens.
-    Ask(Ask),
+    Ask(loan::Request),
     /// Grants or declines a loan.
-    Answer(Answer),
+    Answer(loan::Response),
     /// Changes of the server list.
     Digest(Digest),
     /// Records of requests that crash backend servers.
--- a/crates/fescuewell_gateway/src/gateway/crash.rs
+++ b/crates/fescuewell_gateway/src/gateway/crash.rs
@@ -1,4 +1,4 @@
-//! Crashes of backend servers, and the requests under which they happen.
+//! Crashes of backend servers and the requests that cause them.
 
 use fescuewell_core::log_event;
 use fescuewell_core::prelude::*;
@@ -8,12 +8,12 @@
 
 use super::{Gateway, State};
 
-/// Most requests that one log line names.
-const MOST_NAMED: usize = 8;
+/// Maximum number of requests listed in one log line.
+const MAX_LOGGED_REQUESTS: usize = 8;
 
 /// Request for permission to probe a quarantined request.
 #[derive(Debug)]
-pub struct Probe {
+pub struct ProbeRequest {
     /// The request.
     pub request: Fingerprint,
     /// Receives `true` if the probe may be sent.
@@ -31,8 +31,9 @@
         self.quarantine.verdict(request, self.store_ms(now_ms))
     }
 
-    /// Reports a lost exchange with a server, unless the server is leaving.
-    pub fn lost(
+    /// Reports a lost exchange with a server. Returns `None` if the server is draining or no longer
+    /// listed.
+    pub fn report_loss(
         &mut self,
         server: &Entry,
         request: Fingerprint,
@@ -43,12 +44,12 @@
             let has_crashed = self.crashes.has_crashed(server.incarnation());
             return has_crashed.then_some(Finding::Crashed);
         }
-        // Leaving servers close their connections.
+        // Draining servers close their connections.
         let is_ready = self.registry.is_ready(&server.id, now_ms);
         is_ready.then(|| self.crashes.lost(server, request, loss, now_ms))
     }
 
-    fn crash(&mut self, server: &Entry, request: Fingerprint, now_ms: u64) -> Option<usize> {
+    fn record_crash(&mut self, server: &Entry, request: Fingerprint, now_ms: u64) -> Option<usize> {
         let store_ms = self.store_ms(now_ms);
         let server = server.incarnation();
         self.quarantine.crash(request, server, store_ms)
@@ -56,45 +57,45 @@
 }
 
 impl Gateway {
-    /// Records the crash of a backend server for each request it was running.
-    pub fn crashed(&self, server: &Entry, evidence: Evidence) {
+    /// Records the crash of a backend server for each request that it was running.
+    pub fn record_crash(&self, server: &Entry, evidence: Evidence) {
         let now_ms = self.now_ms();
         let mut quarantined = Vec::new();
         let requests = {
             let mut state = self.state();
             let requests = state.crashes.crashed(server.incarnation(), now_ms);
             for request in &requests {
-                if state.crash(server, *request, now_ms) == Some(THRESHOLD) {
+                if state.record_crash(server, *request, now_ms) == Some(THRESHOLD) {
                     quarantined.push(*request);
                 }
             }
             requests
         };
-        self.metrics.server_crashed(&server.service);
+        self.metrics.count_server_crash(&server.service);
         log_event!(
             Event::ServerCrashed,
             "server={} service={} evidence={evidence:?} count={} fingerprints={}",
             server.id,
             server.service,
             requests.len(),
-            named(&requests)
+            format_requests(&requests)
         );
         log_quarantined(&quarantined, &server.id);
-        self.announce_crashes();
+        self.notify_crash_changes();
     }
 
-    /// Records a known crash for another request that the server was running.
-    pub fn ran_at_crash(&self, server: &Entry, request: Fingerprint) {
+    /// Records a crash that was already detected for another request that the server was running.
+    pub fn record_known_crash(&self, server: &Entry, request: Fingerprint) {
         let now_ms = self.now_ms();
-        let count = self.state().crash(server, request, now_ms);
+        let count = self.state().record_crash(server, request, now_ms);
         if count == Some(THRESHOLD) {
             log_quarantined(&[request], &server.id);
         }
-        self.announce_crashes();
+        self.notify_crash_changes();
     }
 
-    /// Records a complete response.
-    pub fn answered(&self, server: &Entry, request: Fingerprint) {
+    /// Records a complete response, which clears the request of earlier crashes.
+    pub fn record_response(&self, server: &Entry, request: Fingerprint) {
         let now_ms = self.now_ms();
         let is_cleared = {
             let mut state = self.state();
@@ -109,11 +110,11 @@
             "fingerprint={request} server={}",
             server.id
         );
-        self.announce_crashes();
+        self.notify_crash_changes();
     }
 
-    /// Merges records of other instances or of the store.
-    pub fn learn_crashes<Updates>(&self, updates: Updates, source: &str)
+    /// Merges crash records received from `source`: another instance or the store.
+    pub fn merge_crashes<Updates>(&self, updates: Updates, source: &str)
     where
         Updates: IntoIterator<Item = Update>,
     {
@@ -126,28 +127,32 @@
         };
         log_quarantined(&quarantined, source);
         if has_fresh {
-            self.announce_crashes();
+            self.notify_crash_changes();
         }
     }
 
     /// Requests permission to probe a quarantined request.
-    pub async fn may_probe(&self, request: Fingerprint) -> bool {
-        let (reply, answer) = oneshot::channel();
-        if self.probes.try_send(Probe { request, reply }).is_err() {
+    pub async fn request_probe(&self, request: Fingerprint) -> bool {
+        let (reply, response) = oneshot::channel();
+        if self
+            .probe_requests
+            .try_send(ProbeRequest { request, reply })
+            .is_err()
+        {
             // Full: other probes are pending. Closed: the process is shutting down.
             return false;
         }
-        answer.await.unwrap_or(false)
+        response.await.unwrap_or(false)
     }
 
-    /// Notifies waiting requests and the exchange of a change.
-    pub fn announce_crashes(&self) {
-        self.crash_count.send_modify(|count| *count += 1);
+    /// Notifies waiting requests and the exchange between instances that crash records changed.
+    pub fn notify_crash_changes(&self) {
+        self.crash_changes.send_modify(|count| *count += 1);
     }
 
-    /// Subscribes to changes of crash records.
+    /// Subscribes to changes of the crash records.
     pub fn crash_changes(&self) -> watch::Receiver<u64> {
-        self.crash_count.subscribe()
+        self.crash_changes.subscribe()
     }
 }
 
@@ -160,8 +165,8 @@
     }
 }
 
-fn named(requests: &[Fingerprint]) -> String {
-    let named = requests.iter().take(MOST_NAMED);
-    let named: Vec<String> = named.map(Fingerprint::to_string).collect();
-    named.join(",")
+fn format_requests(requests: &[Fingerprint]) -> String {
+    let listed = requests.iter().take(MAX_LOGGED_REQUESTS);
+    let texts: Vec<String> = listed.map(Fingerprint::to_string).collect();
+    texts.join(",")
 }
--- a/crates/fescuewell_gateway/src/settings.rs
+++ b/crates/fescuewell_gateway/src/settings.rs
@@ -6,49 +6,49 @@
 
 use fescuewell_forward::retry;
 
-/// What an instance has to know of itself and of the bounds it keeps.
+/// Identity, addresses and resource limits of an instance.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Name of the instance; the same after a restart on the same machine.
+    /// Name of the instance. It must stay the same after a restart on the same machine.
     pub name: Arc<str>,
     /// Availability zone.
     pub zone: Arc<str>,
     /// Whether the whole fleet starts for the first time.
     pub is_first_start: bool,
-    /// Where callers connect.
+    /// Listening address for callers.
     pub front: SocketAddr,
-    /// Where readiness is asked for.
+    /// Listening address for readiness checks.
     pub ready: Option<SocketAddr>,
-    /// Where callers ask for addresses.
+    /// Listening address for requests for the address list.
     pub directory: Option<SocketAddr>,
-    /// Where other instances send their load reports.
+    /// Listening address for messages from other instances.
     pub peer: Option<SocketAddr>,
-    /// Where metrics are served.
+    /// Listening address for metrics.
     pub metrics: Option<SocketAddr>,
-    /// Part of a core.
+    /// Processor cores available; may be a fraction.
     pub cores: f64,
-    /// Link in Mbit/s.
+    /// Link bandwidth in Mbit/s.
     pub link_mbps: f64,
-    /// Most sockets that the process may have open.
-    pub sockets: usize,
-    /// Memory of the process in bytes.
-    pub memory: usize,
-    /// Time from the request to stop until the process is killed.
-    pub grace: Duration,
-    /// How long callers may keep an address answer.
-    pub keep_addresses: Duration,
-    /// The fleet's budget of repeats.
-    pub retry: retry::Bounds,
-    /// Transactions a second that one part of the store takes.
-    pub part_writes: f64,
-    /// Writing calls a second that all instances together may make.
-    pub writes: f64,
-    /// Reading calls a second that all instances together may make.
-    pub reads: f64,
+    /// Maximum number of sockets the process may open.
+    pub max_sockets: usize,
+    /// Memory limit of the process in bytes.
+    pub memory_bytes: usize,
+    /// Time between the stop request and the kill of the process.
+    pub grace_period: Duration,
+    /// How long callers may cache an address list.
+    pub address_ttl: Duration,
+    /// Retry budget of the fleet.
+    pub retry_budget: retry::Bounds,
+    /// Transactions per second that one partition of the store can commit.
+    pub partition_writes_per_s: f64,
+    /// Write calls per second allowed for all instances together.
+    pub writes_per_s: f64,
+    /// Read calls per second allowed for all instances together.
+    pub reads_per_s: f64,
 }
 
 impl Settings {
-    /// Settings with the bounds of a small fleet.
+    /// Creates settings with the limits of a small fleet.
     pub fn new<Name>(name: Name, front: SocketAddr) -> Self
     where
         Name: Into<Arc<str>>,
@@ -64,18 +64,18 @@
             metrics: None,
             cores: 1.0,
             link_mbps: 1_000.0,
-            sockets: 4_096,
-            memory: 110 * 1024 * 1024,
-            grace: Duration::from_secs(8),
-            keep_addresses: Duration::from_secs(2),
-            retry: retry::Bounds {
+            max_sockets: 4_096,
+            memory_bytes: 110 * 1024 * 1024,
+            grace_period: Duration::from_secs(8),
+            address_ttl: Duration::from_secs(2),
+            retry_budget: retry::Bounds {
                 ratio: 0.2,
                 slack: 50.0,
                 window_ms: 10_000,
             },
-            part_writes: 200.0,
-            writes: 600.0,
-            reads: 2_000.0,
+            partition_writes_per_s: 200.0,
+            writes_per_s: 600.0,
+            reads_per_s: 2_000.0,
         }
     }
 }
