--- a/crates/fescuewell_forward/src/directory.rs
+++ b/crates/fescuewell_forward/src/directory.rs
@@ -33,7 +33,7 @@
     /// Era of the store in which it has confirmed its grants; see [`crate::quota::era`].
     pub era: u32,
     /// Whether it knew its grants when it started.
-    pub is_certain: bool,
+    pub knows_grants: bool,
 }
 
 /// Encoded fields that the previous program version does not write: era 0, and certain.
@@ -112,16 +112,16 @@
         self.replace(members, now_ms);
     }
 
-    /// Returns the state of all instances' grants. Instances without a recent heartbeat are included only if they were alive when the
+    /// Returns the grant status of all instances. Instances without a recent heartbeat are included only if they were alive when the
     /// backup was made from which the store was restored: one that had failed before cannot have drawn tokens since.
-    pub fn heartbeats(&self) -> Vec<era::Status> {
+    pub fn statuses(&self) -> Vec<era::Status> {
         let live: BTreeSet<&Arc<str>> = self.live().map(|(name, _)| name).collect();
         let former = self.members.values().filter(|member| member.era < self.era);
         let backup_ms = former
             .map(|member| member.heartbeat_at_ms)
             .max()
             .unwrap_or_default();
-        let mut heartbeats = Vec::new();
+        let mut statuses = Vec::new();
         for (name, member) in &self.members {
             let is_live = live.contains(name);
             let is_former = member.heartbeat_at_ms > 0 && member.era < self.era;
@@ -130,14 +130,14 @@
             if !(is_live || was_live) {
                 continue;
             }
-            heartbeats.push(era::Status {
+            statuses.push(era::Status {
                 holder: name.clone(),
                 era: member.era,
-                knows_grants: member.is_certain,
+                knows_grants: member.knows_grants,
                 is_live,
             });
         }
-        heartbeats
+        statuses
     }
 
     /// Returns the members with a recent heartbeat as of the last read.
--- a/crates/fescuewell_forward/src/message.rs
+++ b/crates/fescuewell_forward/src/message.rs
@@ -6,7 +6,7 @@
 //! use fescuewell_forward::loan::Request;
 //! use fescuewell_forward::message::{Key, Message};
 //!
-//! let ask = Request {
+//! let request = Request {
 //!     id: 1,
 //!     account: "group".into(),
 //!     required_tokens: 4_000,
@@ -14,8 +14,8 @@
 //!     sent_at_ms: 5,
 //! };
 //! let key = Key::new([7; 32]);
-//! let bytes = key.seal(&Message::Ask(ask.clone()));
-//! assert_eq!(key.open(&bytes), Some(Message::Ask(ask)));
+//! let bytes = key.seal(&Message::LoanRequest(request.clone()));
+//! assert_eq!(key.open(&bytes), Some(Message::LoanRequest(request)));
 //! assert_eq!(Key::new([8; 32]).open(&bytes), None);
 //! ```
 
@@ -35,9 +35,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// Requests a loan of tokens.
-    Ask(loan::Request),
+    LoanRequest(loan::Request),
     /// Grants or declines a loan.
-    Answer(loan::Response),
+    LoanResponse(loan::Response),
     /// Changes of the server list.
     Digest(Digest),
     /// Records of requests that crash backend servers.
--- a/crates/fescuewell_forward/tests/admission.rs
+++ b/crates/fescuewell_forward/tests/admission.rs
@@ -43,7 +43,7 @@
         requests_per_s: 5,
         usage: Vec::new(),
         era: 0,
-        is_certain: true,
+        knows_grants: true,
         heartbeat_at_ms: 10_000,
         unready_until_ms,
     }
--- a/crates/fescuewell_forward/tests/limits.rs
+++ b/crates/fescuewell_forward/tests/limits.rs
@@ -124,7 +124,7 @@
         usage: Vec::new(),
         unready_until_ms: 0,
         era: 0,
-        is_certain: true,
+        knows_grants: true,
         heartbeat_at_ms,
     }
 }
--- a/crates/fescuewell_forward/tests/loans.rs
+++ b/crates/fescuewell_forward/tests/loans.rs
@@ -139,7 +139,7 @@
         bit in 8usize..400,
     ) {
         let key = Key::new([1; 32]);
-        let message = Message::Ask(Request { id: 1, account: ACCOUNT.into(), required_tokens: 1, wanted_tokens: 2, sent_at_ms: 3 });
+        let message = Message::LoanRequest(Request { id: 1, account: ACCOUNT.into(), required_tokens: 1, wanted_tokens: 2, sent_at_ms: 3 });
         let mut sealed = key.seal(&message);
         let bit = bit % (8 * sealed.len());
 
--- a/crates/fescuewell_gateway/src/control/lending.rs
+++ b/crates/fescuewell_gateway/src/control/lending.rs
@@ -191,7 +191,7 @@
                 now_ms,
             );
             drop(state);
-            let bytes = key.seal(&Message::Ask(loan_request));
+            let bytes = key.seal(&Message::LoanRequest(loan_request));
             // A send failure is handled like a lost datagram.
             let _ = self.socket.try_send_to(&bytes, address);
             let pending = PendingLoan {
@@ -325,7 +325,7 @@
             loan_request.wanted_tokens,
             response.remaining
         );
-        let bytes = key.seal(&Message::Answer(response));
+        let bytes = key.seal(&Message::LoanResponse(response));
         // If the response is lost, its tokens count as consumed although nobody spends them.
         let _ = self.socket.try_send_to(&bytes, from);
     }
--- a/crates/fescuewell_gateway/src/control/members.rs
+++ b/crates/fescuewell_gateway/src/control/members.rs
@@ -54,7 +54,7 @@
         requests_per_s: state.arrivals.sum(now_ms) as u32 / ARRIVAL_WINDOW_S,
         usage: state.quota.usage(now_ms),
         era: status.era,
-        is_certain: status.knows_grants,
+        knows_grants: status.knows_grants,
         heartbeat_at_ms: if gateway.is_draining() { 0 } else { store_ms },
         unready_until_ms: match state.admission.unready_left_ms(now_ms) {
             0 => 0,
@@ -96,9 +96,9 @@
     state
         .directory
         .replace_in_era(era, members, response.now_ms);
-    let statuses = state.directory.heartbeats();
-    let lapse_ms = state.directory.member_timeout_ms();
-    state.quota.set_statuses(statuses, lapse_ms);
+    let statuses = state.directory.statuses();
+    let member_timeout_ms = state.directory.member_timeout_ms();
+    state.quota.set_statuses(statuses, member_timeout_ms);
     update_admission(&mut state, &control.gateway.settings.name, now_ms);
     let after: Vec<Arc<str>> = state
         .directory
--- a/crates/fescuewell_gateway/src/control/peers.rs
+++ b/crates/fescuewell_gateway/src/control/peers.rs
@@ -129,8 +129,8 @@
         gateway.record_peer_message();
     }
     match message {
-        Some(Message::Ask(request)) => lending.handle_request(&key, request, from),
-        Some(Message::Answer(response)) => lending.handle_response(&response),
+        Some(Message::LoanRequest(request)) => lending.handle_request(&key, request, from),
+        Some(Message::LoanResponse(response)) => lending.handle_response(&response),
         Some(Message::Digest(digest)) => watch::receive_digest(control, digest),
         Some(Message::Crashes(updates)) => crashes::receive(control, updates, from),
         Some(Message::CrashesWanted) => crashes::send_records(control, socket, from),
--- a/crates/fescuewell_gateway/src/control/watch.rs
+++ b/crates/fescuewell_gateway/src/control/watch.rs
@@ -181,8 +181,8 @@
     );
     {
         let mut state = gateway.state();
-        for tenant in &configuration.accounts {
-            state.quota.set_prepaid(&tenant.name, tenant.prepaid);
+        for account in &configuration.accounts {
+            state.quota.set_prepaid(&account.name, account.prepaid);
         }
         let services = configuration.services.iter();
         let warmups = services.filter_map(|service| Some((service.name.clone(), service.warmup?)));
@@ -347,17 +347,17 @@
     handle_ended(control, ended);
 }
 
-fn apply_change(control: &Control, movement: Update) {
-    let id = movement.id.clone();
-    let version = movement.version;
+fn apply_change(control: &Control, update: Update) {
+    let id = update.id.clone();
+    let version = update.version;
     let now_ms = control.gateway.now_ms();
     let mut state = control.gateway.state();
     let was_ready = state.registry.is_ready(&id, now_ms);
-    if !state.registry.apply(movement.clone(), now_ms) {
+    if !state.registry.apply(update.clone(), now_ms) {
         return;
     }
     let is_ready = state.registry.is_ready(&id, now_ms);
-    log_unreadable_rows(&[movement]);
+    log_unreadable_rows(&[update]);
     if was_ready && !is_ready {
         log_event!(Event::ServerLeaving, "server={id} version={version}");
     } else if !was_ready && is_ready {
@@ -371,15 +371,15 @@
 /// Logs rows that do not describe a server, once per version. They are skipped so that they do not
 /// hide the other rows.
 fn log_unreadable_rows(changes: &[Update]) {
-    for movement in changes {
-        let Change::Unreadable { reason } = &movement.change else {
+    for update in changes {
+        let Change::Unreadable { reason } = &update.change else {
             continue;
         };
         log_event!(
             Event::ServerUnreadable,
             "server={} version={} reason={}",
-            movement.id,
-            movement.version,
+            update.id,
+            update.version,
             reason.replace(' ', "_")
         );
     }
--- a/crates/fescuewell_gateway/src/job.rs
+++ b/crates/fescuewell_gateway/src/job.rs
@@ -240,7 +240,7 @@
             .prompt_parts
             .split_last()
             .map_or(&[][..], |(_, shared_parts)| shared_parts);
-        let query = Criteria {
+        let criteria = Criteria {
             affinity: shared_parts.last().map(|part| &*part.id),
             shared_tokens: shared_parts.iter().map(|part| part.tokens).sum(),
             zone: &self.gateway.settings.zone,
@@ -250,7 +250,7 @@
             true => choice::least_loaded(&candidates.eligible, &state.load, &state.health, now_ms),
             false => choice::pick(
                 &candidates.eligible,
-                &query,
+                &criteria,
                 &state.load,
                 &state.health,
                 now_ms,
@@ -259,9 +259,9 @@
         let chosen = chosen.cloned();
         let prompt = self.metadata.tokens.map_or(0, |tokens| tokens.prompt);
         let prefill_tokens = chosen.as_ref().map_or(0, |server| {
-            state.load.uncached_tokens(prompt, &query, &server.id)
+            state.load.uncached_tokens(prompt, &criteria, &server.id)
         });
-        if let (Some(server), Some(part)) = (&chosen, query.affinity) {
+        if let (Some(server), Some(part)) = (&chosen, criteria.affinity) {
             state.load.record_prefix(part, &server.id, now_ms);
         }
         if let (Some(server), Some(bound)) = (&chosen, &self.service.warmup)
--- a/crates/fescuewell_gateway/src/side.rs
+++ b/crates/fescuewell_gateway/src/side.rs
@@ -42,8 +42,8 @@
         // An instance that does not know the other members yet would return only itself. All
         // callers of its zone would then connect to it and cache that list while its link has no
         // capacity left for a new response. An error makes them ask another instance.
-        let is_read = self.gateway.state().directory.is_loaded();
-        let may_list_self = is_read || self.gateway.uptime() > SELF_LIST_DELAY;
+        let is_loaded = self.gateway.state().directory.is_loaded();
+        let may_list_self = is_loaded || self.gateway.uptime() > SELF_LIST_DELAY;
         let own = self.gateway.is_ready() && may_list_self;
         let own = own.then_some(self.gateway.settings.front);
         let draw = self.gateway.random_u64();
--- a/crates/fescuewell_gateway/tests/common/mod.rs
+++ b/crates/fescuewell_gateway/tests/common/mod.rs
@@ -60,7 +60,7 @@
 
 impl MemoryStore {
     pub fn new(prepaid: u64) -> Arc<Self> {
-        let tenant = Account {
+        let account = Account {
             name: ACCOUNT.into(),
             keys: vec!["key".into()],
             priority: None,
@@ -77,7 +77,7 @@
             started: Instant::now(),
             configuration: Configuration {
                 version: 1,
-                accounts: vec![Arc::new(tenant)],
+                accounts: vec![Arc::new(account)],
                 ..Configuration::default()
             },
         })
--- a/tests/forward/fixture.rs
+++ b/tests/forward/fixture.rs
@@ -266,9 +266,9 @@
     /// Waits until the directory returns the address of the instance to callers.
     pub fn wait_advertised(&self) {
         let daemon = self.daemon.as_ref().unwrap();
-        let is_named = || daemon.gateway().state().directory.is_advertised(self.name);
+        let is_advertised = || daemon.gateway().state().directory.is_advertised(self.name);
         assert!(
-            wait_until(is_named),
+            wait_until(is_advertised),
             "the directory does not return the instance"
         );
     }
--- a/tests/forward/pressure.rs
+++ b/tests/forward/pressure.rs
@@ -25,7 +25,7 @@
             requests_per_s: 0,
             usage: Vec::new(),
             era: 0,
-            is_certain: true,
+            knows_grants: true,
             heartbeat_at_ms: u64::MAX / 2,
             unready_until_ms: 0,
         };
