--- a/crates/fescuewell_forward/tests/crashes.rs
+++ b/crates/fescuewell_forward/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! Which backend servers crashed, and what they were running.
+//! Detection of backend server crashes and of the requests that were running.
 
 use fescuewell_forward::crash::{Content, Detector, Evidence, Finding, Fingerprint, Loss};
 use fescuewell_forward::server::{Entry, State};
@@ -64,7 +64,7 @@
     }
 }
 
-/// Guards against a caller that moves bytes between fields to pass for another account.
+/// Guards against a caller that moves bytes between fields to collide with another account's fingerprint.
 #[test]
 fn a_field_does_not_run_into_the_next_one() {
     let left = Content {
@@ -121,17 +121,17 @@
 #[test]
 fn the_list_shows_a_crash_only_of_servers_that_did_not_drain() {
     let mut watch = Detector::default();
-    let sound = Arc::new(entry("i-0", 1));
-    let leaving = Arc::new(Entry {
+    let ready = Arc::new(entry("i-0", 1));
+    let draining = Arc::new(Entry {
         state: State::Draining,
         ..entry("i-1", 1)
     });
 
-    assert_eq!(watch.ended(&sound, true), Some(Evidence::Restarted));
-    assert_eq!(watch.ended(&sound, false), None);
-    assert_eq!(watch.ended(&leaving, true), None);
-    watch.lost(&sound, request(1), Loss::Broken, 0);
-    assert_eq!(watch.ended(&sound, false), Some(Evidence::Removed));
+    assert_eq!(watch.ended(&ready, true), Some(Evidence::Restarted));
+    assert_eq!(watch.ended(&ready, false), None);
+    assert_eq!(watch.ended(&draining, true), None);
+    watch.lost(&ready, request(1), Loss::Broken, 0);
+    assert_eq!(watch.ended(&ready, false), Some(Evidence::Removed));
 }
 
 #[test]
--- a/crates/fescuewell_forward/tests/evacuation.rs
+++ b/crates/fescuewell_forward/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Evacuated availability zones, and how their servers get work again.
+//! Evacuation of availability zones and the return of their servers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -35,7 +35,7 @@
     }
 }
 
-/// A list with one server in each of two zones, whose service bears few requests after a start.
+/// A registry with one server in each of two zones; their service has a warmup limit.
 fn registry() -> Registry {
     let mut registry = Registry::default();
     let bound = warmup::Limit {
@@ -56,15 +56,15 @@
     ids
 }
 
-/// Symptom: 470 requests reached servers of a zone more than five seconds after the operator had evacuated it. Cause: nothing read the
-/// operator's order.
+/// Guards against an ignored evacuation order: 470 requests reached servers of a zone more than five seconds after its
+/// evacuation.
 #[test]
 fn servers_of_an_evacuated_zone_get_no_work() {
     let mut registry = registry();
 
-    let is_news = registry.apply_evacuation(order("a", 11, true), 100);
+    let is_changed = registry.apply_evacuation(order("a", 11, true), 100);
 
-    assert!(is_news);
+    assert!(is_changed);
     assert_eq!(ready(&registry, 100), ["two".into()]);
     assert!(!registry.is_ready("one", 100));
 }
@@ -94,14 +94,14 @@
     let mut registry = registry();
     registry.apply_evacuation(order("a", 11, true), 100);
 
-    let is_news = registry.apply_evacuation(order("a", 15, false), 5_000);
+    let is_changed = registry.apply_evacuation(order("a", 15, false), 5_000);
 
-    assert!(is_news);
+    assert!(is_changed);
     assert_eq!(ready(&registry, 5_000), ["one".into(), "two".into()]);
 }
 
-/// Symptom looked for: servers that became cold while they got nothing fall over when their zone is taken back. Sequence: the order
-/// ends; what the servers say of themselves is read a second later; all instances send to the idle servers meanwhile.
+/// Guards against overloading servers that cooled down during an evacuation: their own reports are read a second after
+/// its end, and until then all instances would send to the idle servers.
 #[test]
 fn servers_of_a_zone_that_is_taken_back_count_as_cold() {
     let mut registry = registry();
@@ -115,16 +115,16 @@
     assert!(!registry.is_cold("two", 5_000));
 }
 
-/// Symptom looked for: an evacuation ends by itself. Sequence: the feed tells of the order; a whole reading that is seconds old, from
-/// before it, is answered later.
+/// Guards against an evacuation that ends by itself: a snapshot from before the order arrives after the feed has
+/// delivered it.
 #[test]
 fn an_old_reading_ends_no_evacuation() {
     let mut registry = registry();
     registry.apply_evacuation(order("a", 11, true), 100);
 
-    let news = registry.apply_evacuations(10, Vec::new(), 200);
+    let changes = registry.apply_evacuations(10, Vec::new(), 200);
 
-    assert!(news.is_empty());
+    assert!(changes.is_empty());
     assert!(!registry.is_ready("one", 200));
 }
 
@@ -133,9 +133,9 @@
     let mut registry = registry();
     registry.apply_evacuation(order("a", 11, true), 100);
 
-    let news = registry.apply_evacuations(20, Vec::new(), 5_000);
+    let changes = registry.apply_evacuations(20, Vec::new(), 5_000);
 
-    assert_eq!(news, [order("a", 20, false)]);
+    assert_eq!(changes, [order("a", 20, false)]);
     assert!(registry.is_ready("one", 5_000));
 }
 
@@ -145,9 +145,9 @@
     registry.apply_evacuation(order("a", 11, true), 100);
     registry.apply_evacuation(order("a", 15, false), 5_000);
 
-    let is_news = registry.apply_evacuation(order("a", 11, true), 6_000);
+    let is_changed = registry.apply_evacuation(order("a", 11, true), 6_000);
 
-    assert!(!is_news);
+    assert!(!is_changed);
     assert!(registry.is_ready("one", 6_000));
 }
 
@@ -165,12 +165,12 @@
 fn a_server_that_becomes_cold_again_is_news() {
     let registry = registry();
 
-    let is_news = registry.is_change(&row("one", "a", 12, 3_000), 1_000);
+    let is_changed = registry.is_change(&row("one", "a", 12, 3_000), 1_000);
 
-    assert!(is_news);
+    assert!(is_changed);
 }
 
-/// Symptom looked for: each heartbeat of a cold server is passed on to the whole fleet, since the time that is left differs.
+/// Guards against relaying each heartbeat of a cold server to the whole fleet because the remaining cold time differs.
 #[test]
 fn the_time_that_runs_off_is_no_news() {
     let mut registry = registry();
@@ -186,24 +186,24 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(31), ..ProptestConfig::default() })]
 
-    /// Symptom looked for: two instances that heard the same orders in another sequence, or some of them twice, disagree.
+    /// Guards against instances that disagree after they received the same orders in another sequence or repeatedly.
     #[test]
     fn the_sequence_in_which_orders_are_heard_does_not_matter(
-        said in prop::collection::vec(any::<bool>(), 1..12),
-        heard in prop::collection::vec(any::<prop::sample::Index>(), 0..40),
+        written in prop::collection::vec(any::<bool>(), 1..12),
+        received in prop::collection::vec(any::<prop::sample::Index>(), 0..40),
     ) {
-        let orders: Vec<Order> = said
+        let orders: Vec<Order> = written
             .iter()
             .enumerate()
             .map(|(at, is_evacuated)| order("a", at as u64 + 1, *is_evacuated))
             .collect();
         let mut zones = Zones::default();
-        for at in heard {
+        for at in received {
             zones.apply(at.get(&orders).clone());
         }
         for order in orders.iter().rev() {
             zones.apply(order.clone());
         }
-        prop_assert_eq!(zones.is_evacuated("a"), *said.last().unwrap());
+        prop_assert_eq!(zones.is_evacuated("a"), *written.last().unwrap());
     }
 }
--- a/crates/fescuewell_forward/tests/limits.rs
+++ b/crates/fescuewell_forward/tests/limits.rs
@@ -1,4 +1,4 @@
-//! The fleet's budget of repeats, sliding sums, routes, and the addresses that callers are told.
+//! Retry budget, sliding windows, routes and advertised addresses.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,27 +15,27 @@
     window_ms: 10_000,
 };
 
-/// Symptom: an overload lasted. Sequence: all requests fail and each instance repeats what it can. Cause: each took the whole of
-/// the fleet's allowance.
+/// Guards against an overload that retries prolong: all requests failed, and each instance used the fleet's whole
+/// allowance.
 #[test]
 fn instances_together_keep_within_the_budget() {
     let service: Arc<str> = "pool".into();
     let instances = 6;
     let mut fleet: Vec<Budget> = (0..instances).map(|_| Budget::new(BOUNDS)).collect();
     let mut requests = 0u32;
-    let mut repeats = 0u32;
+    let mut retries = 0u32;
 
     for now_ms in (0..10_000).step_by(50) {
         for budget in &mut fleet {
             budget.request(&service, now_ms);
             requests += 1;
-            repeats += u32::from(budget.try_retry(&service, instances, now_ms));
+            retries += u32::from(budget.try_retry(&service, instances, now_ms));
         }
     }
 
     let allowed = f64::from(requests) * BOUNDS.ratio + BOUNDS.slack;
-    assert!(f64::from(repeats) <= allowed, "{repeats} of {allowed}");
-    assert!(repeats > 100, "{repeats}");
+    assert!(f64::from(retries) <= allowed, "{retries} of {allowed}");
+    assert!(retries > 100, "{retries}");
 }
 
 #[test]
@@ -159,8 +159,8 @@
     assert_eq!(directory(60, 70).advertised().len(), 60);
 }
 
-/// Symptom: callers of all zones waited behind one link. Sequence: an instance with a link of 10 Mbit/s is the only one
-/// of its availability zone. Cause: each zone's best instance was named, however weak.
+/// Guards against advertising an instance just because it is the best of its zone: with a link of 10 Mbit/s it delayed
+/// callers of all zones.
 #[test]
 fn a_weak_instance_is_not_named_for_its_zone() {
     let mut members: BTreeMap<Arc<str>, Member> = BTreeMap::new();
@@ -216,8 +216,8 @@
     assert!(Directory::default().addresses(None, 0).is_empty());
 }
 
-/// Symptom looked for: during a roll of the program the new instances take the others for gone. Sequence: rows of the version before lack the
-/// last fields.
+/// Guards against new instances that cannot decode heartbeats of the previous program version, which lack the last
+/// fields, and treat those members as failed during a rolling update.
 #[test]
 fn a_sign_of_the_version_before_is_read() {
     let member = member(1, "a", 5, 1_000);
@@ -229,8 +229,7 @@
     assert_eq!(Member::decode(&bytes).unwrap(), member);
 }
 
-/// Symptom looked for: callers are sent to an address where nobody listens any more. Sequence: an instance is killed; the others go on
-/// reading its last sign.
+/// Guards against advertising a killed instance whose last heartbeat is still read.
 #[test]
 fn an_instance_that_is_gone_is_not_named_six_seconds_after_its_last_sign() {
     let mut members: BTreeMap<Arc<str>, Member> = BTreeMap::new();
--- a/crates/fescuewell_forward/tests/quarantine.rs
+++ b/crates/fescuewell_forward/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that crash servers, over instances that exchange what they know in any order.
+//! Quarantine of requests that crash servers, with instances that exchange records in any order.
 
 use fescuewell_forward::crash::{
     Content, Crash, Fingerprint, Quarantine, Record, THRESHOLD, Update, Verdict,
@@ -6,9 +6,9 @@
 use fescuewell_forward::server::Incarnation;
 use proptest::prelude::*;
 
-/// Moment at which each test begins, by the store's clock.
+/// Start time of each test in milliseconds of the store's clock.
 const START_MS: u64 = 1_000_000;
-/// Time after which a first quarantine is over.
+/// Initial quarantine period.
 const FIRST_MS: u64 = 10 * 60 * 1_000;
 const DAY_MS: u64 = 24 * 60 * 60 * 1_000;
 
@@ -65,21 +65,21 @@
     assert_eq!(verdict, Verdict::Suspect { is_isolated: false });
 }
 
-/// Guards against tries of one request that run beside each other and crash more servers than allowed together.
+/// Guards against concurrent attempts of a request that together crash more servers than allowed.
 #[test]
 fn a_suspect_runs_on_no_more_servers_than_may_still_crash() {
     let mut quarantine = crashed(0..2);
     quarantine.begin(request(0));
 
-    let beside = quarantine.verdict(request(0), START_MS);
+    let concurrent = quarantine.verdict(request(0), START_MS);
     quarantine.end(request(0));
     let after = quarantine.verdict(request(0), START_MS);
 
-    assert_eq!(beside, Verdict::Busy);
+    assert_eq!(concurrent, Verdict::Busy);
     assert_eq!(after, Verdict::Suspect { is_isolated: true });
 }
 
-/// Guards against a quarantine of requests that ran beside the one to blame.
+/// Guards against a quarantine of requests that ran concurrently with the culprit.
 #[test]
 fn a_whole_answer_clears_a_request_at_all_instances() {
     let mut own = crashed(0..3);
@@ -94,8 +94,7 @@
     assert_eq!(other.verdict(request(0), START_MS + 10), Verdict::Clear);
 }
 
-/// Guards against a quarantine of a request that many callers send and that was running at each of the servers of a service when
-/// all of them lost power.
+/// Guards against a quarantine of a popular request that was running at all servers of a service when they lost power.
 #[test]
 fn a_request_that_was_answered_a_moment_ago_is_no_suspect() {
     let mut quarantine = Quarantine::default();
@@ -120,7 +119,7 @@
     assert_eq!(after, Verdict::Quarantined { may_probe: true });
 }
 
-/// Guards against probes that cost a server each time for as long as the request comes.
+/// Guards against unlimited probes, each of which may crash a server.
 #[test]
 fn probes_get_rarer_and_end() {
     let mut record = Record::default();
@@ -150,7 +149,7 @@
     assert_eq!(probes, [10, 70, 430]);
 }
 
-/// Guards against an instance whose clock is wrong: what it says of the future would hold for longer than allowed.
+/// Guards against an instance whose clock is ahead: its records would be kept for too long.
 #[test]
 fn crashes_of_the_future_are_left_alone() {
     let mut ahead = Quarantine::default();
@@ -179,7 +178,7 @@
     assert_eq!(quarantine.take_fresh(1)[0].request, request(0));
 }
 
-/// Guards against false quarantines: servers that crash for other reasons take innocent requests with them.
+/// Guards against false quarantines of requests that were running at servers which crashed for other reasons.
 #[test]
 fn two_waves_of_crashes_quarantine_no_request() {
     let mut quarantine = Quarantine::default();
@@ -225,31 +224,31 @@
 
     #[test]
     fn records_merge_in_any_order(left in record(), middle in record(), right in record()) {
-        let forth = merged(&merged(&left, &middle), &right);
-        let back = merged(&left, &merged(&right, &middle));
+        let left_first = merged(&merged(&left, &middle), &right);
+        let right_first = merged(&left, &merged(&right, &middle));
 
-        prop_assert_eq!(&forth, &back);
-        prop_assert_eq!(merged(&forth, &left), forth);
+        prop_assert_eq!(&left_first, &right_first);
+        prop_assert_eq!(merged(&left_first, &left), left_first);
     }
 }
 
-/// Instances of the fleet in the model.
+/// Number of instances in the model.
 const INSTANCES: usize = 4;
 
-/// What happens in the model.
+/// Step of the model.
 #[derive(Debug, Clone)]
 enum Step {
     /// A caller sends the request to an instance.
     Send(usize),
-    /// The oldest run at an instance crashes its server.
+    /// An attempt at an instance crashes its server.
     Crash(usize),
-    /// One instance's message reaches another.
+    /// A message of one instance reaches another.
     Deliver(usize, usize),
-    /// The same message again, after others.
+    /// The oldest message is delivered again.
     DeliverLate,
-    /// All messages arrive.
+    /// All instances exchange messages.
     DeliverAll,
-    /// An instance is killed and learns from another one, or from the store, as it starts.
+    /// An instance is killed and loads the records of the store or of another instance when it restarts.
     Restart(usize, bool),
 }
 
@@ -273,9 +272,9 @@
     late: Vec<(usize, Vec<Update>)>,
     crashes: u64,
     now_ms: u64,
-    /// Whether all instances have heard of three crashes.
+    /// Whether all instances know of three crashes.
     is_known: bool,
-    /// Tries that reached a server after that.
+    /// Number of attempts sent after that.
     excess: usize,
 }
 
@@ -330,7 +329,7 @@
                 instance.merge(message.clone(), START_MS + self.now_ms);
             }
         }
-        // A crash that only an instance knew that was killed before its next message is lost.
+        // Crashes known only to an instance that was killed before its next message are lost.
         let now_ms = START_MS + self.now_ms;
         self.is_known = self.instances.iter().all(|instance| {
             let verdict = instance.verdict(request(0), now_ms);
@@ -338,7 +337,7 @@
         });
     }
 
-    /// Its runs are cut off. Without a quarantine in the store it learns from the others.
+    /// Ends the instance's attempts. Without a quarantine in the store it loads the records of another instance.
     fn restart(&mut self, at: usize, from_store: bool) {
         self.running[at] = 0;
         self.instances[at] = Quarantine::default();
@@ -356,7 +355,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards against a way to reach servers again once every instance has heard of the third crash.
+    /// Guards against any sequence in which a request is sent although every instance knows of its third crash.
     #[test]
     fn nobody_sends_a_request_whose_third_crash_is_known(steps in prop::collection::vec(step(), 1..120)) {
         let mut fleet = Fleet::default();
@@ -368,7 +367,8 @@
         prop_assert_eq!(fleet.excess, 0);
     }
 
-    /// Guards against a bound that holds only where all hear of each crash at once: an instance alone keeps to it too.
+    /// Guards against a limit that holds only if all instances learn of each crash at once; each must keep it on its
+    /// own.
     #[test]
     fn one_instance_crashes_no_more_than_allowed_by_a_suspect(steps in prop::collection::vec(step(), 1..120)) {
         let mut fleet = Fleet::default();
@@ -392,19 +392,19 @@
     }
 }
 
-/// Guards against an overflow, which would end the instances that read it one after the other.
+/// Guards against an overflow, which would crash every instance that receives the record.
 #[test]
 fn a_record_of_the_end_of_time_is_left_alone() {
-    let mut far = Record::default();
+    let mut future = Record::default();
     for number in 0..3 {
         let at_ms = u64::MAX - number;
         let server = server(number);
-        far.add(Crash { at_ms, server });
+        future.add(Crash { at_ms, server });
     }
-    far.probe(u64::MAX);
+    future.probe(u64::MAX);
     let update = Update {
         request: request(0),
-        record: far,
+        record: future,
     };
     let mut own = Quarantine::default();
 
--- a/crates/fescuewell_forward/tests/relay.rs
+++ b/crates/fescuewell_forward/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Changes of the list of backend servers as they are passed on between instances.
+//! Relaying changes of the server list between instances.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 use fescuewell_forward::server::{Change, Entry, Registry, State, Update};
 use proptest::prelude::*;
 
-/// The store's clock is this far ahead of the own ones.
+/// Offset of the store's clock from the local clock in milliseconds.
 const STORE_MS: u64 = 1_000_000;
 
 fn entry(id: &str, state: State) -> Entry {
@@ -31,7 +31,7 @@
     }
 }
 
-/// An instance: its list, and how far it knows it.
+/// An instance with its registry and its position in the list.
 #[derive(Default)]
 struct Instance {
     registry: Registry,
@@ -40,7 +40,7 @@
 }
 
 impl Instance {
-    /// One that has read the whole list, which has one server, at version 10.
+    /// Returns an instance that has read the whole list, with one server, at version 10.
     fn started() -> Self {
         let mut instance = Self::default();
         instance
@@ -54,14 +54,14 @@
     /// Reads the changes up to a version.
     fn read(&mut self, rows: &[Update], version: u64, now_ms: u64) {
         let after = self.cursor.version();
-        let mut news = Vec::new();
+        let mut changes = Vec::new();
         for row in rows {
             if self.registry.is_change(row, now_ms) {
-                news.push(row.clone());
+                changes.push(row.clone());
             }
             self.registry.apply(row.clone(), now_ms);
         }
-        self.outbox.add(news, after, version, now_ms);
+        self.outbox.add(changes, after, version, now_ms);
         self.cursor.advance(version);
     }
 
@@ -74,28 +74,29 @@
         )
     }
 
-    fn hear(&mut self, digest: &Digest, now_ms: u64) -> bool {
-        let taken = self.cursor.apply(digest, STORE_MS + now_ms, now_ms);
-        if taken {
+    fn receive(&mut self, digest: &Digest, now_ms: u64) -> bool {
+        let is_applied = self.cursor.apply(digest, STORE_MS + now_ms, now_ms);
+        if is_applied {
             for row in &digest.rows {
                 self.registry.apply(row.clone(), now_ms);
             }
         }
-        taken
+        is_applied
     }
 }
 
-/// Symptom: with 300 instances a leaving server was sent a request 5,010 ms after its word (bound 4,900 ms). Cause: each instance
-/// read what 3,000 servers write each second, and asked the more rarely the more of them there were.
+/// Guards against followers that learn late of a draining server. When each of 300 instances read the list of 3,000
+/// servers itself, they had to read it so rarely that a server received a request 5,010 ms after it was draining (limit
+/// 4,900 ms).
 #[test]
 fn a_follower_hears_of_a_leaving_server() {
     let mut reader = Instance::started();
     let mut follower = Instance::started();
 
     reader.read(&[row("one", 12, State::Draining)], 14, 100);
-    let taken = follower.hear(&reader.digest(100), 101);
+    let is_applied = follower.receive(&reader.digest(100), 101);
 
-    assert!(taken);
+    assert!(is_applied);
     assert!(!follower.registry.is_ready("one", 101));
     assert_eq!(follower.cursor.version(), 14);
     assert_eq!(follower.cursor.configuration_version(), 3);
@@ -110,14 +111,14 @@
     for step in 1..5 {
         reader.read(&[], 14 + step, 100 + step * 300);
     }
-    let taken = follower.hear(&reader.digest(1_300), 1_301);
+    let is_applied = follower.receive(&reader.digest(1_300), 1_301);
 
-    assert!(taken);
+    assert!(is_applied);
     assert!(!follower.registry.is_ready("one", 1_301));
 }
 
-/// Symptom looked for: a server that left is used until the list is read again. Sequence: all digests of three seconds are lost;
-/// the next one no longer holds the change. It must not count as complete.
+/// Guards against using a removed server until the list is read again: if all digests of three seconds are lost, the
+/// next one no longer contains the change and must be rejected.
 #[test]
 fn a_gap_is_noticed() {
     let mut reader = Instance::started();
@@ -125,14 +126,14 @@
 
     reader.read(&[row("one", 12, State::Draining)], 14, 100);
     reader.read(&[], 30, 3_000);
-    let taken = follower.hear(&reader.digest(3_000), 3_001);
+    let is_applied = follower.receive(&reader.digest(3_000), 3_001);
 
-    assert!(!taken);
+    assert!(!is_applied);
     assert!(!follower.cursor.is_following(3_001));
     assert_eq!(follower.cursor.version(), 10);
 }
 
-/// Symptom looked for: a leaving server is used again. Sequence: a digest of a reader that was frozen, or that stood in a full link,
+/// Guards against using a draining server again because an old digest, of a frozen reader or delayed in a full link,
 /// arrives after newer ones.
 #[test]
 fn an_old_digest_brings_no_server_back() {
@@ -142,9 +143,9 @@
     let old = reader.digest(50);
 
     reader.read(&[row("two", 13, State::Draining)], 14, 100);
-    follower.hear(&reader.digest(100), 101);
-    let again = follower.hear(&old, 102);
-    let late = follower.hear(&reader.digest(100), 1_200);
+    follower.receive(&reader.digest(100), 101);
+    let again = follower.receive(&old, 102);
+    let late = follower.receive(&reader.digest(100), 1_200);
 
     assert!(!again);
     assert!(!late);
@@ -157,14 +158,14 @@
     let mut follower = Instance::started();
 
     reader.read(&[], 14, 100);
-    follower.hear(&reader.digest(100), 100);
+    follower.receive(&reader.digest(100), 100);
 
     assert!(follower.cursor.is_following(100 + DIGEST_TIMEOUT_MS - 1));
     assert!(!follower.cursor.is_following(100 + DIGEST_TIMEOUT_MS));
 }
 
-/// Symptom looked for: a server that told one reader itself that it leaves (`Connection: close` on an answer) stays in use at all
-/// followers, since the list then tells that reader nothing new.
+/// Guards against followers that keep using a server which reported to one reader that it is draining (`Connection:
+/// close` in a response): the update of the list then is no change for that reader.
 #[test]
 fn what_a_server_told_the_reader_alone_is_passed_on() {
     let mut reader = Instance::started();
@@ -172,7 +173,7 @@
     reader.registry.mark_draining("one");
 
     reader.read(&[row("one", 12, State::Draining)], 14, 100);
-    follower.hear(&reader.digest(100), 101);
+    follower.receive(&reader.digest(100), 101);
 
     assert!(!follower.registry.is_ready("one", 101));
 }
@@ -186,37 +187,37 @@
     assert!(reader.digest(100).rows.is_empty());
 }
 
-/// One thing that happens to a list of three servers, two readers and a follower.
+/// Step of a model with three servers, two readers and a follower.
 #[derive(Debug, Clone)]
 enum Step {
     Write(usize, Option<State>),
     Read(usize),
-    Reread(usize),
+    ReadAll(usize),
     Send(usize),
     Deliver(usize),
-    /// A reader that another instance takes for a follower hears a digest.
-    Mistake(usize, usize),
-    Pass(u64),
+    /// A reader receives a digest from an instance that considers it a follower.
+    Misdirect(usize, usize),
+    Advance(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let said = prop_oneof![
+    let written = prop_oneof![
         Just(Some(State::Ready)),
         Just(Some(State::Draining)),
         Just(None)
     ];
     prop_oneof![
-        4 => (0usize..3, said).prop_map(|(server, said)| Step::Write(server, said)),
+        4 => (0usize..3, written).prop_map(|(server, written)| Step::Write(server, written)),
         6 => (0usize..2).prop_map(Step::Read),
-        1 => (0usize..2).prop_map(Step::Reread),
+        1 => (0usize..2).prop_map(Step::ReadAll),
         6 => (0usize..2).prop_map(Step::Send),
         6 => (0usize..6).prop_map(Step::Deliver),
-        2 => (0usize..2, 0usize..6).prop_map(|(who, which)| Step::Mistake(who, which)),
-        2 => (1u64..900).prop_map(Step::Pass),
+        2 => (0usize..2, 0usize..6).prop_map(|(who, which)| Step::Misdirect(who, which)),
+        2 => (1u64..900).prop_map(Step::Advance),
     ]
 }
 
-/// The rows as written, and the version of the store.
+/// Rows as written, and the version of the store.
 #[derive(Default)]
 struct Store {
     version: u64,
@@ -224,10 +225,10 @@
 }
 
 impl Store {
-    fn write(&mut self, server: usize, said: Option<State>) {
+    fn write(&mut self, server: usize, written: Option<State>) {
         self.version += 1;
         let id: Arc<str> = format!("server-{server}").into();
-        let change = match said {
+        let change = match written {
             Some(state) => Change::Entry(entry(&id, state)),
             None => Change::Removed,
         };
@@ -243,7 +244,7 @@
         rows.cloned().collect()
     }
 
-    /// The last row of each server that is listed as of a version.
+    /// Returns the last row of each server that is listed as of a version.
     fn listed(&self, version: u64) -> Vec<Update> {
         let mut last: BTreeMap<Arc<str>, Update> = BTreeMap::new();
         for row in self.feed.iter().filter(|row| row.version <= version) {
@@ -257,8 +258,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 600, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(21), ..ProptestConfig::default() })]
 
-    /// Symptom looked for: a follower believes that it knows the list up to a version and does not. Sequence: any mix of writes, readings,
-    /// whole readings, and digests that are lost, late, out of order or come twice from two readers.
+    /// Guards against a follower that lacks changes up to its version, in any sequence of writes, reads, snapshots, and
+    /// digests of two readers that are lost, late, reordered or repeated.
     #[test]
     fn a_follower_knows_the_list_as_of_its_version(steps in prop::collection::vec(step(), 1..200)) {
         let mut store = Store { version: 10, ..Store::default() };
@@ -273,12 +274,12 @@
         let mut now_ms = 0;
         for step in steps {
             match step {
-                Step::Write(server, said) => store.write(server, said),
+                Step::Write(server, written) => store.write(server, written),
                 Step::Read(who) => {
                     let rows = store.after(readers[who].cursor.version());
                     readers[who].read(&rows, store.version, now_ms);
                 }
-                Step::Reread(who) => {
+                Step::ReadAll(who) => {
                     let rows = store.listed(store.version);
                     readers[who].registry.apply_snapshot(store.version, rows, now_ms);
                     readers[who].cursor.advance(store.version);
@@ -288,16 +289,16 @@
                 Step::Deliver(which) => {
                     let digest = sent.len().checked_sub(1 + which).map(|at| sent[at].clone());
                     if let Some(digest) = digest {
-                        follower.hear(&digest, now_ms);
+                        follower.receive(&digest, now_ms);
                     }
                 }
-                Step::Mistake(who, which) => {
+                Step::Misdirect(who, which) => {
                     let digest = sent.len().checked_sub(1 + which).map(|at| sent[at].clone());
                     if let Some(digest) = digest {
-                        readers[who].hear(&digest, now_ms);
+                        readers[who].receive(&digest, now_ms);
                     }
                 }
-                Step::Pass(ms) => now_ms += ms,
+                Step::Advance(ms) => now_ms += ms,
             }
             let listed = store.listed(follower.cursor.version());
             let ready: Vec<&Arc<str>> = listed.iter().filter(|row| matches!(&row.change, Change::Entry(entry) if entry.state == State::Ready)).map(|row| &row.id).collect();
--- a/crates/fescuewell_forward/tests/retry_after.rs
+++ b/crates/fescuewell_forward/tests/retry_after.rs
@@ -1,9 +1,9 @@
-//! When callers are told to come back.
+//! Retry delays during a store outage.
 
 use fescuewell_forward::retry_after::{MAX_OUTAGE_DELAY_MS, MIN_OUTAGE_DELAY_MS, outage_left_ms};
 
-/// Symptom looked for: callers that come back into the same cut and are refused again. Sequence: the store has been away for seconds,
-/// nobody can lend. Cause: a time to come back that does not depend on how long it has been away.
+/// Guards against callers that retry within the same outage and are rejected again: the delay must grow with the
+/// outage's duration.
 #[test]
 fn a_long_outage_tells_callers_to_come_back_late() {
     let early = outage_left_ms(400, u64::MAX / 2);
--- a/crates/fescuewell_forward/tests/servers.rs
+++ b/crates/fescuewell_forward/tests/servers.rs
@@ -1,4 +1,4 @@
-//! The list of backend servers, and the judgement of each.
+//! Server registry, outlier detection and load balancing.
 
 use std::sync::Arc;
 
@@ -19,9 +19,9 @@
     }
 }
 
-fn born(id: &str, born: u64) -> Entry {
+fn started(id: &str, started: u64) -> Entry {
     Entry {
-        started_at_ms: Some(born),
+        started_at_ms: Some(started),
         ..entry(id, State::Ready)
     }
 }
@@ -79,8 +79,8 @@
         .clone()
 }
 
-/// Symptom: a server that had left got requests again. Sequence: its removal is seen by the feed; a whole reading that is
-/// seconds old still lists it. Cause: the reading that came last counted.
+/// Guards against restoring a removed server: after the feed had delivered the removal, an older snapshot that still
+/// listed the server replaced it.
 #[test]
 fn an_old_snapshot_brings_nobody_back() {
     let mut registry = Registry::default();
@@ -127,20 +127,20 @@
     assert!(!registry.is_known("i-0"));
 }
 
-/// Symptom: prompts were sent to a server as if it kept their parts, and it was left out for failures of a process that was
-/// gone. Sequence: a server crashes and starts again under its name. Cause: what was observed went by the name alone.
+/// Guards against attributing observations to the id alone: after a restart under the same id a server received prompts
+/// as if it still cached their prefixes, and was ejected for failures of its former process.
 #[test]
 fn a_server_that_started_again_is_known_for_nothing() {
     let mut registry = Registry::default();
     let mut health = Health::default();
     let mut load = Load::default();
-    let before = born("i-0", 1_000);
+    let before = started("i-0", 1_000);
     registry.apply(row(1, before.clone()), 0);
     health.record_outcome(&before.id, Outcome::Bad, 0);
     health.record_outcome(&before.id, Outcome::Bad, 0);
     load.record_prefix("a", &before.id, 0);
 
-    registry.apply(row(2, born("i-0", 2_000)), 10);
+    registry.apply(row(2, started("i-0", 2_000)), 10);
     for former in registry.take_ended() {
         health.forget(&former.id);
         load.forget(&former.id);
@@ -157,31 +157,30 @@
 #[test]
 fn a_heartbeat_of_the_same_start_ends_nothing() {
     let mut registry = Registry::default();
-    registry.apply(row(1, born("i-0", 1_000)), 0);
+    registry.apply(row(1, started("i-0", 1_000)), 0);
 
-    registry.apply(row(2, born("i-0", 1_000)), 10);
+    registry.apply(row(2, started("i-0", 1_000)), 10);
 
     assert!(registry.take_ended().is_empty());
-    assert!(!registry.has_restarted(&born("i-0", 1_000)));
+    assert!(!registry.has_restarted(&started("i-0", 1_000)));
 }
 
-/// Symptom: a server got no work for as long as it lived. Sequence: its address answers for another server, which marks it as
-/// leaving; it starts again under its name. Cause looked for: a mark that outlives the start that it was made for.
+/// Guards against a draining mark that outlives its incarnation: a server whose address responded for another one was
+/// marked, and received no work after its restart.
 #[test]
 fn a_mark_of_leaving_ends_with_the_start() {
     let mut registry = Registry::default();
-    registry.apply(row(1, born("i-0", 1_000)), 0);
+    registry.apply(row(1, started("i-0", 1_000)), 0);
     registry.mark_draining("i-0");
     assert!(!registry.is_ready("i-0", 0));
 
-    registry.apply(row(2, born("i-0", 2_000)), 0);
+    registry.apply(row(2, started("i-0", 2_000)), 0);
 
     assert!(registry.is_ready("i-0", 0));
 }
 
-/// Symptom: requests were refused for want of a server for two seconds after each long outage of the store. Sequence: the
-/// store is away, entries lapse since no heartbeat arrives; it returns and its list is empty until the next heartbeats.
-/// Cause: an entry that is missing counted as gone at once.
+/// Guards against removing servers at once after a store outage: all entries had expired without heartbeats, and
+/// requests were rejected without a server until the next heartbeats two seconds later.
 #[test]
 fn entries_that_lapsed_in_an_outage_hold_for_two_seconds() {
     let mut registry = Registry::default();
@@ -217,19 +216,19 @@
     assert!(!registry.is_known("i-0"));
 }
 
-/// Symptom: no server at all was known, and every request was refused. Sequence: something else writes a row into the list.
-/// Cause: one row that could not be read made the whole list unreadable.
+/// Guards against one invalid row, written by something else, that makes the whole list unreadable: no server was
+/// known, and every request was rejected.
 #[test]
 fn a_row_that_names_no_server_leaves_the_others() {
     let mut registry = Registry::default();
     let rows = vec![row(3, entry("i-0", State::Ready)), unreadable("i-1", 4)];
 
-    let news = registry.apply_snapshot(5, rows, 0);
+    let applied = registry.apply_snapshot(5, rows, 0);
     let repeated = registry.apply(unreadable("i-1", 4), 0);
 
     assert!(registry.is_ready("i-0", 0));
     assert!(!registry.is_known("i-1"));
-    assert_eq!(news.len(), 2);
+    assert_eq!(applied.len(), 2);
     assert!(!repeated, "it would be logged with every reading");
 }
 
@@ -247,8 +246,7 @@
     assert!(registry.is_ready("i-0", 0));
 }
 
-/// Symptom: requests went on failing at a server whose health check was good. Sequence: it fails what it is sent. Cause: only
-/// the health check was believed.
+/// Guards against relying on health checks alone: requests kept failing at a server that passed them.
 #[test]
 fn a_server_that_fails_is_left_out_and_tried_again() {
     let mut health = Health::default();
@@ -310,30 +308,33 @@
     }
 }
 
-/// Symptom: first events came seconds late at one server while others had nothing to do. Sequence: several instances send
-/// long prompts to it at the same moment. Cause: each saw only its own load.
+/// Guards against instances that know only their own load: several sent long prompts to one server at the same time,
+/// and its first events were seconds late while other servers were idle.
 #[test]
 fn what_another_instance_sent_there_counts() {
     let candidates = entries(4);
     let health = Health::default();
-    let usual = chosen(&candidates, &shared("a"), &Load::default(), &health);
+    let preferred = chosen(&candidates, &shared("a"), &Load::default(), &health);
     let mut other = Load::default();
-    other.begin(&usual, 90_000);
+    other.begin(&preferred, 90_000);
     let mut own = Load::default();
 
     own.apply_report(other.report("entry-2".into(), 1, 0), 0);
 
-    assert_ne!(chosen(&candidates, &shared("a"), &own, &health), usual);
+    assert_ne!(chosen(&candidates, &shared("a"), &own, &health), preferred);
     own.expire(60_000);
-    assert_eq!(chosen(&candidates, &shared("a"), &own, &health), usual);
+    assert_eq!(chosen(&candidates, &shared("a"), &own, &health), preferred);
 }
 
 #[test]
 fn a_copy_that_another_instance_made_is_used() {
     let candidates = entries(6);
     let health = Health::default();
-    let usual = chosen(&candidates, &shared("a"), &Load::default(), &health);
-    let copy = candidates.iter().find(|entry| entry.id != usual).unwrap();
+    let preferred = chosen(&candidates, &shared("a"), &Load::default(), &health);
+    let copy = candidates
+        .iter()
+        .find(|entry| entry.id != preferred)
+        .unwrap();
     let mut other = Load::default();
     other.record_prefix("a", &copy.id, 0);
     let mut own = Load::default();
@@ -381,30 +382,29 @@
     assert_eq!(&*server, "i-1");
 }
 
-/// Symptom: shared parts were read again at one server while another kept them and had little to read. Sequence: five requests
-/// of one part are under way at the server that keeps it. Cause: their whole prompts counted as tokens to be read there, though all
-/// but their own ends was kept.
+/// Guards against counting cached tokens as pending: with five requests of one prefix in flight at the server that
+/// caches it, their whole prompts counted, and another server processed the prefix again.
 #[test]
 fn what_a_server_keeps_does_not_count_as_waiting_there() {
     let candidates = entries(4);
     let health = Health::default();
     let query = shared("a");
     let mut load = Load::default();
-    let keeper = chosen(&candidates, &query, &load, &health);
-    load.record_prefix("a", &keeper, 0);
+    let holder = chosen(&candidates, &query, &load, &health);
+    load.record_prefix("a", &holder, 0);
 
     for _ in 0..5 {
-        let unread = load.uncached_tokens(12_000, &query, &keeper);
-        load.begin(&keeper, unread);
+        let tokens = load.uncached_tokens(12_000, &query, &holder);
+        load.begin(&holder, tokens);
     }
 
-    assert_eq!(load.pending_prefill(&keeper), 5 * 2_000);
+    assert_eq!(load.pending_prefill(&holder), 5 * 2_000);
     assert_eq!(load.uncached_tokens(12_000, &query, "i-other"), 12_000);
-    assert_eq!(chosen(&candidates, &query, &load, &health), keeper);
+    assert_eq!(chosen(&candidates, &query, &load, &health), holder);
 }
 
-/// Symptom: on a fleet with 140 backend servers instances knew nothing of each other's load. Sequence: an instance has requests at
-/// a hundred of them. Cause: its report was larger than a packet and was not sent.
+/// Guards against reports that exceed a packet and are not sent: in a fleet with 140 servers, an instance with requests
+/// at a hundred of them reported no load.
 #[test]
 fn a_report_of_many_servers_fits_a_packet() {
     let mut load = Load::default();
@@ -422,6 +422,6 @@
         report
             .servers
             .iter()
-            .all(|(_, _, unread)| *unread >= 10_100)
+            .all(|(_, _, tokens)| *tokens >= 10_100)
     );
 }
--- a/crates/fescuewell_forward/tests/spread.rs
+++ b/crates/fescuewell_forward/tests/spread.rs
@@ -1,4 +1,4 @@
-//! Tokens of one account in a fleet whose callers come to an instance that nobody named.
+//! Tokens of one account in a fleet whose callers use an instance that is not advertised.
 
 mod common;
 
@@ -8,14 +8,14 @@
 use fescuewell_forward::loan::Request;
 use fescuewell_forward::quota::{HoldOutcome, Quota};
 
-/// Instances that callers are sent to, and one more.
+/// Number of advertised instances.
 const NAMED: usize = 15;
-/// The one that callers come to all the same.
+/// Index of the instance that callers use although it is not advertised.
 const OTHER: usize = NAMED;
-/// Prepaid total of the account.
+/// Prepaid tokens of the account.
 const PREPAID: u64 = 5_800_000;
 
-/// A fleet that has planned, signed and journaled for a while without a single request.
+/// Returns a fleet that has planned, sent heartbeats and written journals for a while without a request.
 fn idle_fleet() -> Cluster {
     let mut cluster = Cluster::new(NAMED + 1, PREPAID);
     for index in 0..=OTHER {
@@ -34,10 +34,9 @@
     cluster
 }
 
-/// Symptom: an account with 5.8 million tokens was refused 608 requests at one instance (`BudgetUnknown`), nearly all in the first
-/// 16 s. Sequence: the named instances plan before the first request comes; callers keep to an instance that is not named; each of
-/// its requests asks for a draw. Cause: the named ones had drawn 95% of the total without any demand, and gave back two rounds of
-/// signs later.
+/// Guards against instances that draw tokens without demand. The advertised ones had drawn 95% of 5.8 million tokens
+/// before the first request and returned them only two heartbeat rounds later; another instance rejected 608 requests
+/// (`BudgetUnknown`), nearly all of them in the first 16 s.
 #[test]
 fn tokens_that_nobody_asked_for_are_free_for_whoever_is_asked() {
     let mut cluster = idle_fleet();
@@ -56,8 +55,8 @@
     assert!(served >= 99, "{served} of 100");
 }
 
-/// Symptom looked for: an account that is used up by restarts. Sequence: 50 named instances plan without a request; all are killed. Cause:
-/// each holds four requests' tokens of every account, and is charged for the first of them.
+/// Guards against an account that is used up by restarts: each of 50 advertised instances would hold the tokens of four
+/// requests without demand, and be charged for the first of them when it is killed.
 #[test]
 fn holders_without_demand_keep_most_of_a_small_account_free() {
     let mut cluster = Cluster::new(50, 1_000_000);
@@ -92,9 +91,8 @@
     }
 }
 
-/// Symptom: a holder of 1.4 million tokens lent 20,000 in three seconds while requests were refused beside it. Sequence: an instance
-/// that had no request of the account lately is asked for tokens. Cause: its journal promised no more than two requests, and
-/// nothing asked for the next one.
+/// Guards against an idle lender whose journal covers no more than two requests and that does not write the next one:
+/// it held 1.4 million tokens and lent 20,000 in three seconds, while other instances rejected requests.
 #[test]
 fn an_idle_lender_makes_room_with_its_next_journal() {
     let mut cluster = Cluster::new(1, PREPAID);
@@ -119,8 +117,8 @@
     assert_eq!(lent, 200_000);
 }
 
-/// Symptom looked for: lenders that run short themselves and ask back. A loan beyond what a request misses is made only of tokens
-/// that the lender's own requests of the next two seconds do not need.
+/// Guards against lenders that run short and borrow back: beyond the immediate need of a request, a loan consists only
+/// of tokens that the lender's own requests of the next two seconds do not need.
 #[test]
 fn a_lender_keeps_what_its_own_requests_need() {
     let mut cluster = Cluster::new(1, PREPAID);
@@ -145,8 +143,8 @@
     assert_eq!(lent, spare.saturating_sub(2 * demand).max(1_000));
 }
 
-/// Symptom: 11,675 requests of accounts at their end were told to come back (503) and 433 that nothing is left (402), in a fleet that
-/// plans each 3.25 s. Cause: a row counted as too old to tell after 2.5 s.
+/// Guards against reporting an exhausted account as temporarily unavailable: in a fleet that plans every 3.25 s, rows
+/// counted as outdated after 2.5 s, and 11,675 requests were answered with 503 and only 433 with 402.
 #[test]
 fn a_large_fleet_tells_that_an_account_is_exhausted() {
     let mut cluster = Cluster::new(1, 10_000);
@@ -160,8 +158,7 @@
     assert_eq!(cluster.hold(0, 20_000), HoldOutcome::Exhausted);
 }
 
-/// Symptom: the signs of 195 instances had a row for each account and instance. Cause: accounts of which an instance had nothing to
-/// say.
+/// Guards against heartbeats that list unused accounts: those of 195 instances had an entry for each account.
 #[test]
 fn nothing_is_said_of_accounts_that_were_never_used() {
     let mut quota = Quota::new("entry-1".into(), 0);
@@ -176,10 +173,9 @@
     assert_eq!(&*said[0].account, "two");
 }
 
-/// Symptom: after a kill of the whole fleet an account was refused to the end of the day with a quarter of its tokens unused, of which
-/// loans were a part.
-/// Sequence: an instance borrows more than its request misses, journals, and is killed. Cause: what was left of the loan stood in no
-/// row, while the lender's row counted it as consumed.
+/// Guards against losing the rest of a loan when its borrower is killed: it was in no row, while the lender's row
+/// counted it as consumed. After a kill of the whole fleet an account was rejected with a quarter of its tokens unused,
+/// in part for this reason.
 #[test]
 fn what_is_left_of_a_loan_outlives_the_borrower() {
     let mut cluster = Cluster::new(2, PREPAID);
@@ -195,7 +191,7 @@
     cluster.borrow(1, 0, 2_000_000, WriteOutcome::Committed);
     let lent = before - cluster.consumed(1);
 
-    // So long without a request that the journal promises no more than a few.
+    // After this time without a request the journal covers only a few requests.
     cluster.store.now_ms += 8_000;
     cluster.write_journal(1, WriteOutcome::Committed);
     cluster.restart(1, 100);
--- a/crates/fescuewell_forward/tests/warmup.rs
+++ b/crates/fescuewell_forward/tests/warmup.rs
@@ -1,4 +1,4 @@
-//! Cold backend servers under the load that falls on them when an availability zone comes back at once.
+//! Rate limits for cold backend servers when an availability zone returns all at once.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,15 +8,15 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// What one cold server bears: 6.6 requests a second,
-const PER_S: f64 = 6.6;
-/// and the bound on it in any second, over the whole fleet.
-const MOST_IN_A_SECOND: usize = 14;
+/// Rate limit of a cold server in requests per second,
+const RATE_PER_S: f64 = 6.6;
+/// and the maximum within any second, over the whole fleet.
+const MAX_IN_A_SECOND: usize = 14;
 
-fn bound() -> Limit {
+fn limit() -> Limit {
     Limit {
         duration: Duration::from_secs(3),
-        interval: Duration::from_secs_f64(1.0 / PER_S),
+        interval: Duration::from_secs_f64(1.0 / RATE_PER_S),
     }
 }
 
@@ -25,16 +25,16 @@
     names.collect()
 }
 
-/// Instances that choose among cold servers, each by the list of instances that it knows.
+/// Instances that pick among cold servers, each with its own list of instances.
 struct Fleet {
     servers: Vec<Arc<str>>,
     instances: Vec<Arc<str>>,
-    /// The list that each instance goes by.
+    /// List of instances known to each instance.
     lists: Vec<Vec<Arc<str>>>,
     warmups: Vec<Warmup>,
-    /// Times of the requests that each server got, in milliseconds.
+    /// Times of the requests that each server received, in milliseconds.
     sent: BTreeMap<Arc<str>, Vec<u64>>,
-    refused: usize,
+    rejected: usize,
 }
 
 impl Fleet {
@@ -46,11 +46,11 @@
             warmups: instances.iter().map(|_| Warmup::default()).collect(),
             instances,
             sent: BTreeMap::new(),
-            refused: 0,
+            rejected: 0,
         }
     }
 
-    /// A request at an instance: it takes the first server to which the instance may send, of a random order.
+    /// Sends a request of an instance to the first server that has credit, starting at a random one.
     fn request(&mut self, at: usize, now_ms: u64, random: &mut SmallRng) {
         let list: Vec<&Arc<str>> = self.lists[at].iter().collect();
         let start = random.random_range(0..self.servers.len());
@@ -60,18 +60,18 @@
             if !chosen.contains(&&self.instances[at]) {
                 continue;
             }
-            if !self.warmups[at].has_credit(&server, &bound(), chosen.len(), now_ms) {
+            if !self.warmups[at].has_credit(&server, &limit(), chosen.len(), now_ms) {
                 continue;
             }
-            self.warmups[at].record_send(&server, &bound(), chosen.len(), now_ms);
+            self.warmups[at].record_send(&server, &limit(), chosen.len(), now_ms);
             self.sent.entry(server).or_default().push(now_ms);
             return;
         }
-        self.refused += 1;
+        self.rejected += 1;
     }
 
-    /// Plays so many requests a second for three seconds, at random instances.
-    fn play(&mut self, per_s: u64, seed: u64) {
+    /// Simulates `per_s` requests per second for three seconds, at random instances.
+    fn simulate(&mut self, per_s: u64, seed: u64) {
         let mut random = SmallRng::seed_from_u64(seed);
         for step in 0..3 * per_s {
             let at = random.random_range(0..self.instances.len());
@@ -79,39 +79,39 @@
         }
     }
 
-    /// The most requests that one server got in one second.
-    fn worst(&self) -> usize {
-        let mut worst = 0;
+    /// Returns the maximum number of requests that one server received in one second.
+    fn max_in_a_second(&self) -> usize {
+        let mut max_in_a_second = 0;
         for times in self.sent.values() {
             for (at, first) in times.iter().enumerate() {
                 let within = times[at..].iter().take_while(|time| **time < first + 1_000);
-                worst = worst.max(within.count());
+                max_in_a_second = max_in_a_second.max(within.count());
             }
         }
-        worst
+        max_in_a_second
     }
 }
 
-/// Symptom: 16 to 18 requests in a second reached single servers of a zone that had come back cold under 3.5 times the traffic (bound
-/// 14), and 61 engines fell over. Sequence: twenty servers appear, idle; each instance's choice falls on them. Cause: what a server
-/// said of being cold was thrown away.
+/// Guards against ignoring that servers are cold. When a zone of twenty idle servers returned under 3.5 times the
+/// traffic, all instances picked them: single servers received 16 to 18 requests within a second (limit 14), and 61
+/// engines failed.
 #[test]
 fn a_zone_that_comes_back_is_not_overrun() {
     for seed in 0..20 {
         let mut fleet = Fleet::new(20, 6);
 
-        fleet.play(600, seed);
+        fleet.simulate(600, seed);
 
         assert!(
-            fleet.worst() <= MOST_IN_A_SECOND,
+            fleet.max_in_a_second() <= MAX_IN_A_SECOND,
             "{} with seed {seed}",
-            fleet.worst()
+            fleet.max_in_a_second()
         );
     }
 }
 
-/// Symptom looked for: the bound breaks while the instances disagree on who is in the fleet. Sequence: half of them do not know yet
-/// that one instance was replaced by another.
+/// Guards against exceeding the limit while instances disagree on the members: half of them do not know yet that one
+/// was replaced.
 #[test]
 fn instances_with_other_lists_keep_the_bound() {
     for seed in 0..20 {
@@ -122,50 +122,49 @@
             list.retain(|name| *name != instances[missing]);
         }
 
-        fleet.play(600, seed);
+        fleet.simulate(600, seed);
 
         assert!(
-            fleet.worst() <= MOST_IN_A_SECOND,
+            fleet.max_in_a_second() <= MAX_IN_A_SECOND,
             "{} with seed {seed}",
-            fleet.worst()
+            fleet.max_in_a_second()
         );
     }
 }
 
-/// With all servers cold the fleet still serves what they bear.
+/// With all servers cold, the fleet still serves requests up to their limits.
 #[test]
 fn cold_servers_are_used() {
     let mut fleet = Fleet::new(60, 6);
 
-    fleet.play(252, 1);
+    fleet.simulate(252, 1);
 
-    assert!(fleet.refused * 20 < 3 * 252, "{} refused", fleet.refused);
+    assert!(fleet.rejected * 20 < 3 * 252, "{} rejected", fleet.rejected);
 }
 
 #[test]
 fn an_instance_alone_introduces_all_servers() {
     let mut fleet = Fleet::new(3, 1);
 
-    fleet.play(12, 1);
+    fleet.simulate(12, 1);
 
-    assert_eq!(fleet.refused, 0);
+    assert_eq!(fleet.rejected, 0);
 }
 
 #[test]
 fn instances_agree_on_who_introduces_a_server() {
     let instances = names("instance", 9);
-    let mut turned: Vec<&Arc<str>> = instances.iter().collect();
-    turned.reverse();
+    let mut reversed: Vec<&Arc<str>> = instances.iter().collect();
+    reversed.reverse();
 
     let one = assigned_instances("server", &instances.iter().collect::<Vec<_>>());
-    let other = assigned_instances("server", &turned);
+    let other = assigned_instances("server", &reversed);
 
     assert_eq!(one, other);
     assert_eq!(one.len(), INSTANCES_PER_SERVER);
 }
 
-/// Symptom looked for: an instance goes on introducing servers that others introduce by now. Sequence: the list of instances changes after
-/// its share was reckoned.
+/// Guards against a cached assignment that outlives a change of the list of instances.
 #[test]
 fn a_share_follows_the_list_of_instances() {
     let instances = names("instance", 9);
