--- a/crates/fescuewell_forward/src/admission.rs
+++ b/crates/fescuewell_forward/src/admission.rs
@@ -1,17 +1,18 @@
-//! Admission control: whether callers send an instance more than its link or its processor can pass on.
+//! Admission control: protects an instance whose callers exceed its link or processor.
 //!
-//! Address answers redirect only some callers; the others return to the instance that they used before for as long as it is ready.
-//! A narrow link fills within seconds when all callers of a large account use it, and then connections to backend servers and calls
-//! to the store fail too. An overloaded instance therefore closes its listener for short intervals, and reports itself unready while
-//! the fleet has capacity for its callers.
+//! Advertised addresses redirect only some callers; the others return to the instance that they used before for as long
+//! as it is ready. A narrow link fills within seconds when all callers of a large account use it, and then connections
+//! to backend servers and calls to the store fail too. An overloaded instance therefore closes its listener for short
+//! intervals, and reports itself unready while the fleet has capacity for its callers.
 
 use crate::window::Window;
 
 /// Window over which callers' traffic is measured, in milliseconds.
-const SPAN_MS: u64 = 1_000;
+const WINDOW_MS: u64 = 1_000;
 /// Window over which callers' traffic is measured, in seconds.
-const SPAN_S: f64 = SPAN_MS as f64 / 1_000.0;
-/// Fraction of the link that requests may use; each body is sent again to a backend server, besides answers, retries and store calls.
+const WINDOW_S: f64 = WINDOW_MS as f64 / 1_000.0;
+/// Fraction of the link that requests may use; each body is sent again to a backend server, besides responses, retries
+/// and store calls.
 const LINK_FRACTION: f64 = 0.4;
 /// Fraction of the processor that requests may use.
 const PROCESSOR_FRACTION: f64 = 0.6;
@@ -21,16 +22,18 @@
 const HEAD_BYTES: u64 = 500;
 /// Time for which an instance must be required before it is ready again, in milliseconds; several heartbeats.
 const REQUIRED_MS: u64 = 5_000;
-/// Time within which callers follow a change of readiness, in milliseconds; the longest life of an address answer and two readiness
-/// checks. The listener stays closed as long, since callers whose connection is refused try another instance at once.
+/// Time within which callers follow a change of readiness, in milliseconds; the maximum TTL of advertised addresses and
+/// two readiness checks. The listener stays closed as long, since callers whose connection is refused try another
+/// instance at once.
 const REDIRECT_MS: u64 = 8_000;
 /// Window over which the time with a closed listener is measured, in milliseconds; several times [`THROTTLE_MS`].
-const CLOSED_SPAN_MS: u64 = 3_000;
+const CLOSED_WINDOW_MS: u64 = 3_000;
 /// Fraction of the window with a closed listener above which a busy instance is saturated.
 const SATURATED_FRACTION: f64 = 0.6;
 /// Time for which the listener is closed after a request over the limit, in milliseconds.
 pub const THROTTLE_MS: u64 = 300;
-/// Time for which an instance reports itself unready, in milliseconds; long against the seconds in which its callers fill it again.
+/// Time for which an instance reports itself unready, in milliseconds; long compared to the seconds within which its
+/// callers overload it again.
 pub const UNREADY_MS: u64 = 300_000;
 
 /// Consequence of a request.
@@ -66,32 +69,33 @@
         Self {
             bytes_per_s: link_mbps * 1_000_000.0 / 8.0 * LINK_FRACTION,
             requests_per_s: cores * PROCESSOR_FRACTION / PROCESSOR_PER_REQUEST_S,
-            bytes: Window::new(SPAN_MS),
-            requests: Window::new(SPAN_MS),
+            bytes: Window::new(WINDOW_MS),
+            requests: Window::new(WINDOW_MS),
             // An instance that starts behind a full link cannot read the other members.
             fleet_has_capacity: true,
             spare_until_ms: 0,
             throttled_until_ms: 0,
-            closed: Window::new(CLOSED_SPAN_MS),
+            closed: Window::new(CLOSED_WINDOW_MS),
             required_since_ms: None,
             unready_since_ms: 0,
             unready_until_ms: 0,
         }
     }
 
-    /// Sets until when the fleet can spare this instance; see [`crate::directory::Directory::can_spare`]. It expires, since an
-    /// instance without heartbeats of the others cannot know it.
+    /// Sets until when the fleet can spare this instance; see [`crate::directory::Directory::can_spare`]. It expires,
+    /// since an instance without heartbeats of the others cannot know it.
     pub fn set_spare(&mut self, until_ms: u64) {
         self.spare_until_ms = until_ms;
     }
 
-    /// Sets whether other instances have capacity for this one's callers; see [`crate::directory::Directory::has_capacity_beside`].
+    /// Sets whether other instances have capacity for this one's callers; see
+    /// [`crate::directory::Directory::has_capacity_beside`].
     pub fn set_fleet_has_capacity(&mut self, has_capacity: bool) {
         self.fleet_has_capacity = has_capacity;
     }
 
-    /// Sets whether address answers name this instance. If they do for [`REQUIRED_MS`], it becomes ready again; for a moment they may
-    /// because heartbeats are late.
+    /// Sets whether this instance is advertised. After being advertised for `REQUIRED_MS` it becomes ready again; late
+    /// heartbeats may cause it to be advertised for a moment.
     pub fn set_required(&mut self, now_ms: u64, is_required: bool) {
         let since = match (is_required, self.required_since_ms) {
             (false, _) => None,
@@ -107,7 +111,8 @@
     pub fn admit(&mut self, now_ms: u64, body: usize) -> Action {
         self.bytes.add(now_ms, body as u64 + HEAD_BYTES);
         self.requests.add(now_ms, 1);
-        // Where no other instance has capacity, a rejection with a retry delay serves callers better than a closed listener.
+        // Where no other instance has capacity, a rejection with a retry delay serves callers better than a closed
+        // listener.
         let is_link_full = self.is_link_full(now_ms);
         if !self.fleet_has_capacity || !(is_link_full || self.is_busy(now_ms)) {
             return Action::Admit;
@@ -134,18 +139,18 @@
         self.throttled_until_ms = until_ms;
     }
 
-    /// Returns `true` if the listener was closed for most of the window. Below that an instance serves most of its callers, who would
-    /// lose seconds by moving.
+    /// Returns `true` if the listener was closed for most of the window. Below that an instance serves most of its
+    /// callers, who would lose seconds by moving.
     fn is_saturated(&mut self, now_ms: u64) -> bool {
-        self.closed.sum(now_ms) as f64 > CLOSED_SPAN_MS as f64 * SATURATED_FRACTION
+        self.closed.sum(now_ms) as f64 > CLOSED_WINDOW_MS as f64 * SATURATED_FRACTION
     }
 
     fn is_link_full(&mut self, now_ms: u64) -> bool {
-        self.bytes.sum(now_ms) as f64 / SPAN_S > self.bytes_per_s
+        self.bytes.sum(now_ms) as f64 / WINDOW_S > self.bytes_per_s
     }
 
     fn is_busy(&mut self, now_ms: u64) -> bool {
-        self.requests.sum(now_ms) as f64 / SPAN_S > self.requests_per_s
+        self.requests.sum(now_ms) as f64 / WINDOW_S > self.requests_per_s
     }
 
     /// Makes the instance unready for `left_ms` milliseconds.
@@ -163,8 +168,8 @@
 
     /// Returns `true` if the listener is closed.
     ///
-    /// A rejected request and its retry both cross the link, so rejections do not relieve a full one; a refused connection costs a
-    /// packet.
+    /// A rejected request and its retry both cross the link, so rejections do not relieve a full one; a refused
+    /// connection costs a packet.
     pub fn is_closed(&self, now_ms: u64) -> bool {
         let is_leaving =
             self.unready_left_ms(now_ms) > 0 && now_ms < self.unready_since_ms + REDIRECT_MS;
--- a/crates/fescuewell_forward/src/choice.rs
+++ b/crates/fescuewell_forward/src/choice.rs
@@ -1,8 +1,8 @@
 //! Load balancing: which backend server receives a request.
 //!
-//! Model engines cache the prompt prefixes that they have processed, and processing them again takes time. All instances rank the
-//! engines for a prefix in the same order (rendezvous hashing), so that they agree without coordination. The first in that order is
-//! picked unless it is clearly busier than the others.
+//! Model engines cache the prompt prefixes that they have processed, and processing them again takes time. All
+//! instances rank the engines for a prefix in the same order (rendezvous hashing), so that they agree without
+//! coordination. The first in that order is picked unless it is clearly busier than the others.
 
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -60,8 +60,8 @@
 const PREFIX_TTL_MS: u64 = 20_000;
 /// Time for which a new location is repeated in reports, in milliseconds, since reports may be lost.
 const LOCATION_REPEAT_MS: u64 = 300;
-/// Maximum number of servers in a report, the busiest first; each takes some 20 bytes. A report of a hundred servers does not fit a
-/// packet and is not sent at all.
+/// Maximum number of servers in a report, the busiest first; each takes some 20 bytes. A report of a hundred servers
+/// does not fit a packet and is not sent at all.
 const MAX_REPORTED_SERVERS: usize = 40;
 /// Maximum number of prefix locations in a report, which must fit a packet.
 const MAX_REPORTED_LOCATIONS: usize = 24;
@@ -157,7 +157,8 @@
         }
     }
 
-    /// Number of tokens of a prompt that a server has to process: all of them, less the shared prefix if it is cached there.
+    /// Number of tokens of a prompt that a server has to process: all of them, less the shared prefix if it is cached
+    /// there.
     pub fn uncached_tokens(&self, prompt: u64, criteria: &Criteria<'_>, id: &str) -> u64 {
         let is_cached = criteria
             .affinity
@@ -259,10 +260,11 @@
     }
 }
 
-/// Cost of processing a cached prefix again at another server, in percent of its tokens. Above 100, since a second copy costs more
-/// than its computation time.
+/// Cost of processing a cached prefix again at another server, in percent of its tokens. Above 100, since a second copy
+/// costs more than its computation time.
 const RECOMPUTE_PERCENT: u64 = 400;
-/// The same if no server is known to cache the prefix; keeps instances in agreement that have not received each other's reports.
+/// The same if no server is known to cache the prefix; keeps instances in agreement that have not received each other's
+/// reports.
 const UNKNOWN_PERCENT: u64 = 50;
 /// Cost of an in-flight request, in prompt tokens; it slows the others down about as much as processing these would.
 const IN_FLIGHT_TOKENS: u64 = 300;
@@ -310,8 +312,8 @@
     candidates.iter().copied().min_by_key(|entry| cost(entry))
 }
 
-/// Returns the candidates that are not much slower than the others, or all of them if none remains. Not used for requests with a
-/// shared prefix: processing a long prefix again costs more than a slow server does.
+/// Returns the candidates that are not much slower than the others, or all of them if none remains. Not used for
+/// requests with a shared prefix: processing a long prefix again costs more than a slow server does.
 fn without_slow<'a>(from: &[&'a Arc<Entry>], health: &Health, now_ms: u64) -> Vec<&'a Arc<Entry>> {
     let ids = from.iter().map(|entry| &*entry.id);
     let limit_ms = health
@@ -330,7 +332,8 @@
     if fast.is_empty() { from.to_vec() } else { fast }
 }
 
-/// Picks the server that would finish processing the prompt first, by its pending tokens and the prefix tokens to process again.
+/// Picks the server that would finish processing the prompt first, by its pending tokens and the prefix tokens to
+/// process again.
 fn pick_by_cost<'a>(
     from: &[&'a Arc<Entry>],
     prefix: &str,
--- a/crates/fescuewell_forward/src/crash/quarantine.rs
+++ b/crates/fescuewell_forward/src/crash/quarantine.rs
@@ -9,8 +9,9 @@
 //!     +-----------------full response--------------------- Probed ---+
 //! ```
 //!
-//! The number of in-flight attempts of a suspect is limited to the crashes left before quarantine, and after its second crash it
-//! goes to the least loaded server. Requests that merely shared a server with the culprit are cleared by their next response.
+//! The number of in-flight attempts of a suspect is limited to the crashes left before quarantine, and after its second
+//! crash it goes to the least loaded server. Requests that merely shared a server with the culprit are cleared by their
+//! next response.
 
 use std::collections::{HashMap, HashSet};
 use std::num::NonZeroUsize;
@@ -22,9 +23,9 @@
 use crate::server::Incarnation;
 
 /// Maximum number of records; those with the fewest and oldest crashes are evicted.
-const MOST_RECORDS: usize = 512;
+const MAX_RECORDS: usize = 512;
 /// Maximum number of recently answered requests.
-const MOST_ANSWERED: NonZeroUsize = NonZeroUsize::new(1_024).unwrap();
+const MAX_ANSWERED: NonZeroUsize = NonZeroUsize::new(1_024).unwrap();
 /// Time in milliseconds for which a complete response exonerates a request.
 const ANSWERED_MS: u64 = 10_000;
 /// Number of crashes from which a suspect is isolated from other requests.
@@ -78,7 +79,7 @@
         Self {
             records: HashMap::new(),
             running: HashMap::new(),
-            answered: LruCache::new(MOST_ANSWERED),
+            answered: LruCache::new(MAX_ANSWERED),
             fresh: Vec::new(),
             unrecorded: Vec::new(),
             witnessed: HashSet::new(),
@@ -126,8 +127,8 @@
         self.records.contains_key(&request)
     }
 
-    /// Records a server crash while the request was running. Returns the number of crashes, or `None` if the crash was known or the
-    /// request is exonerated.
+    /// Records a server crash while the request was running. Returns the number of crashes, or `None` if the crash was
+    /// known or the request is exonerated.
     pub fn crash(
         &mut self,
         request: Fingerprint,
@@ -298,7 +299,7 @@
     /// Drops expired records and evicts surplus ones.
     fn shrink(&mut self, now_ms: u64) {
         self.records.retain(|_, record| !record.is_expired(now_ms));
-        while self.records.len() > MOST_RECORDS {
+        while self.records.len() > MAX_RECORDS {
             let least = self.records.iter().min_by_key(|(request, record)| {
                 (record.count(), record.last_crash_ms(), **request)
             });
--- a/crates/fescuewell_forward/src/crash/record.rs
+++ b/crates/fescuewell_forward/src/crash/record.rs
@@ -1,20 +1,20 @@
 //! Crash history of one request.
 //!
-//! Merging is commutative, associative and idempotent: crashes by union, the time of the last complete response and the probes by
-//! maximum.
+//! Merging is commutative, associative and idempotent: crashes by union, the time of the last complete response and the
+//! probes by maximum.
 
 use crate::server::Incarnation;
 
 /// Number of crashes that quarantines a request.
 pub const THRESHOLD: usize = 3;
 /// Maximum number of crashes in a record; the newest are kept.
-const MOST_CRASHES: usize = 8;
+const MAX_CRASHES: usize = 8;
 /// Initial quarantine period in milliseconds.
 const FIRST_MS: u64 = 10 * 60 * 1_000;
 /// Growth factor of that period with each failed probe.
 const GROWTH: u64 = 6;
 /// Maximum number of probes per request; each may crash a server.
-const MOST_PROBES: u32 = 3;
+const MAX_PROBES: u32 = 3;
 /// Retention of a quarantined request in milliseconds.
 const QUARANTINED_MS: u64 = 24 * 60 * 60 * 1_000;
 /// Retention of a request with fewer crashes, in milliseconds.
@@ -78,7 +78,7 @@
         let before = self.clone();
         self.cleared_ms = self.cleared_ms.max(other.cleared_ms);
         self.probes = self.probes.max(other.probes);
-        for crash in other.crashes.iter().take(MOST_CRASHES) {
+        for crash in other.crashes.iter().take(MAX_CRASHES) {
             self.add(*crash);
         }
         self.normalize();
@@ -103,9 +103,9 @@
     /// Returns `true` if the quarantine period has elapsed and a probe is allowed.
     pub fn may_probe(&self, now_ms: u64) -> bool {
         let (probes, probed_ms) = self.probes;
-        let pause_ms = FIRST_MS * GROWTH.pow(probes.min(MOST_PROBES));
+        let pause_ms = FIRST_MS * GROWTH.pow(probes.min(MAX_PROBES));
         self.is_quarantined()
-            && probes < MOST_PROBES
+            && probes < MAX_PROBES
             && now_ms >= self.last_crash_ms().max(probed_ms).saturating_add(pause_ms)
     }
 
@@ -139,6 +139,6 @@
         let cleared_ms = self.cleared_ms;
         self.crashes.retain(|crash| Some(crash.at_ms) > cleared_ms);
         self.crashes.sort_by_key(|crash| std::cmp::Reverse(*crash));
-        self.crashes.truncate(MOST_CRASHES);
+        self.crashes.truncate(MAX_CRASHES);
     }
 }
--- a/crates/fescuewell_forward/src/crash/watch.rs
+++ b/crates/fescuewell_forward/src/crash/watch.rs
@@ -7,8 +7,8 @@
 //!     +--- accepted, or 8 s ---------+
 //! ```
 //!
-//! Servers that are draining, delisted or in an evacuated zone may close connections at any time and must not be reported to
-//! [`Detector::lost`].
+//! Servers that are draining, delisted or in an evacuated zone may close connections at any time and must not be
+//! reported to [`Detector::lost`].
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -17,11 +17,11 @@
 use crate::server::{Entry, Incarnation};
 
 /// Time in milliseconds for which a lost exchange may still turn out to be a crash; exceeds the expiry of list entries.
-const DOUBT_MS: u64 = 8_000;
+const SUSPICION_MS: u64 = 8_000;
 /// Retention of a crash in milliseconds; the connections of one server do not all break at once.
 const CRASHED_MS: u64 = 10_000;
 /// Maximum number of requests per suspected server.
-const MOST_REQUESTS: usize = 1_024;
+const MAX_REQUESTS: usize = 1_024;
 
 /// Evidence of a server crash.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -58,9 +58,9 @@
 
 /// State of the connection probe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Attempt {
+enum ProbeState {
     None,
-    UnderWay,
+    InProgress,
     Silent,
 }
 
@@ -68,7 +68,7 @@
 #[derive(Debug)]
 struct Suspicion {
     since_ms: u64,
-    attempt: Attempt,
+    probe: ProbeState,
     requests: Vec<Fingerprint>,
 }
 
@@ -98,19 +98,19 @@
             .entry(incarnation)
             .or_insert_with(|| Suspicion {
                 since_ms: now_ms,
-                attempt: Attempt::None,
+                probe: ProbeState::None,
                 requests: Vec::new(),
             });
-        if suspicion.requests.len() < MOST_REQUESTS && !suspicion.requests.contains(&request) {
+        if suspicion.requests.len() < MAX_REQUESTS && !suspicion.requests.contains(&request) {
             suspicion.requests.push(request);
         }
-        match (loss, suspicion.attempt) {
-            (Loss::Broken, Attempt::None) => {
-                suspicion.attempt = Attempt::UnderWay;
+        match (loss, suspicion.probe) {
+            (Loss::Broken, ProbeState::None) => {
+                suspicion.probe = ProbeState::InProgress;
                 Finding::Probe
             }
-            (Loss::Broken, Attempt::UnderWay) => Finding::Awaited,
-            (Loss::Broken, Attempt::Silent) | (Loss::Silent, _) => Finding::Open,
+            (Loss::Broken, ProbeState::InProgress) => Finding::Awaited,
+            (Loss::Broken, ProbeState::Silent) | (Loss::Silent, _) => Finding::Open,
         }
     }
 
@@ -136,7 +136,7 @@
     /// Ends a probe without a conclusion.
     pub fn silent(&mut self, incarnation: Incarnation) {
         if let Some(suspicion) = self.suspected.get_mut(&incarnation) {
-            suspicion.attempt = Attempt::Silent;
+            suspicion.probe = ProbeState::Silent;
         }
     }
 
@@ -148,7 +148,7 @@
     /// Returns `true` while a probe is in progress.
     pub fn is_probed(&self, incarnation: Incarnation) -> bool {
         let suspicion = self.suspected.get(&incarnation);
-        suspicion.is_some_and(|suspicion| suspicion.attempt == Attempt::UnderWay)
+        suspicion.is_some_and(|suspicion| suspicion.probe == ProbeState::InProgress)
     }
 
     /// Evaluates the removal or restart of a listed server. Returns the evidence if it crashed.
@@ -167,7 +167,7 @@
 
     fn expire(&mut self, now_ms: u64) {
         self.suspected
-            .retain(|_, suspicion| now_ms < suspicion.since_ms + DOUBT_MS);
+            .retain(|_, suspicion| now_ms < suspicion.since_ms + SUSPICION_MS);
         self.crashed.retain(|_, at_ms| now_ms < *at_ms + CRASHED_MS);
     }
 }
--- a/crates/fescuewell_forward/src/health.rs
+++ b/crates/fescuewell_forward/src/health.rs
@@ -1,7 +1,7 @@
 //! Outlier detection: which backend servers fail or respond slowly, judged by the outcomes of this instance's requests.
 //!
-//! A server can pass its own health check and still fail the requests it receives. Outcomes reveal it within a few requests; such a
-//! server is ejected for a while and then retried.
+//! A server can pass its own health check and still fail the requests it receives. Outcomes reveal it within a few
+//! requests; such a server is ejected for a while and then retried.
 
 use std::collections::HashMap;
 use std::sync::Arc;
--- a/crates/fescuewell_forward/tests/crashes.rs
+++ b/crates/fescuewell_forward/tests/crashes.rs
@@ -83,33 +83,33 @@
 
 #[test]
 fn a_crash_names_each_request_that_was_running_once() {
-    let mut watch = Detector::default();
+    let mut detector = Detector::default();
     let server = entry("i-0", 1);
 
-    let first = watch.lost(&server, request(1), Loss::Broken, 0);
-    let second = watch.lost(&server, request(2), Loss::Broken, 1);
-    watch.lost(&server, request(2), Loss::Broken, 2);
-    let running = watch.crashed(server.incarnation(), 3);
+    let first = detector.lost(&server, request(1), Loss::Broken, 0);
+    let second = detector.lost(&server, request(2), Loss::Broken, 1);
+    detector.lost(&server, request(2), Loss::Broken, 2);
+    let running = detector.crashed(server.incarnation(), 3);
 
     assert_eq!(first, Finding::Probe);
     assert_eq!(second, Finding::Awaited);
     assert_eq!(running, [request(1), request(2)]);
     assert_eq!(
-        watch.lost(&server, request(3), Loss::Broken, 4),
+        detector.lost(&server, request(3), Loss::Broken, 4),
         Finding::Crashed
     );
 }
 
 #[test]
 fn a_server_that_accepts_connections_has_not_crashed() {
-    let mut watch = Detector::default();
+    let mut detector = Detector::default();
     let server = entry("i-0", 1);
-    watch.lost(&server, request(1), Loss::Broken, 0);
+    detector.lost(&server, request(1), Loss::Broken, 0);
 
-    watch.accepted(server.incarnation());
+    detector.accepted(server.incarnation());
 
-    assert!(!watch.has_crashed(server.incarnation()));
-    assert_eq!(watch.ended(&Arc::new(server), false), None);
+    assert!(!detector.has_crashed(server.incarnation()));
+    assert_eq!(detector.ended(&Arc::new(server), false), None);
 }
 
 #[test]
@@ -120,40 +120,40 @@
 
 #[test]
 fn the_list_shows_a_crash_only_of_servers_that_did_not_drain() {
-    let mut watch = Detector::default();
+    let mut detector = Detector::default();
     let ready = Arc::new(entry("i-0", 1));
     let draining = Arc::new(Entry {
         state: State::Draining,
         ..entry("i-1", 1)
     });
 
-    assert_eq!(watch.ended(&ready, true), Some(Evidence::Restarted));
-    assert_eq!(watch.ended(&ready, false), None);
-    assert_eq!(watch.ended(&draining, true), None);
-    watch.lost(&ready, request(1), Loss::Broken, 0);
-    assert_eq!(watch.ended(&ready, false), Some(Evidence::Removed));
+    assert_eq!(detector.ended(&ready, true), Some(Evidence::Restarted));
+    assert_eq!(detector.ended(&ready, false), None);
+    assert_eq!(detector.ended(&draining, true), None);
+    detector.lost(&ready, request(1), Loss::Broken, 0);
+    assert_eq!(detector.ended(&ready, false), Some(Evidence::Removed));
 }
 
 #[test]
 fn a_doubt_ends_after_a_while() {
-    let mut watch = Detector::default();
+    let mut detector = Detector::default();
     let server = Arc::new(entry("i-0", 1));
-    watch.lost(&server, request(1), Loss::Broken, 0);
+    detector.lost(&server, request(1), Loss::Broken, 0);
 
-    watch.lost(&entry("i-1", 1), request(2), Loss::Broken, 60_000);
+    detector.lost(&entry("i-1", 1), request(2), Loss::Broken, 60_000);
 
-    assert_eq!(watch.ended(&server, false), None);
+    assert_eq!(detector.ended(&server, false), None);
 }
 
 /// Guards against a crash that nobody looks for since another request had waited for an answer in vain.
 #[test]
 fn a_broken_connection_is_followed_by_a_probe_though_the_server_was_silent_before() {
-    let mut watch = Detector::default();
+    let mut detector = Detector::default();
     let server = entry("i-0", 1);
 
-    let silent = watch.lost(&server, request(1), Loss::Silent, 0);
-    let is_probed = watch.is_probed(server.incarnation());
-    let broken = watch.lost(&server, request(2), Loss::Broken, 1);
+    let silent = detector.lost(&server, request(1), Loss::Silent, 0);
+    let is_probed = detector.is_probed(server.incarnation());
+    let broken = detector.lost(&server, request(2), Loss::Broken, 1);
 
     assert_eq!(silent, Finding::Open);
     assert!(!is_probed);
@@ -162,15 +162,15 @@
 
 #[test]
 fn a_probe_without_a_finding_is_not_awaited() {
-    let mut watch = Detector::default();
+    let mut detector = Detector::default();
     let server = entry("i-0", 1);
-    watch.lost(&server, request(1), Loss::Broken, 0);
+    detector.lost(&server, request(1), Loss::Broken, 0);
 
-    watch.silent(server.incarnation());
+    detector.silent(server.incarnation());
 
-    assert!(!watch.is_probed(server.incarnation()));
+    assert!(!detector.is_probed(server.incarnation()));
     assert_eq!(
-        watch.lost(&server, request(2), Loss::Broken, 1),
+        detector.lost(&server, request(2), Loss::Broken, 1),
         Finding::Open
     );
 }
