--- a/crates/fescuewell_forward/src/crash.rs
+++ b/crates/fescuewell_forward/src/crash.rs
@@ -5,12 +5,12 @@
 //! distinguishes a server crash from a lost connection, and a [`Quarantine`] counts crashes per request across
 //! instances and decides whether the request may be sent again.
 
+mod detector;
 mod fingerprint;
 mod quarantine;
 mod record;
-mod watch;
 
+pub use detector::{Detector, Evidence, Finding, Loss};
 pub use fingerprint::{Content, Fingerprint};
 pub use quarantine::{Quarantine, Update, Verdict};
 pub use record::{Crash, Record, THRESHOLD};
-pub use watch::{Detector, Evidence, Finding, Loss};
