--- a/crates/fescuewell_forward/tests/spread.rs
+++ b/crates/fescuewell_forward/tests/spread.rs
@@ -9,20 +9,20 @@
 use fescuewell_forward::quota::{HoldOutcome, Quota};
 
 /// Number of advertised instances.
-const NAMED: usize = 15;
+const ADVERTISED: usize = 15;
 /// Index of the instance that callers use although it is not advertised.
-const OTHER: usize = NAMED;
+const OTHER: usize = ADVERTISED;
 /// Prepaid tokens of the account.
 const PREPAID: u64 = 5_800_000;
 
 /// Returns a fleet that has planned, sent heartbeats and written journals for a while without a request.
 fn idle_fleet() -> Cluster {
-    let mut cluster = Cluster::new(NAMED + 1, PREPAID);
+    let mut cluster = Cluster::new(ADVERTISED + 1, PREPAID);
     for index in 0..=OTHER {
         cluster.adopt(index, WriteOutcome::Committed);
     }
     for _ in 0..4 {
-        for index in 0..NAMED {
+        for index in 0..ADVERTISED {
             cluster.exchange_usage(index);
             cluster.read_ledger(index);
             cluster.plan(index, WriteOutcome::Committed);
@@ -81,12 +81,12 @@
     assert!(granted <= 250_000, "{granted}");
 }
 
-fn ask(cluster: &Cluster, least: u64, tokens: u64) -> Request {
+fn loan_request(cluster: &Cluster, required_tokens: u64, wanted_tokens: u64) -> Request {
     Request {
         id: 1,
         account: ACCOUNT.into(),
-        required_tokens: least,
-        wanted_tokens: tokens,
+        required_tokens,
+        wanted_tokens,
         sent_at_ms: cluster.store.now_ms,
     }
 }
@@ -104,13 +104,13 @@
     cluster.plan(0, WriteOutcome::Committed);
     cluster.store.now_ms += 10_000;
     cluster.write_journal(0, WriteOutcome::Committed);
-    let ask = ask(&cluster, 40_000, 200_000);
+    let request = loan_request(&cluster, 40_000, 200_000);
     let now_ms = cluster.local_ms(0);
 
     let before = cluster.instances[0].quota.available(ACCOUNT, now_ms);
-    let would_help = cluster.instances[0].quota.admit_loan(&ask, now_ms);
+    let would_help = cluster.instances[0].quota.admit_loan(&request, now_ms);
     cluster.write_journal(0, WriteOutcome::Committed);
-    let lent = cluster.instances[0].quota.lend(&ask, now_ms);
+    let lent = cluster.instances[0].quota.lend(&request, now_ms);
 
     assert!(before < 40_000, "{before}");
     assert!(would_help);
@@ -133,12 +133,12 @@
     cluster.store.now_ms += 5_000;
     cluster.write_journal(0, WriteOutcome::Committed);
     cluster.store.now_ms += 3_000;
-    let ask = ask(&cluster, 1_000, 10_000_000);
+    let request = loan_request(&cluster, 1_000, 10_000_000);
     let now_ms = cluster.local_ms(0);
     let spare = cluster.instances[0].quota.available(ACCOUNT, now_ms);
     let demand = cluster.instances[0].quota.demand_per_s(&account, now_ms);
 
-    let lent = cluster.instances[0].quota.lend(&ask, now_ms);
+    let lent = cluster.instances[0].quota.lend(&request, now_ms);
 
     assert_eq!(lent, spare.saturating_sub(2 * demand).max(1_000));
 }
@@ -167,10 +167,10 @@
     }
     quota.record_demand(&"two".into(), 10, 0);
 
-    let said = quota.usage(0);
+    let usage = quota.usage(0);
 
-    assert_eq!(said.len(), 1);
-    assert_eq!(&*said[0].account, "two");
+    assert_eq!(usage.len(), 1);
+    assert_eq!(&*usage[0].account, "two");
 }
 
 /// Guards against losing the rest of a loan when its borrower is killed: it was in no row, while the lender's row
