--- a/crates/fescuewell_gateway/src/control/members.rs
+++ b/crates/fescuewell_gateway/src/control/members.rs
@@ -29,7 +29,7 @@
     let mut transaction = Transaction::default();
     // Keep the row if callers were sent away: the next process reads it and stays unready, or they
     // would come back at once.
-    if gateway.is_draining() && member.out_until_ms == 0 {
+    if gateway.is_draining() && member.unready_until_ms == 0 {
         transaction.deletes.push(id);
     } else {
         transaction.puts.push((id, member.encode()));
@@ -51,12 +51,12 @@
         peer: settings.peer,
         zone: settings.zone.clone(),
         weight: weight(settings),
-        requests: state.arrivals.sum(now_ms) as u32 / ARRIVAL_WINDOW_S,
+        requests_per_s: state.arrivals.sum(now_ms) as u32 / ARRIVAL_WINDOW_S,
         usage: state.quota.usage(now_ms),
         era: status.era,
-        is_certain: status.knows_grants,
-        at_ms: if gateway.is_draining() { 0 } else { store_ms },
-        out_until_ms: match state.admission.unready_left_ms(now_ms) {
+        knows_grants: status.knows_grants,
+        heartbeat_at_ms: if gateway.is_draining() { 0 } else { store_ms },
+        unready_until_ms: match state.admission.unready_left_ms(now_ms) {
             0 => 0,
             left_ms => store_ms + left_ms,
         },
@@ -93,10 +93,12 @@
         .collect();
     let advertised_before = advertised_names(&state.directory);
     let era = version::era(response.version);
-    state.directory.replace_in(era, members, response.now_ms);
-    let statuses = state.directory.signs();
-    let lapse_ms = state.directory.lapse_ms();
-    state.quota.set_statuses(statuses, lapse_ms);
+    state
+        .directory
+        .replace_in_era(era, members, response.now_ms);
+    let statuses = state.directory.statuses();
+    let member_timeout_ms = state.directory.member_timeout_ms();
+    state.quota.set_statuses(statuses, member_timeout_ms);
     update_admission(&mut state, &control.gateway.settings.name, now_ms);
     let after: Vec<Arc<str>> = state
         .directory
@@ -109,7 +111,7 @@
         .collect();
     let advertised: Vec<Arc<str>> = advertised_names(&state.directory);
     state.quota.set_peers(&usages, &advertised);
-    state.warmup.set_named(advertised.clone());
+    state.warmup.set_instances(advertised.clone());
     drop(state);
     if advertised != advertised_before {
         log_event!(Event::InstancesNamed, "named={}", advertised.join(","));
@@ -135,7 +137,7 @@
 }
 
 fn advertised_names(directory: &Directory) -> Vec<Arc<str>> {
-    let advertised = directory.named();
+    let advertised = directory.advertised();
     advertised.iter().map(|(name, _)| (*name).clone()).collect()
 }
 
@@ -145,12 +147,12 @@
     state.admission.set_unready(now_ms, left_ms);
     let spared_ms = match state.directory.can_spare(name) {
         // Half of the lapse time, which is two heartbeats.
-        true => state.directory.lapse_ms() / 2,
+        true => state.directory.member_timeout_ms() / 2,
         false => 0,
     };
     state.admission.set_spare(now_ms + spared_ms);
     let has_capacity = state.directory.has_capacity_beside(name);
     state.admission.set_fleet_has_capacity(has_capacity);
-    let is_advertised = state.directory.is_named(name);
+    let is_advertised = state.directory.is_advertised(name);
     state.admission.set_required(now_ms, is_advertised);
 }
--- a/crates/fescuewell_gateway/src/control/sync.rs
+++ b/crates/fescuewell_gateway/src/control/sync.rs
@@ -135,7 +135,7 @@
 fn set_staleness(control: &Control, interval: Duration) {
     let mut state = control.gateway.state();
     let lapse = interval * MAX_MISSED_HEARTBEATS;
-    state.directory.set_lapse(lapse.as_millis() as u64);
+    state.directory.set_member_timeout(lapse.as_millis() as u64);
     let fresh = interval.mul_f64(FRESHNESS_INTERVALS);
     state.quota.set_max_age(fresh.as_millis() as u64);
 }
--- a/crates/fescuewell_gateway/src/job.rs
+++ b/crates/fescuewell_gateway/src/job.rs
@@ -10,10 +10,12 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
+use candidates::Candidates;
+use crash::InFlight;
 use fescuewell_core::log_event;
 use fescuewell_core::prelude::*;
-use fescuewell_forward::choice::{self, Query};
-use fescuewell_forward::config::{Kind, Route, Service, Tenant};
+use fescuewell_forward::choice::{self, Criteria};
+use fescuewell_forward::config::{Account, Kind, Route, Service};
 use fescuewell_forward::crash::Fingerprint;
 use fescuewell_http::listener::{Reply, Request};
 use http::{HeaderMap, Method, Uri};
@@ -23,9 +25,6 @@
 use crate::hold::Hold;
 use crate::{header, refusal};
 
-use candidates::Candidates;
-use crash::InFlight;
-
 pub(crate) use attempt::{AttemptOutcome, Response};
 pub(crate) use crash::classify_loss;
 pub(crate) use permit::Permit;
@@ -44,7 +43,7 @@
     pub(crate) route: Arc<Route>,
     pub(crate) service: Service,
     pub(crate) hold: Option<Hold>,
-    account: Option<Arc<Tenant>>,
+    account: Option<Arc<Account>>,
     version: u64,
     method: Method,
     target: Uri,
@@ -117,7 +116,7 @@
     }
 
     /// Sets the client account and computes the fingerprint.
-    pub fn with_account(mut self, account: Option<Arc<Tenant>>) -> Self {
+    pub fn with_account(mut self, account: Option<Arc<Account>>) -> Self {
         self.account = account;
         self.fingerprint = self.compute_fingerprint();
         self
@@ -228,7 +227,7 @@
             });
         }
         let now_ms = self.gateway.now_ms();
-        let draw = self.gateway.random_u64();
+        let random = self.gateway.random_u64();
         let mut state = self.gateway.state();
         let shares = match self.service.warmup {
             Some(_) => state.cold_shares(&self.service.name, &self.gateway.settings.name, now_ms),
@@ -241,17 +240,17 @@
             .prompt_parts
             .split_last()
             .map_or(&[][..], |(_, shared_parts)| shared_parts);
-        let query = Query {
+        let criteria = Criteria {
             affinity: shared_parts.last().map(|part| &*part.id),
             shared_tokens: shared_parts.iter().map(|part| part.tokens).sum(),
             zone: &self.gateway.settings.zone,
-            draw,
+            random,
         };
         let chosen = match self.is_isolated(&state, now_ms) {
-            true => choice::quietest(&candidates.eligible, &state.load, &state.health, now_ms),
+            true => choice::least_loaded(&candidates.eligible, &state.load, &state.health, now_ms),
             false => choice::pick(
                 &candidates.eligible,
-                &query,
+                &criteria,
                 &state.load,
                 &state.health,
                 now_ms,
@@ -259,18 +258,18 @@
         };
         let chosen = chosen.cloned();
         let prompt = self.metadata.tokens.map_or(0, |tokens| tokens.prompt);
-        let prefill_tokens = chosen
-            .as_ref()
-            .map_or(0, |server| state.load.to_read(prompt, &query, &server.id));
-        if let (Some(server), Some(part)) = (&chosen, query.affinity) {
-            state.load.keep(part, &server.id, now_ms);
+        let prefill_tokens = chosen.as_ref().map_or(0, |server| {
+            state.load.uncached_tokens(prompt, &criteria, &server.id)
+        });
+        if let (Some(server), Some(part)) = (&chosen, criteria.affinity) {
+            state.load.record_prefix(part, &server.id, now_ms);
         }
         if let (Some(server), Some(bound)) = (&chosen, &self.service.warmup)
             && let Some(share) = shares.get(&server.id)
         {
-            state.warmup.send(&server.id, bound, *share, now_ms);
+            state.warmup.record_send(&server.id, bound, *share, now_ms);
         }
-        let running = chosen.as_ref().map(|entry| state.load.running(&entry.id));
+        let running = chosen.as_ref().map(|entry| state.load.in_flight(&entry.id));
         drop(state);
         let Some(server) = chosen else {
             return Err(match self.possibly_executed {
@@ -429,6 +428,6 @@
         max_attempts: 1,
         public: false,
         sticky: false,
-        gap: Duration::ZERO,
+        target_gap: Duration::ZERO,
     }
 }
--- a/crates/fescuewell_gateway/src/job/attempt.rs
+++ b/crates/fescuewell_gateway/src/job/attempt.rs
@@ -253,7 +253,7 @@
             .saturating_duration_since(Instant::now());
         let progress = match self.route.kind {
             Kind::Stream { resumable: true } if !self.is_last_attempt() => {
-                self.route.gap.mul_f64(GAP_TIMEOUT_FACTOR)
+                self.route.target_gap.mul_f64(GAP_TIMEOUT_FACTOR)
             }
             Kind::Stream { .. } => self.deadline.saturating_duration_since(Instant::now()),
             _ => left,
--- a/crates/fescuewell_gateway/src/source.rs
+++ b/crates/fescuewell_gateway/src/source.rs
@@ -5,7 +5,7 @@
 
 use fescuewell_forward::config::Configuration;
 use fescuewell_forward::evacuation::Order;
-use fescuewell_forward::server::Movement;
+use fescuewell_forward::server::Update;
 
 use crate::store::BoxFuture;
 
@@ -50,12 +50,8 @@
     fn watch_state(&self, version: u64, wait: Duration) -> BoxFuture<'_, Versioned<OperatorState>>;
 
     /// Lists all backend servers.
-    fn list_servers(&self) -> BoxFuture<'_, Versioned<Vec<Movement>>>;
+    fn list_servers(&self) -> BoxFuture<'_, Versioned<Vec<Update>>>;
 
     /// Returns the changes of backend servers after `version`, waiting up to `wait` for a change.
-    fn watch_servers(
-        &self,
-        version: u64,
-        wait: Duration,
-    ) -> BoxFuture<'_, Versioned<Vec<Movement>>>;
+    fn watch_servers(&self, version: u64, wait: Duration) -> BoxFuture<'_, Versioned<Vec<Update>>>;
 }
