--- a/crates/fescuewell_bench/src/capacity/claims.rs
+++ b/crates/fescuewell_bench/src/capacity/claims.rs
@@ -21,7 +21,7 @@
 const RUN: Duration = Duration::from_secs(20);
 /// One request in so many may not be repeated.
 const SINGLE: u64 = 10;
-const MOST_ENTRIES: usize = 10_000_000;
+const MAX_ENTRIES: usize = 10_000_000;
 
 /// Holds all slots over a table whose log rows are dropped, as after a checkpoint.
 struct Holder {
@@ -65,7 +65,7 @@
             return;
         };
         self.count(&step);
-        let reply = table::carry_out(&self.table, &step);
+        let reply = table::execute(&self.table, &step);
         let Self {
             arbiter,
             now,
@@ -177,7 +177,7 @@
     let mut memory = Series::new("kept requests", "a slot holder: memory", "MB", KEPT_WANTED);
     for count in sizes(options, [50_000, 100_000, 200_000, 400_000]) {
         let settings = Settings {
-            entry_limit: MOST_ENTRIES,
+            entry_limit: MAX_ENTRIES,
             checkpoint_every: u64::MAX,
             ..Settings::default()
         };
@@ -225,8 +225,8 @@
 fn commit_at(options: &Options, rate: usize, interval: Duration) -> Holder {
     let settings = Settings {
         commit_interval: interval,
-        entry_limit: MOST_ENTRIES,
-        pending_limit: MOST_ENTRIES,
+        entry_limit: MAX_ENTRIES,
+        pending_limit: MAX_ENTRIES,
         ..Settings::default()
     };
     let mut holder = Holder::new(settings, options.seed);
--- a/crates/fescuewell_bench/src/capacity/rig.rs
+++ b/crates/fescuewell_bench/src/capacity/rig.rs
@@ -276,7 +276,7 @@
     fn carry_out(&mut self, action: Action) {
         match action {
             Action::Table { duty, step } => {
-                let reply = table::carry_out(&self.table, &step);
+                let reply = table::execute(&self.table, &step);
                 self.count_step(&step, &reply);
                 self.waiting.push_back(NodeEvent::Table { duty, reply });
             }
--- a/crates/fescuewell_bench/src/capacity/world.rs
+++ b/crates/fescuewell_bench/src/capacity/world.rs
@@ -149,7 +149,7 @@
         context_tokens: 32_768,
         default_output: 512,
         base: None,
-        least_servers: 2,
+        min_servers: 2,
     }
 }
 
--- a/crates/fescuewell_bench/src/load/audit.rs
+++ b/crates/fescuewell_bench/src/load/audit.rs
@@ -8,7 +8,7 @@
 use fescuewell_claims::arbiter::{Arbiter, Settings};
 use fescuewell_claims::message::{Phase, Reply, Request, RequestState, slot_of};
 use fescuewell_core::id::{RequestKey, SlotKey};
-use fescuewell_core::table::{Range, Table, carry_out};
+use fescuewell_core::table::{Range, Table, execute};
 use fescuewell_core::time::Instant;
 use fescuewell_core::tokens::Tokens;
 
@@ -105,7 +105,7 @@
     fn step(&mut self) {
         self.now = self.now + STEP;
         if let Some(step) = self.arbiter.next_step(self.now) {
-            let reply = carry_out(self.table, &step);
+            let reply = execute(self.table, &step);
             self.arbiter.reply(self.now, reply);
         }
     }
--- a/crates/fescuewell_budget/examples/footprint.rs
+++ b/crates/fescuewell_budget/examples/footprint.rs
@@ -11,7 +11,7 @@
 use fescuewell_budget::row::{Budget, Grant};
 use fescuewell_budget::{HoldKey, Ledger, Policy, Settings, row};
 use fescuewell_core::prelude::*;
-use fescuewell_core::table::{Table, Transaction, carry_out};
+use fescuewell_core::table::{Table, Transaction, execute};
 use memory::MemoryTable;
 
 const GROUPS: u32 = 22_000;
@@ -71,7 +71,7 @@
     let step = ledger.next_step(now);
     let elapsed = started.elapsed();
     if let Some(step) = step {
-        ledger.reply(now, carry_out(table, &step));
+        ledger.reply(now, execute(table, &step));
     }
     elapsed
 }
@@ -86,7 +86,7 @@
 
 fn run_table_steps(ledger: &mut Ledger, table: &MemoryTable, now: Instant) {
     while let Some(step) = ledger.next_step(now) {
-        ledger.reply(now, carry_out(table, &step));
+        ledger.reply(now, execute(table, &step));
     }
     ledger.take_notifications();
 }
--- a/crates/fescuewell_budget/examples/spend/simulation.rs
+++ b/crates/fescuewell_budget/examples/spend/simulation.rs
@@ -7,7 +7,7 @@
 
 use fescuewell_budget::{HoldKey, Ledger, Message, Notification, Policy, Settings, Shortage};
 use fescuewell_core::prelude::*;
-use fescuewell_core::table::{Error, Reply, Step, carry_out};
+use fescuewell_core::table::{Error, Reply, Step, execute};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -202,7 +202,7 @@
 
     /// Tokens that a ledger with global knowledge could still grant.
     pub fn remaining(&self) -> Tokens {
-        self.load.prepaid.minus(self.used)
+        self.load.prepaid.saturating_sub(self.used)
     }
 
     /// Idle tokens of all instances.
@@ -216,7 +216,7 @@
     pub fn in_doubt(&self) -> Tokens {
         let lines = self.nodes.iter().flat_map(|node| node.ledger.snapshot());
         lines
-            .map(|line| line.granted.minus(line.spent))
+            .map(|line| line.granted.saturating_sub(line.spent))
             .max()
             .unwrap_or_default()
     }
@@ -259,7 +259,7 @@
             Event::Arrive => self.arrive(),
             Event::Settle(index, hold, amount, cost) => {
                 self.nodes[index].ledger.settle(at, hold, cost);
-                self.used = self.used.minus(amount.minus(cost));
+                self.used = self.used.saturating_sub(amount.saturating_sub(cost));
                 self.after(BILL_DELAY, Event::Billed(index, hold, cost));
                 self.drive(index);
             }
@@ -276,7 +276,7 @@
                     true => Reply::Failed(Error::Unreachable {
                         reason: "down".into(),
                     }),
-                    false => carry_out(&self.table, &step),
+                    false => execute(&self.table, &step),
                 };
                 self.after(TABLE_LATENCY, Event::TableReply(index, reply));
             }
--- a/crates/fescuewell_budget/src/allowance.rs
+++ b/crates/fescuewell_budget/src/allowance.rs
@@ -155,7 +155,7 @@
     /// Tokens available for new holds.
     pub fn idle(&self) -> Tokens {
         self.granted
-            .minus(self.spent + self.owed + self.held + self.returning)
+            .saturating_sub(self.spent + self.owed + self.held + self.returning)
     }
 
     /// Tokens held or owed.
--- a/crates/fescuewell_budget/src/ledger.rs
+++ b/crates/fescuewell_budget/src/ledger.rs
@@ -230,7 +230,7 @@
         entry.amount = cost;
         entry.is_settled = true;
         if let Some(allowance) = self.allowances.get_mut(&group) {
-            allowance.held = allowance.held.minus(amount);
+            allowance.held = allowance.held.saturating_sub(amount);
             allowance.owed += cost;
             allowance.rate.record_settlement(amount, cost);
         }
@@ -259,7 +259,7 @@
                 true => &mut allowance.owed,
                 false => &mut allowance.held,
             };
-            *balance = balance.minus(entry.amount);
+            *balance = balance.saturating_sub(entry.amount);
             allowance.spent += charged.min(entry.amount);
         }
         self.after_release(now, entry.group);
--- a/crates/fescuewell_budget/src/ledger/attempt.rs
+++ b/crates/fescuewell_budget/src/ledger/attempt.rs
@@ -108,8 +108,8 @@
         // Tokens that a return may already have released must not be spent, even if the reply is
         // lost.
         allowance.returning = match after {
-            Some(after) => before.minus(after),
-            None => before.minus(allowance.spent),
+            Some(after) => before.saturating_sub(after),
+            None => before.saturating_sub(allowance.spent),
         };
         let cached = allowance.row.as_ref().expect("planned rows are cached");
         let mut budget = cached.budget.clone();
@@ -224,12 +224,12 @@
 
     fn notify_change(&mut self, group: GroupKey, before: Tokens, after: Tokens) {
         if after > before {
-            let amount = after.minus(before);
+            let amount = after.saturating_sub(before);
             self.notifications
                 .push(Notification::Drawn { group, amount });
         }
         if after < before {
-            let amount = before.minus(after);
+            let amount = before.saturating_sub(after);
             self.notifications
                 .push(Notification::Returned { group, amount });
             self.record_return(group, amount);
--- a/crates/fescuewell_budget/src/ledger/intent.rs
+++ b/crates/fescuewell_budget/src/ledger/intent.rs
@@ -158,7 +158,7 @@
 /// Lowers the grant by `amount`. A grant from which nothing was ever spent is removed, to keep rows
 /// short.
 fn lower_grant(allowance: &Allowance, amount: Tokens) -> Intent {
-    let after = allowance.granted.minus(amount);
+    let after = allowance.granted.saturating_sub(amount);
     let intent = match after.is_zero() {
         true => Intent::Grant(None),
         false => Intent::Grant(Some(after)),
@@ -245,13 +245,13 @@
         }
         let target = self.target(allowance);
         if idle < sizing::percent(target, JOIN_BELOW_PERCENT) {
-            let drawn = target.minus(idle).min(cached.budget.unallocated());
+            let drawn = target.saturating_sub(idle).min(cached.budget.unallocated());
             if !drawn.is_zero() {
                 return Intent::Grant(Some(allowance.granted + drawn));
             }
         }
         if self.is_surplus_due(allowance) && idle > target {
-            return lower_grant(allowance, idle.minus(target));
+            return lower_grant(allowance, idle.saturating_sub(target));
         }
         Intent::Nothing
     }
@@ -264,7 +264,7 @@
             .map(|cached| cached.budget.unallocated());
         let wanted = waiters.total + self.target(allowance);
         wanted
-            .minus(allowance.idle())
+            .saturating_sub(allowance.idle())
             .min(unallocated.unwrap_or_default())
     }
 
--- a/crates/fescuewell_budget/src/ledger/recall.rs
+++ b/crates/fescuewell_budget/src/ledger/recall.rs
@@ -89,7 +89,7 @@
         };
         recall.unanswered.swap_remove(position);
         recall.in_use += in_use;
-        recall.shortfall = recall.shortfall.minus(returned);
+        recall.shortfall = recall.shortfall.saturating_sub(returned);
         if recall.unanswered.is_empty() || recall.shortfall.is_zero() {
             recall.finished_after.get_or_insert(step);
         }
@@ -121,7 +121,7 @@
         let is_partial = others.len() > fanout;
         others.shuffle(&mut self.rng);
         others.truncate(fanout);
-        let need = need.minus(allowance.idle() + unallocated);
+        let need = need.saturating_sub(allowance.idle() + unallocated);
         for to in &others {
             let message = Message::Recall {
                 group: allowance.name.clone(),
--- a/crates/fescuewell_budget/src/row.rs
+++ b/crates/fescuewell_budget/src/row.rs
@@ -96,7 +96,7 @@
 
     /// Tokens that may still be granted.
     pub fn unallocated(&self) -> Tokens {
-        self.prepaid.minus(self.spent + self.granted())
+        self.prepaid.saturating_sub(self.spent + self.granted())
     }
 
     /// Expected use of all other holders, in tokens per second, according to their last writes.
--- a/crates/fescuewell_budget/tests/common/fleet.rs
+++ b/crates/fescuewell_budget/tests/common/fleet.rs
@@ -7,7 +7,7 @@
 use fescuewell_budget::reclaim::Reclaim;
 use fescuewell_budget::{Ledger, Message, Notification, Policy, Settings, Shortage};
 use fescuewell_core::prelude::*;
-use fescuewell_core::table::{Error, Reply, Step, Transaction, carry_out};
+use fescuewell_core::table::{Error, Reply, Step, Transaction, execute};
 
 use super::memory::MemoryTable;
 use super::node::{GROUPS, Node, OpenHold, Refused, check_node, policies};
@@ -224,11 +224,11 @@
     fn carry_out(&mut self, step: &Step, fault: Fault) -> Reply {
         let reason: Arc<str> = "fault".into();
         match fault {
-            Fault::None => carry_out(&self.table, step),
+            Fault::None => execute(&self.table, step),
             Fault::Unreachable => Reply::Failed(Error::Unreachable { reason }),
             Fault::Busy => Reply::Failed(Error::Busy),
             Fault::ReplyLost => {
-                carry_out(&self.table, step);
+                execute(&self.table, step);
                 Reply::Failed(Error::Unknown { reason })
             }
             Fault::RequestLost => Reply::Failed(Error::Unknown { reason }),
@@ -301,7 +301,7 @@
         let transaction = self
             .delayed_writes
             .swap_remove(pick % self.delayed_writes.len());
-        carry_out(&self.table, &Step::Commit(transaction));
+        execute(&self.table, &Step::Commit(transaction));
     }
 
     pub fn top_up(&mut self, group: usize, amount: Tokens) {
@@ -368,7 +368,7 @@
     /// owed.
     pub fn available(&self, group: usize) -> Tokens {
         let prepaid = self.table.budget(GROUPS[group]).prepaid;
-        prepaid.minus(self.used(group))
+        prepaid.saturating_sub(self.used(group))
     }
 
     /// Tokens charged, held or owed anywhere.
--- a/crates/fescuewell_budget/tests/regressions.rs
+++ b/crates/fescuewell_budget/tests/regressions.rs
@@ -11,7 +11,7 @@
 use fescuewell_budget::reclaim::Reclaim;
 use fescuewell_budget::{Message, Notification, Shortage};
 use fescuewell_core::prelude::*;
-use fescuewell_core::table::{Error, Reply, Step, Table, carry_out};
+use fescuewell_core::table::{Error, Reply, Step, Table, execute};
 
 fn fleet(prepaid: u64) -> Fleet {
     Fleet::new(3, Tokens(prepaid), 11)
@@ -129,7 +129,7 @@
     let holder = fleet.nodes[0].holder.clone();
     let mut reclaim = Reclaim::new(holder, &[], 1);
     while let Some(step) = reclaim.next_step(fleet.now) {
-        reclaim.reply(fleet.now, carry_out(&fleet.table, &step));
+        reclaim.reply(fleet.now, execute(&fleet.table, &step));
     }
 
     let now = fleet.now + Duration::from_secs(20);
@@ -137,7 +137,7 @@
     let ledger = &mut fleet.nodes[0].ledger;
     let first = ledger.hold(now, group, Tokens(900));
     while let Some(step) = ledger.next_step(now) {
-        ledger.reply(now, carry_out(&fleet.table, &step));
+        ledger.reply(now, execute(&fleet.table, &step));
     }
 
     assert!(reclaim.is_done());
@@ -332,7 +332,7 @@
         Err(Shortage::Pending)
     );
     let step = ledger.next_step(now).unwrap();
-    ledger.reply(now, carry_out(&fleet.table, &step));
+    ledger.reply(now, execute(&fleet.table, &step));
 
     let retry_after = Duration::from_secs(1);
     let shortage = Shortage::Unknown { retry_after };
@@ -412,7 +412,7 @@
         if let Step::Commit(transaction) = &step {
             assert!(transaction.writes.len() <= 33);
         }
-        ledger.reply(now, carry_out(&fleet.table as &dyn Table, &step));
+        ledger.reply(now, execute(&fleet.table as &dyn Table, &step));
     }
 
     assert_eq!(fleet.table.counts().commits - before.commits, 3);
--- a/crates/fescuewell_claims/src/arbiter/settings.rs
+++ b/crates/fescuewell_claims/src/arbiter/settings.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fescuewell_core::table::MOST_ENTRIES;
+use fescuewell_core::table::MAX_ENTRIES;
 
 use crate::ledger::Retention;
 
@@ -67,7 +67,7 @@
             chunk_bytes: 256 * 1024,
             pending_limit: 50_000,
             entry_limit: 200_000,
-            slots_per_commit: MOST_ENTRIES / ENTRIES_PER_SLOT,
+            slots_per_commit: MAX_ENTRIES / ENTRIES_PER_SLOT,
             bytes_per_commit: 512 * 1024,
             initial_backoff: Duration::from_millis(100),
             max_backoff: Duration::from_secs(5),
--- a/crates/fescuewell_claims/tests/table_faults.rs
+++ b/crates/fescuewell_claims/tests/table_faults.rs
@@ -12,7 +12,7 @@
 use fescuewell_claims::note::Note;
 use fescuewell_claims::record::{Batch, Record};
 use fescuewell_core::prelude::*;
-use fescuewell_core::table::{MOST_ENTRIES, Row};
+use fescuewell_core::table::{MAX_ENTRIES, Row};
 
 use support::*;
 
@@ -402,7 +402,7 @@
     node.run(&mut now, &mut table, 2_000);
 
     assert!(node.arbiter.is_idle());
-    assert!(table.most_entries <= MOST_ENTRIES, "{}", table.most_entries);
+    assert!(table.most_entries <= MAX_ENTRIES, "{}", table.most_entries);
 }
 
 #[test]
--- a/crates/fescuewell_console/src/api.rs
+++ b/crates/fescuewell_console/src/api.rs
@@ -12,7 +12,7 @@
 use fescuewell_core::log_event;
 use fescuewell_core::prelude::*;
 use fescuewell_document::check::check;
-use fescuewell_document::difference::{Change, Clash, compare, merge};
+use fescuewell_document::difference::{Change, Conflict, compare, merge};
 use fescuewell_document::fault::Fault;
 use fescuewell_document::model::Document;
 use fescuewell_document::parse::read_document;
@@ -67,7 +67,7 @@
         pub meanwhile: Vec<Change>,
         /// What both sides changed, differently.
         #[serde(default)]
-        pub clashes: Vec<Clash>,
+        pub clashes: Vec<Conflict>,
     }
 }
 
--- a/crates/fescuewell_console/src/edit.rs
+++ b/crates/fescuewell_console/src/edit.rs
@@ -5,7 +5,7 @@
 
 use fescuewell_core::prelude::*;
 use fescuewell_document::check::check;
-use fescuewell_document::difference::{Change, Clash, compare, merge_preferring_mine};
+use fescuewell_document::difference::{Change, Conflict, compare, merge_preferring_mine};
 use fescuewell_document::fault::Fault;
 use fescuewell_document::item::{Item, Section};
 use fescuewell_document::model::{Document, Key};
@@ -74,7 +74,7 @@
     /// What is wrong with it.
     pub faults: Vec<Fault>,
     /// What somebody else changed differently.
-    pub clashes: Vec<Clash>,
+    pub clashes: Vec<Conflict>,
     /// The document in force.
     pub current: Loaded,
 }
@@ -145,7 +145,7 @@
     })
 }
 
-fn again(edit: Edit, faults: Vec<Fault>, clashes: Vec<Clash>, current: Loaded) -> Resolved {
+fn again(edit: Edit, faults: Vec<Fault>, clashes: Vec<Conflict>, current: Loaded) -> Resolved {
     let edit = edit.with_fields_of(&current.document);
     Resolved::Again(Again {
         edit,
@@ -181,7 +181,7 @@
     let (section, rest) = path.split_once('[')?;
     let (index, rest) = rest.split_once(']')?;
     let rest = rest.trim_start_matches('.');
-    Some((Section::of(section)?, index.parse().ok()?, rest))
+    Some((Section::from_name(section)?, index.parse().ok()?, rest))
 }
 
 /// Continues an edit from a newer document: its form holds what the joined item holds.
--- a/crates/fescuewell_console/src/form.rs
+++ b/crates/fescuewell_console/src/form.rs
@@ -53,7 +53,7 @@
             &usual.outage_seconds.to_string(),
         );
         typed.set("allowance.share_percent", &usual.share_percent.to_string());
-        typed.set("allowance.least", &usual.least.to_string());
+        typed.set("allowance.least", &usual.min_draw.to_string());
         typed
     }
 
--- a/crates/fescuewell_console/src/pages.rs
+++ b/crates/fescuewell_console/src/pages.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use fescuewell_core::prelude::*;
-use fescuewell_document::difference::{Action, Change, Clash};
+use fescuewell_document::difference::{Action, Change, Conflict};
 use fescuewell_document::fault::Fault;
 use rouille::Response;
 
@@ -137,7 +137,7 @@
 }
 
 /// What was changed by both sides, with all three values.
-fn clash_table(clashes: &[Clash]) -> String {
+fn clash_table(clashes: &[Conflict]) -> String {
     if clashes.is_empty() {
         return String::new();
     }
--- a/crates/fescuewell_console/src/routes.rs
+++ b/crates/fescuewell_console/src/routes.rs
@@ -267,7 +267,7 @@
 }
 
 fn section_of(name: &str) -> Result<Section, Refusal> {
-    Section::of(name).ok_or_else(|| Refusal::new(Code::NoSuchPath))
+    Section::from_name(name).ok_or_else(|| Refusal::new(Code::NoSuchPath))
 }
 
 fn cookie(request: &Request) -> Option<String> {
--- a/crates/fescuewell_console/src/routes/api.rs
+++ b/crates/fescuewell_console/src/routes/api.rs
@@ -2,7 +2,7 @@
 
 use fescuewell_core::prelude::*;
 use fescuewell_document::key;
-use fescuewell_document::parse::LARGEST_TEXT;
+use fescuewell_document::parse::MAX_TEXT_BYTES;
 use rouille::{Request, Response};
 use serde::Serialize;
 
@@ -100,7 +100,7 @@
                 Refusal::new(Code::InvalidField).with_detail(detail),
             ));
         };
-        let text = body(request, LARGEST_TEXT as u64).map_err(refusal)?;
+        let text = body(request, MAX_TEXT_BYTES as u64).map_err(refusal)?;
         let accepted = submit(&self.store, &text, Version(base), purpose, &operator.name)?;
         Ok(json(200, &accepted))
     }
--- a/crates/fescuewell_console/src/server.rs
+++ b/crates/fescuewell_console/src/server.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use fescuewell_core::log_event;
-use fescuewell_core::platform::Objects;
+use fescuewell_core::platform::ObjectStore;
 use fescuewell_core::prelude::*;
 use fescuewell_core::table::Table;
 use rouille::{Request, Response};
@@ -109,7 +109,7 @@
     pub fn start(
         settings: Settings,
         table: Arc<dyn Table>,
-        objects: Arc<dyn Objects>,
+        objects: Arc<dyn ObjectStore>,
     ) -> Result<Self, Error> {
         let listen = settings.listen;
         let limits = settings.limits;
--- a/crates/fescuewell_console/src/store.rs
+++ b/crates/fescuewell_console/src/store.rs
@@ -5,7 +5,7 @@
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, PoisonError};
 
-use fescuewell_core::platform::Objects;
+use fescuewell_core::platform::ObjectStore;
 use fescuewell_core::prelude::*;
 use fescuewell_core::table::{self, Range, Row, Table};
 use fescuewell_document::chunk::{self, Assembly};
@@ -38,7 +38,7 @@
 /// The platform as the console uses it.
 pub struct Store {
     table: Arc<dyn Table>,
-    objects: Arc<dyn Objects>,
+    objects: Arc<dyn ObjectStore>,
     kept: Mutex<VecDeque<(Digest, Loaded)>>,
 }
 
@@ -54,7 +54,7 @@
 
 impl Store {
     /// A store over the platform's services.
-    pub fn new(table: Arc<dyn Table>, objects: Arc<dyn Objects>) -> Self {
+    pub fn new(table: Arc<dyn Table>, objects: Arc<dyn ObjectStore>) -> Self {
         Self {
             table,
             objects,
--- a/crates/fescuewell_console/src/store/accept.rs
+++ b/crates/fescuewell_console/src/store/accept.rs
@@ -9,8 +9,7 @@
 use fescuewell_document::chunk::FORMAT;
 use fescuewell_document::difference;
 use fescuewell_document::head::{
-    self, Acceptance, BUDGET_PREFIX, HEAD_KEY, Head, Proposal, Verdict, changed_budgets,
-    history_key,
+    self, Acceptance, BUDGET_PREFIX, HEAD_KEY, Head, Proposal, Status, changed_budgets, history_key,
 };
 use fescuewell_document::model::Document;
 use serde_json::Value;
@@ -113,10 +112,10 @@
         };
         let head = self.read(HEAD_KEY)?;
         let history = self.read(&history_key(acceptance.head.version))?;
-        match acceptance.verdict(head.as_ref(), history.as_ref())? {
-            Verdict::Accepted => Ok(Some(acceptance.head.clone())),
-            Verdict::Pending => Ok(None),
-            Verdict::Raced => Err(Refusal::new(Code::DocumentRaced)),
+        match acceptance.status(head.as_ref(), history.as_ref())? {
+            Status::Accepted => Ok(Some(acceptance.head.clone())),
+            Status::Pending => Ok(None),
+            Status::Raced => Err(Refusal::new(Code::DocumentRaced)),
         }
     }
 
@@ -126,7 +125,7 @@
         let acceptance = head::accept(head.as_ref(), proposal, &budgets)?;
         // All objects first: an instance may read the new head the moment it is written, and a head
         // whose objects are missing would leave it unable to follow.
-        for (name, bytes) in acceptance.bundle.beyond(&base.objects) {
+        for (name, bytes) in acceptance.bundle.missing_from(&base.objects) {
             self.objects.put(name, bytes).map_err(unavailable)?;
         }
         match self.table.commit(&acceptance.transaction) {
--- a/crates/fescuewell_console/tests/acceptance.rs
+++ b/crates/fescuewell_console/tests/acceptance.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 
 use fescuewell_console::store::Store;
-use fescuewell_core::platform::Objects as _;
+use fescuewell_core::platform::ObjectStore as _;
 use fescuewell_core::prelude::*;
 use fescuewell_core::table::{Error, Outcome, Range, Row, Table, Transaction};
 use fescuewell_document::head::Head;
--- a/crates/fescuewell_core/src/chart.rs
+++ b/crates/fescuewell_core/src/chart.rs
@@ -50,7 +50,7 @@
     },
     /// The state has no step for the signal.
     #[snafu(display("state {state} has no step for {signal}"))]
-    NoStep {
+    NoTransition {
         /// The present state.
         state: Arc<str>,
         /// The refused signal.
@@ -125,10 +125,10 @@
     ///
     /// # Errors
     ///
-    /// [`Error::NoStep`].
+    /// [`Error::NoTransition`].
     pub fn step(&self, state: &mut State, signal: &str) -> Result<(), Error> {
         let Some(&next) = self.steps[state.0 as usize].get(signal) else {
-            return Err(Error::NoStep {
+            return Err(Error::NoTransition {
                 state: self.names[state.0 as usize].clone(),
                 signal: signal.into(),
             });
--- a/crates/fescuewell_core/src/platform.rs
+++ b/crates/fescuewell_core/src/platform.rs
@@ -16,7 +16,7 @@
 }
 
 /// The platform's object store. Objects are named by their content's hash and never change.
-pub trait Objects: Send + Sync {
+pub trait ObjectStore: Send + Sync {
     /// Stores an object; storing the same one again is harmless.
     ///
     /// # Errors
@@ -71,7 +71,7 @@
 }
 
 /// The platform's instance list, which lags.
-pub trait Instances: Send + Sync {
+pub trait InstanceList: Send + Sync {
     /// The list as the platform knows it now.
     ///
     /// # Errors
--- a/crates/fescuewell_core/src/table.rs
+++ b/crates/fescuewell_core/src/table.rs
@@ -88,10 +88,10 @@
 }
 
 /// Most conditions and writes of a transaction together.
-pub const MOST_ENTRIES: usize = 100;
+pub const MAX_ENTRIES: usize = 100;
 
 impl Transaction {
-    /// Number of its conditions and writes; at most [`MOST_ENTRIES`] are taken.
+    /// Number of its conditions and writes; at most [`MAX_ENTRIES`] are taken.
     pub fn entries(&self) -> usize {
         self.compares.len() + self.writes.len()
     }
@@ -189,7 +189,7 @@
 }
 
 /// Carries out one step on a table.
-pub fn carry_out(table: &dyn Table, step: &Step) -> Reply {
+pub fn execute(table: &dyn Table, step: &Step) -> Reply {
     match step {
         Step::Read { keys } => read_all(table, keys),
         Step::Scan(range) => table.scan(range).map_or_else(Reply::Failed, Reply::Rows),
--- a/crates/fescuewell_core/src/tokens.rs
+++ b/crates/fescuewell_core/src/tokens.rs
@@ -5,7 +5,7 @@
 use std::ops::{Add, AddAssign};
 
 crate::key! {
-    /// A number of tokens. Subtraction is explicit ([`Tokens::minus`], [`Tokens::checked_sub`]) since
+    /// A number of tokens. Subtraction is explicit ([`Tokens::saturating_sub`], [`Tokens::checked_sub`]) since
     /// money that goes below zero is always a fault.
     pub struct Tokens(pub u64);
 }
@@ -15,7 +15,7 @@
     pub const ZERO: Self = Self(0);
 
     /// The difference, or zero when `other` is larger.
-    pub fn minus(self, other: Self) -> Self {
+    pub fn saturating_sub(self, other: Self) -> Self {
         Self(self.0.saturating_sub(other.0))
     }
 
--- a/crates/fescuewell_demo/src/document.rs
+++ b/crates/fescuewell_demo/src/document.rs
@@ -51,7 +51,7 @@
             context_tokens: 32_768,
             default_output: 256,
             base: None,
-            least_servers: 1,
+            min_servers: 1,
         }],
         servers: places.iter().map(server).collect(),
         services: vec![service(places)],
@@ -90,7 +90,7 @@
         allowance: Allowance {
             outage_seconds,
             share_percent,
-            least: Tokens(500),
+            min_draw: Tokens(500),
         },
         reach: reach.to_vec(),
     }
--- a/crates/fescuewell_demo/src/fleet.rs
+++ b/crates/fescuewell_demo/src/fleet.rs
@@ -131,7 +131,7 @@
             group.prepaid = own.unwrap_or(group.prepaid);
         }
         for model in &mut document.models {
-            model.least_servers = settings.least_servers;
+            model.min_servers = settings.least_servers;
         }
         for server in &mut document.servers {
             server.checks_fencing = settings.engine.fencing;
--- a/crates/fescuewell_document/src/check.rs
+++ b/crates/fescuewell_document/src/check.rs
@@ -20,21 +20,21 @@
 use crate::model::Document;
 
 /// Most faults that one check reports; a broken import of thousands of items stays readable.
-pub const MOST_FAULTS: usize = 100;
+pub const MAX_FAULTS: usize = 100;
 /// Longest name, in bytes.
-pub const LONGEST_NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 /// Most that the floors of all kinds may sum to, in percent: half of the capacity stays free to go to
 /// whatever is most urgent.
-pub const LARGEST_FLOOR_SUM: u32 = 50;
+pub const MAX_FLOOR_SUM_PERCENT: u32 = 50;
 /// Most items in one list of a document.
-pub const LONGEST_LIST: usize = 100_000;
+pub const MAX_LIST_LEN: usize = 100_000;
 /// Most names in one list of an item, such as the backend servers that a group may reach.
-pub const LONGEST_INNER_LIST: usize = 2_000;
+pub const MAX_INNER_LIST_LEN: usize = 2_000;
 /// Largest amount of tokens: every amount is exact in JSON readers that use floating point, and no sum
 /// of budgets comes near the end of 64 bits.
-pub const LARGEST_AMOUNT: u64 = 1 << 53;
+pub const MAX_TOKENS: u64 = 1 << 53;
 
-/// All faults of a document, at most [`MOST_FAULTS`]; empty when it may be accepted.
+/// All faults of a document, at most [`MAX_FAULTS`]; empty when it may be accepted.
 pub fn check(document: &Document) -> Vec<Fault> {
     let mut report = Report::default();
     sections::check_sizes(document, &mut report);
@@ -57,7 +57,7 @@
 pub fn is_name(name: &str) -> bool {
     let bytes = name.as_bytes();
     let allowed = |b: &u8| matches!(b, b'a'..=b'z' | b'0'..=b'9' | b'.' | b'-');
-    (1..=LONGEST_NAME).contains(&bytes.len())
+    (1..=MAX_NAME_BYTES).contains(&bytes.len())
         && bytes[0].is_ascii_alphanumeric()
         && bytes.iter().all(allowed)
 }
@@ -70,7 +70,7 @@
 
 impl Report {
     fn add(&mut self, fault: Fault) {
-        if self.faults.len() < MOST_FAULTS {
+        if self.faults.len() < MAX_FAULTS {
             self.faults.push(fault);
         }
     }
@@ -114,8 +114,8 @@
 
     /// Checks a list of names: each known, none twice, not too many.
     fn check_references(&mut self, path: &str, what: &str, names: &[Arc<str>], known: &Table<'_>) {
-        if names.len() > LONGEST_INNER_LIST {
-            let message = format!("{} names; at most {LONGEST_INNER_LIST}", names.len());
+        if names.len() > MAX_INNER_LIST_LEN {
+            let message = format!("{} names; at most {MAX_INNER_LIST_LEN}", names.len());
             return self.add(Fault::new(path, message));
         }
         let mut seen = HashSet::new();
--- a/crates/fescuewell_document/src/check/sections.rs
+++ b/crates/fescuewell_document/src/check/sections.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, HashSet};
 
 use super::{
-    LARGEST_AMOUNT, LARGEST_FLOOR_SUM, LONGEST_INNER_LIST, LONGEST_LIST, Names, Report, is_name,
+    MAX_FLOOR_SUM_PERCENT, MAX_INNER_LIST_LEN, MAX_LIST_LEN, MAX_TOKENS, Names, Report, is_name,
 };
 use crate::fault::Fault;
 use crate::key;
@@ -30,10 +30,10 @@
         ("services", document.services.len()),
     ];
     for (section, len) in sizes {
-        if len <= LONGEST_LIST {
+        if len <= MAX_LIST_LEN {
             continue;
         }
-        let message = format!("{len} items; at most {LONGEST_LIST} in one section");
+        let message = format!("{len} items; at most {MAX_LIST_LEN} in one section");
         report.add(Fault::new(section, message));
     }
 }
@@ -48,11 +48,11 @@
         report.check_range(&format!("{path}.deadline_ms"), kind.deadline_ms, deadlines);
         floors += u32::from(kind.floor_percent);
     }
-    if floors <= LARGEST_FLOOR_SUM {
+    if floors <= MAX_FLOOR_SUM_PERCENT {
         return;
     }
     let message = format!("the floors of all kinds sum to {floors} percent");
-    let allowed = format!("allowed: at most {LARGEST_FLOOR_SUM}");
+    let allowed = format!("allowed: at most {MAX_FLOOR_SUM_PERCENT}");
     report.add(Fault::new("kinds", message).with_suggestion(allowed));
 }
 
@@ -73,11 +73,7 @@
 
 fn check_group_numbers(path: &str, group: &Group, report: &mut Report) {
     let allowance = &group.allowance;
-    report.check_range(
-        &format!("{path}.prepaid"),
-        group.prepaid.0,
-        0..=LARGEST_AMOUNT,
-    );
+    report.check_range(&format!("{path}.prepaid"), group.prepaid.0, 0..=MAX_TOKENS);
     report.check_range(&format!("{path}.weight"), group.weight, 1..=LARGEST_WEIGHT);
     let path = format!("{path}.allowance");
     let outage = allowance.outage_seconds;
@@ -86,8 +82,8 @@
     report.check_range(&format!("{path}.share_percent"), share, 1..=100);
     report.check_range(
         &format!("{path}.least"),
-        allowance.least.0,
-        1..=LARGEST_AMOUNT,
+        allowance.min_draw.0,
+        1..=MAX_TOKENS,
     );
 }
 
@@ -148,12 +144,12 @@
         check_model_numbers(&path, model, report);
         check_base(&path, model, document, names, report);
         let servers = loadable.get(&*model.name).copied().unwrap_or(0);
-        if model.least_servers <= servers {
+        if model.min_servers <= servers {
             continue;
         }
         let message = format!(
             "{} backend servers should keep `{}` loaded, but only {servers} may load it",
-            model.least_servers, model.name
+            model.min_servers, model.name
         );
         report.add(Fault::new(format!("{path}.least_servers"), message));
     }
@@ -255,9 +251,9 @@
 
 fn check_calls(path: &str, calls: &[Call], names: &Names<'_>, report: &mut Report) {
     let path = format!("{path}.calls");
-    if calls.is_empty() || calls.len() > LONGEST_INNER_LIST {
+    if calls.is_empty() || calls.len() > MAX_INNER_LIST_LEN {
         let message = format!(
-            "{} calls; 1 to {LONGEST_INNER_LIST} are allowed",
+            "{} calls; 1 to {MAX_INNER_LIST_LEN} are allowed",
             calls.len()
         );
         return report.add(Fault::new(path, message));
@@ -267,6 +263,6 @@
         let path = format!("{path}[{index}]");
         report.check_name(&path, &call.name, &mut seen);
         report.check_reference(&format!("{path}.kind"), "kind", &call.kind, &names.kinds);
-        report.check_range(&format!("{path}.price"), call.price.0, 0..=LARGEST_AMOUNT);
+        report.check_range(&format!("{path}.price"), call.price.0, 0..=MAX_TOKENS);
     }
 }
--- a/crates/fescuewell_document/src/chunk.rs
+++ b/crates/fescuewell_document/src/chunk.rs
@@ -1,6 +1,6 @@
 //! A document as content-addressed objects, cut so that a change costs each instance little.
 //!
-//! The items of a section are spread by the hash of their names over leaves of at most [`LEAF_LIMIT`]
+//! The items of a section are spread by the hash of their names over leaves of at most [`MAX_LEAF_BYTES`]
 //! bytes; directories list the hashes of up to [`FANOUT`] leaves or directories; the root lists one hash for each
 //! section. Which objects there are depends only on the set of items, not on the order of edits, so that
 //! two consoles that store the same document store the same objects, and a change of one item changes one leaf
@@ -41,11 +41,11 @@
 /// Format that this program writes, and the highest that it reads.
 pub const FORMAT: u32 = 1;
 /// Most bytes of a leaf's items. With its header a leaf stays below 3 KB.
-pub const LEAF_LIMIT: usize = 2_048;
+pub const MAX_LEAF_BYTES: usize = 2_048;
 /// Most entries of one directory.
 pub const FANOUT: usize = 32;
 /// Largest object that is stored or taken in, in bytes.
-pub const LARGEST_OBJECT: usize = 3_000;
+pub const MAX_OBJECT_BYTES: usize = 3_000;
 /// Bits of the hash that places an item.
 const HASH_BITS: u32 = u128::BITS;
 
@@ -63,7 +63,7 @@
 
 impl Bundle {
     /// The objects that `known` lacks, and that therefore have to be stored or fetched.
-    pub fn beyond<'a>(
+    pub fn missing_from<'a>(
         &'a self,
         known: &'a Objects,
     ) -> impl Iterator<Item = (&'a Arc<str>, &'a Arc<[u8]>)> {
@@ -136,7 +136,7 @@
         return Vec::new();
     }
     let size: usize = items.iter().map(|item| item.bytes.len()).sum();
-    if size <= LEAF_LIMIT {
+    if size <= MAX_LEAF_BYTES {
         return vec![bundle.add(&Object::Leaf(leaf(items)))];
     }
     if items.len() == 1 || depth == HASH_BITS {
@@ -165,7 +165,7 @@
 /// Stores a leaf that is larger than one object may be: one item with long lists.
 fn in_pieces(leaf: &[u8], bundle: &mut Bundle) -> Digest {
     let mut pieces = Vec::new();
-    for piece in leaf.chunks(LEAF_LIMIT) {
+    for piece in leaf.chunks(MAX_LEAF_BYTES) {
         pieces.push(bundle.add(&Object::Piece(piece.to_vec())));
     }
     bundle.add(&Object::Pieces(pieces))
--- a/crates/fescuewell_document/src/chunk/assembly.rs
+++ b/crates/fescuewell_document/src/chunk/assembly.rs
@@ -7,14 +7,14 @@
 use snafu::Snafu;
 
 use super::object::{Object, Root, Unreadable};
-use super::{Bundle, FORMAT, LARGEST_OBJECT, Objects, name_of};
-use crate::check::LONGEST_LIST;
+use super::{Bundle, FORMAT, MAX_OBJECT_BYTES, Objects, name_of};
+use crate::check::MAX_LIST_LEN;
 use crate::for_each_section;
 use crate::item::Item;
 use crate::model::Document;
 
 /// Most objects that one document may have.
-const MOST_OBJECTS: usize = 4 * LONGEST_LIST;
+const MOST_OBJECTS: usize = 4 * MAX_LIST_LEN;
 /// Most directories above a leaf; each level parts items by at least one bit of their hashes.
 const DEEPEST: usize = u128::BITS as usize;
 
@@ -104,7 +104,7 @@
         if !self.wanted.contains(&digest) {
             return Ok(());
         }
-        if bytes.len() > LARGEST_OBJECT || Digest::of(bytes) != digest {
+        if bytes.len() > MAX_OBJECT_BYTES || Digest::of(bytes) != digest {
             return Err(Error::Corrupt { name: name.into() });
         }
         self.take(digest, bytes.into())
@@ -206,7 +206,7 @@
     T: Item,
 {
     let decoded: Vec<T> = postcard::from_bytes(bytes).map_err(|_| malformed(digest))?;
-    if items.len() + decoded.len() > LONGEST_LIST {
+    if items.len() + decoded.len() > MAX_LIST_LEN {
         return Err(Error::TooLarge);
     }
     items.extend(decoded);
--- a/crates/fescuewell_document/src/difference.rs
+++ b/crates/fescuewell_document/src/difference.rs
@@ -20,7 +20,7 @@
 
 use serde_json::Value;
 
-pub use merge::{Clash, merge, merge_preferring_mine};
+pub use merge::{Conflict, merge, merge_preferring_mine};
 
 use crate::for_each_section;
 use crate::item::{Item, Section};
@@ -41,7 +41,7 @@
 
     /// One field that differs.
     pub struct FieldChange {
-        /// Path within the item: `allowance.least`, `calls.confirm.price`, `reach.engine-1`.
+        /// Path within the item: `allowance.min_draw`, `calls.confirm.price`, `reach.engine-1`.
         pub field: Arc<str>,
         /// Its value before, as JSON text; `None` when it was absent.
         pub before: Option<Arc<str>>,
--- a/crates/fescuewell_document/src/difference/merge.rs
+++ b/crates/fescuewell_document/src/difference/merge.rs
@@ -17,7 +17,7 @@
 
 fescuewell_core::data! {
     /// Something that both sides changed, differently.
-    pub struct Clash {
+    pub struct Conflict {
         /// Where the item stands.
         pub section: Section,
         /// The item's name.
@@ -33,7 +33,7 @@
     }
 }
 
-impl fmt::Display for Clash {
+impl fmt::Display for Conflict {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let show = |value: &Option<Arc<str>>| match value {
             Some(value) => value.to_string(),
@@ -60,7 +60,11 @@
 /// # Errors
 ///
 /// Every field that both sides changed, differently.
-pub fn merge(base: &Document, mine: &Document, theirs: &Document) -> Result<Document, Vec<Clash>> {
+pub fn merge(
+    base: &Document,
+    mine: &Document,
+    theirs: &Document,
+) -> Result<Document, Vec<Conflict>> {
     let (merged, clashes) = merge_preferring_mine(base, mine, theirs);
     match clashes.is_empty() {
         true => Ok(merged),
@@ -74,7 +78,7 @@
     base: &Document,
     mine: &Document,
     theirs: &Document,
-) -> (Document, Vec<Clash>) {
+) -> (Document, Vec<Conflict>) {
     let mut merged = theirs.clone();
     let mut clashes = Vec::new();
     for_each_section!(T => merge_section::<T>([base, mine, theirs], &mut merged, &mut clashes));
@@ -82,7 +86,7 @@
 }
 
 /// Applies to `merged`, which starts as `theirs`, what `mine` changed since `base`.
-fn merge_section<T>(sides: [&Document; 3], merged: &mut Document, clashes: &mut Vec<Clash>)
+fn merge_section<T>(sides: [&Document; 3], merged: &mut Document, clashes: &mut Vec<Conflict>)
 where
     T: Item,
 {
@@ -117,7 +121,11 @@
     }
 }
 
-fn merge_item<T>(name: &Arc<str>, versions: [Option<&T>; 3], clashes: &mut Vec<Clash>) -> Option<T>
+fn merge_item<T>(
+    name: &Arc<str>,
+    versions: [Option<&T>; 3],
+    clashes: &mut Vec<Conflict>,
+) -> Option<T>
 where
     T: Item,
 {
@@ -127,7 +135,7 @@
     let merged = join.merge("", was, my, their);
     for (field, sides) in join.clashes {
         let [base, mine, theirs] = sides;
-        clashes.push(Clash {
+        clashes.push(Conflict {
             section: T::SECTION,
             name: name.clone(),
             field: field.into(),
--- a/crates/fescuewell_document/src/head.rs
+++ b/crates/fescuewell_document/src/head.rs
@@ -6,7 +6,7 @@
 //! drawn against a total that did not take effect. The objects have to be stored before.
 //!
 //! Every head carries a random `change` id. When the reply to the transaction is lost,
-//! [`Acceptance::verdict`] tells from rows that are read back whether it took effect.
+//! [`Acceptance::status`] tells from rows that are read back whether it took effect.
 
 mod budget;
 
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 
 use fescuewell_core::prelude::*;
-use fescuewell_core::table::{MOST_ENTRIES, Row, Transaction};
+use fescuewell_core::table::{MAX_ENTRIES, Row, Transaction};
 
 pub use budget::{PREFIX as BUDGET_PREFIX, changed as changed_budgets, key as budget_key};
 
@@ -27,7 +27,7 @@
 /// Start of the keys of all history rows.
 pub const HISTORY_PREFIX: &str = "history/";
 /// Longest author and change id, in bytes.
-pub const LONGEST_LABEL: usize = 128;
+pub const MAX_LABEL_BYTES: usize = 128;
 
 fescuewell_core::data! {
     /// Which document is in force, since when and by whom. Stored as JSON.
@@ -49,7 +49,7 @@
 
     /// What became of an acceptance, as far as rows that were read back tell.
     #[derive(Copy)]
-    pub enum Verdict {
+    pub enum Status {
         /// It took effect.
         Accepted,
         /// It has not taken effect; the same transaction may be sent again, since its compares still hold.
@@ -200,10 +200,10 @@
 
 /// The head, the history and the budgets change together or not at all, and a transaction is bounded.
 fn refuse_large(transaction: &Transaction) -> Result<(), Refusal> {
-    if transaction.entries() <= MOST_ENTRIES {
+    if transaction.entries() <= MAX_ENTRIES {
         return Ok(());
     }
-    let most = (MOST_ENTRIES - HEAD_ENTRIES) / ENTRIES_PER_BUDGET;
+    let most = (MAX_ENTRIES - HEAD_ENTRIES) / ENTRIES_PER_BUDGET;
     let detail =
         format!("At most {most} prepaid totals can change at once; change the others next.");
     Err(Refusal::new(Code::DocumentInvalid).with_detail(detail))
@@ -219,7 +219,7 @@
 }
 
 fn cut(label: &Arc<str>) -> Arc<str> {
-    let mut end = label.len().min(LONGEST_LABEL);
+    let mut end = label.len().min(MAX_LABEL_BYTES);
     while !label.is_char_boundary(end) {
         end -= 1;
     }
@@ -235,10 +235,10 @@
     /// # Errors
     ///
     /// [`Code::Internal`] when a row cannot be read.
-    pub fn verdict(&self, head: Option<&Row>, history: Option<&Row>) -> Result<Verdict, Refusal> {
+    pub fn status(&self, head: Option<&Row>, history: Option<&Row>) -> Result<Status, Refusal> {
         for row in [history, head].into_iter().flatten() {
             if Head::decode(row)?.change == self.head.change {
-                return Ok(Verdict::Accepted);
+                return Ok(Status::Accepted);
             }
         }
         let current = match head {
@@ -246,8 +246,8 @@
             None => Version(0),
         };
         match current < self.head.version && history.is_none() {
-            true => Ok(Verdict::Pending),
-            false => Ok(Verdict::Raced),
+            true => Ok(Status::Pending),
+            false => Ok(Status::Raced),
         }
     }
 }
--- a/crates/fescuewell_document/src/item.rs
+++ b/crates/fescuewell_document/src/item.rs
@@ -64,7 +64,7 @@
     }
 
     /// The section of that key.
-    pub fn of(name: &str) -> Option<Self> {
+    pub fn from_name(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|section| section.name() == name)
     }
 }
--- a/crates/fescuewell_document/src/lookup.rs
+++ b/crates/fescuewell_document/src/lookup.rs
@@ -164,7 +164,7 @@
     }
 
     /// Whether a group may reach a backend server.
-    pub fn reaches(&self, group: &str, server: &str) -> bool {
+    pub fn can_reach(&self, group: &str, server: &str) -> bool {
         let Some(key) = self.server_key(server) else {
             return false;
         };
@@ -186,7 +186,7 @@
     }
 
     /// Whether a group may use a model at all: whether any engine it reaches may load it.
-    pub fn offers(&self, group: &str, model: &str) -> bool {
+    pub fn can_use(&self, group: &str, model: &str) -> bool {
         let reach = self.reach(group);
         let mut engines = self.engines(model).iter();
         engines.any(|key| reach.binary_search(key).is_ok())
--- a/crates/fescuewell_document/src/model.rs
+++ b/crates/fescuewell_document/src/model.rs
@@ -53,7 +53,8 @@
         /// Most that one instance draws at once, in percent of what is left of the budget.
         pub share_percent: u8,
         /// Least that is drawn at once while as much is left, in tokens.
-        pub least: Tokens,
+        #[serde(rename = "least")]
+        pub min_draw: Tokens,
     }
 
     /// A group that shares prepaid capacity.
@@ -106,7 +107,8 @@
         #[serde(default)]
         pub base: Option<Arc<str>>,
         /// Fewest backend servers that keep it loaded.
-        pub least_servers: u32,
+        #[serde(rename = "least_servers")]
+        pub min_servers: u32,
     }
 
     /// What a backend server does.
@@ -170,7 +172,7 @@
         Self {
             outage_seconds: 60,
             share_percent: 10,
-            least: Tokens(2_000),
+            min_draw: Tokens(2_000),
         }
     }
 }
--- a/crates/fescuewell_document/src/parse.rs
+++ b/crates/fescuewell_document/src/parse.rs
@@ -18,10 +18,10 @@
 use crate::model::Document;
 
 /// Largest text that is read, in bytes: 22,000 groups with long lists need about 20 MB.
-pub const LARGEST_TEXT: usize = 32 << 20;
+pub const MAX_TEXT_BYTES: usize = 32 << 20;
 
 /// Deepest nesting of arrays and objects that is read.
-pub const DEEPEST_NESTING: usize = 32;
+pub const MAX_NESTING: usize = 32;
 
 fescuewell_core::data! {
     /// A place in a text; both numbers start at 1, columns count characters.
@@ -36,7 +36,7 @@
 
 impl Position {
     /// The position of the byte at `offset`.
-    pub fn of(text: &str, offset: usize) -> Self {
+    pub fn at_offset(text: &str, offset: usize) -> Self {
         let mut end = offset.min(text.len());
         while !text.is_char_boundary(end) {
             end -= 1;
@@ -66,7 +66,7 @@
     let mut located = Vec::with_capacity(faults.len());
     for fault in faults {
         let offset = offset_of(&value, &fault.path);
-        located.push(fault.with_position(Position::of(text, offset)));
+        located.push(fault.with_position(Position::at_offset(text, offset)));
     }
     Err(located)
 }
@@ -92,9 +92,9 @@
 }
 
 fn parse_value(text: &str) -> Result<Value<'_>, Fault> {
-    if text.len() > LARGEST_TEXT {
+    if text.len() > MAX_TEXT_BYTES {
         let message = format!(
-            "the text has {} bytes; at most {LARGEST_TEXT} are read",
+            "the text has {} bytes; at most {MAX_TEXT_BYTES} are read",
             text.len()
         );
         return Err(Fault::new("", message));
@@ -113,16 +113,16 @@
     };
     let parsed = parse_to_ast(text, &CollectOptions::default(), &options).map_err(|error| {
         let message = format!("not JSON with comments: {}", error.kind());
-        Fault::new("", message).with_position(Position::of(text, error.range().start))
+        Fault::new("", message).with_position(Position::at_offset(text, error.range().start))
     })?;
     let Some(value) = parsed.value else {
         return Err(Fault::new("", "the text is empty").with_suggestion("expected `{ ... }`"));
     };
-    match too_deep(&value, DEEPEST_NESTING) {
+    match too_deep(&value, MAX_NESTING) {
         None => Ok(value),
         Some(offset) => {
-            let message = format!("nested deeper than {DEEPEST_NESTING} levels");
-            Err(Fault::new("", message).with_position(Position::of(text, offset)))
+            let message = format!("nested deeper than {MAX_NESTING} levels");
+            Err(Fault::new("", message).with_position(Position::at_offset(text, offset)))
         }
     }
 }
--- a/crates/fescuewell_document/src/parse/deserialize.rs
+++ b/crates/fescuewell_document/src/parse/deserialize.rs
@@ -60,7 +60,7 @@
             fault = fault.with_suggestion(suggestion);
         }
         match self.offset {
-            Some(offset) => fault.with_position(Position::of(text, offset)),
+            Some(offset) => fault.with_position(Position::at_offset(text, offset)),
             None => fault,
         }
     }
--- a/crates/fescuewell_document/tests/chunk.rs
+++ b/crates/fescuewell_document/tests/chunk.rs
@@ -5,7 +5,9 @@
 use std::sync::Arc;
 
 use fescuewell_core::prelude::*;
-use fescuewell_document::chunk::{Assembly, Bundle, Error, FORMAT, LARGEST_OBJECT, Objects, split};
+use fescuewell_document::chunk::{
+    Assembly, Bundle, Error, FORMAT, MAX_OBJECT_BYTES, Objects, split,
+};
 use fescuewell_document::item;
 use fescuewell_document::prelude::*;
 use proptest::prelude::*;
@@ -78,7 +80,7 @@
     assert!(bytes < 6_000, "{bytes} bytes");
     assert!(rounds <= 5, "{rounds} rounds");
     let largest = before.objects.values().map(|o| o.len()).max();
-    assert!(largest < Some(LARGEST_OBJECT));
+    assert!(largest < Some(MAX_OBJECT_BYTES));
 }
 
 #[test]
@@ -98,7 +100,7 @@
         .map(|i| format!("engine-{i:057}").into())
         .collect();
     let bundle = split(&document);
-    assert!(bundle.objects.values().all(|o| o.len() < LARGEST_OBJECT));
+    assert!(bundle.objects.values().all(|o| o.len() < MAX_OBJECT_BYTES));
     assert_eq!(fetch(&bundle, &Objects::new()).0, sorted(&document));
 }
 
--- a/crates/fescuewell_document/tests/difference.rs
+++ b/crates/fescuewell_document/tests/difference.rs
@@ -3,7 +3,7 @@
 mod fixture;
 
 use fescuewell_core::prelude::*;
-use fescuewell_document::difference::{Action, Clash, compare, merge, merge_preferring_mine};
+use fescuewell_document::difference::{Action, Conflict, compare, merge, merge_preferring_mine};
 use fescuewell_document::prelude::*;
 
 fn edited(edit: fn(&mut Document)) -> Document {
@@ -80,7 +80,7 @@
     let theirs = edited(|d| d.groups[0].prepaid = Tokens(12_000));
     let clashes = merge(&fixture::document(), &mine, &theirs).unwrap_err();
     assert_eq!(clashes.len(), 1);
-    let Clash {
+    let Conflict {
         field,
         base,
         mine,
--- a/crates/fescuewell_document/tests/head.rs
+++ b/crates/fescuewell_document/tests/head.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 
 use fescuewell_core::prelude::*;
-use fescuewell_core::table::{Compare, MOST_ENTRIES, Row, Transaction, Write};
+use fescuewell_core::table::{Compare, MAX_ENTRIES, Row, Transaction, Write};
 use fescuewell_document::head::{
-    Acceptance, Head, Proposal, Verdict, accept, changed_budgets, history_key,
+    Acceptance, Head, Proposal, Status, accept, changed_budgets, history_key,
 };
 use fescuewell_document::prelude::*;
 use serde_json::{Value, json};
@@ -161,7 +161,7 @@
     let before = fixture::document();
     let mut after = before.clone();
     let group = after.groups[0].clone();
-    for index in 0..MOST_ENTRIES {
+    for index in 0..MAX_ENTRIES {
         let mut more = group.clone();
         more.name = format!("group-{index}").into();
         after.groups.push(more);
@@ -202,12 +202,12 @@
     let rival = head_row(&other, 6);
     other.version = Version(2);
     let later = head_row(&other, 7);
-    let verdict = |head, history| mine.verdict(head, history).unwrap();
-    assert_eq!(verdict(None, None), Verdict::Pending);
-    assert_eq!(verdict(Some(&head), Some(&head)), Verdict::Accepted);
-    assert_eq!(verdict(Some(&later), Some(&head)), Verdict::Accepted);
-    assert_eq!(verdict(Some(&later), Some(&rival)), Verdict::Raced);
-    assert_eq!(verdict(Some(&rival), Some(&rival)), Verdict::Raced);
+    let verdict = |head, history| mine.status(head, history).unwrap();
+    assert_eq!(verdict(None, None), Status::Pending);
+    assert_eq!(verdict(Some(&head), Some(&head)), Status::Accepted);
+    assert_eq!(verdict(Some(&later), Some(&head)), Status::Accepted);
+    assert_eq!(verdict(Some(&later), Some(&rival)), Status::Raced);
+    assert_eq!(verdict(Some(&rival), Some(&rival)), Status::Raced);
 }
 
 #[test]
--- a/crates/fescuewell_document/tests/lookup.rs
+++ b/crates/fescuewell_document/tests/lookup.rs
@@ -59,7 +59,7 @@
     };
     assert_eq!(named("signwise"), ["engine-1"]);
     assert_eq!(named("reef-relay"), ["engine-2"]);
-    assert!(index.reaches("signwise", "desk-1") && !index.reaches("reef-relay", "desk-1"));
+    assert!(index.can_reach("signwise", "desk-1") && !index.can_reach("reef-relay", "desk-1"));
     assert!(index.candidates("nobody", "chat-small").is_empty());
-    assert!(index.offers("signwise", "chat-small") && !index.offers("signwise", "chat-large"));
+    assert!(index.can_use("signwise", "chat-small") && !index.can_use("signwise", "chat-large"));
 }
--- a/crates/fescuewell_document/tests/read.rs
+++ b/crates/fescuewell_document/tests/read.rs
@@ -6,7 +6,7 @@
 
 use fescuewell_core::prelude::*;
 use fescuewell_document::check::check;
-use fescuewell_document::parse::{DEEPEST_NESTING, LARGEST_TEXT, Position, read, read_document};
+use fescuewell_document::parse::{MAX_NESTING, MAX_TEXT_BYTES, Position, read, read_document};
 use fescuewell_document::prelude::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -93,14 +93,14 @@
     // Sequence: thousands of opening brackets, or a body without end. Cause: recursion and size without bounds.
     let deep = format!(
         "{}{}",
-        "[".repeat(DEEPEST_NESTING + 1),
-        "]".repeat(DEEPEST_NESTING + 1)
+        "[".repeat(MAX_NESTING + 1),
+        "]".repeat(MAX_NESTING + 1)
     );
     let fault = read::<serde_json::Value>(&deep).unwrap_err();
     assert!(fault.message.contains("nested deeper"), "{}", fault.message);
     let hostile = "[".repeat(1_000_000);
     assert!(read::<serde_json::Value>(&hostile).is_err());
-    let large = " ".repeat(LARGEST_TEXT + 1);
+    let large = " ".repeat(MAX_TEXT_BYTES + 1);
     assert!(
         read::<serde_json::Value>(&large)
             .unwrap_err()
@@ -188,7 +188,7 @@
         d.groups[0].allowance.share_percent = 101
     });
     spoilt("groups[0].allowance.least", |d| {
-        d.groups[0].allowance.least = Tokens(0)
+        d.groups[0].allowance.min_draw = Tokens(0)
     });
     spoilt("models[0].context_tokens", |d| {
         d.models[0].context_tokens = 0
@@ -196,7 +196,7 @@
     spoilt("models[0].default_output", |d| {
         d.models[0].default_output = 8_192
     });
-    spoilt("models[0].least_servers", |d| d.models[0].least_servers = 2);
+    spoilt("models[0].least_servers", |d| d.models[0].min_servers = 2);
     spoilt("servers[0].concurrency", |d| d.servers[0].concurrency = 0);
     spoilt("servers[0].zone", |d| d.servers[0].zone = "".into());
     spoilt("servers[0].address", |d| d.servers[0].address.set_port(0));
--- a/crates/fescuewell_node/src/catalog.rs
+++ b/crates/fescuewell_node/src/catalog.rs
@@ -227,7 +227,7 @@
                 name: group.name.clone(),
                 outage: Duration::from_secs(u64::from(group.allowance.outage_seconds)),
                 share_percent: group.allowance.share_percent,
-                min_allowance: group.allowance.least,
+                min_allowance: group.allowance.min_draw,
             })
         });
         policies.collect()
--- a/crates/fescuewell_node/tests/common/document.rs
+++ b/crates/fescuewell_node/tests/common/document.rs
@@ -37,7 +37,7 @@
             allowance: Allowance {
                 outage_seconds: 30,
                 share_percent: 10,
-                least: Tokens(500),
+                min_draw: Tokens(500),
             },
             reach,
         }],
@@ -47,7 +47,7 @@
             context_tokens: 8_192,
             default_output: 256,
             base: None,
-            least_servers: 1,
+            min_servers: 1,
         }],
         servers,
         services: vec![Service {
--- a/crates/fescuewell_node/tests/common/world.rs
+++ b/crates/fescuewell_node/tests/common/world.rs
@@ -371,7 +371,7 @@
                 instance, message, ..
             } => self.send(node, &instance, message),
             Action::Table { duty, step } => {
-                let reply = table::carry_out(&self.table, &step);
+                let reply = table::execute(&self.table, &step);
                 self.note_bills(&step, &reply);
                 self.soon(node, NodeEvent::Table { duty, reply });
             }
--- a/crates/fescuewell_placement/examples/plan_cost.rs
+++ b/crates/fescuewell_placement/examples/plan_cost.rs
@@ -36,7 +36,7 @@
             context_tokens: 8_192,
             default_output: 256,
             base: None,
-            least_servers: 300,
+            min_servers: 300,
         });
     }
     document
--- a/crates/fescuewell_placement/src/planner.rs
+++ b/crates/fescuewell_placement/src/planner.rs
@@ -144,7 +144,7 @@
         let mut needs = Needs::new();
         for model in &document.models {
             let mut need = self.needs.remove(&model.name).unwrap_or_default();
-            need.least = model.least_servers;
+            need.least = model.min_servers;
             need.base = model.base.clone();
             needs.insert(model.name.clone(), need);
         }
--- a/crates/fescuewell_placement/src/planner/table.rs
+++ b/crates/fescuewell_placement/src/planner/table.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use fescuewell_core::prelude::*;
-use fescuewell_core::table::{MOST_ENTRIES, Outcome, Range, Reply, Row, Step, Transaction};
+use fescuewell_core::table::{MAX_ENTRIES, Outcome, Range, Reply, Row, Step, Transaction};
 
 use super::{Await, Notice, Planner};
 use crate::fleet::Threat;
@@ -11,7 +11,7 @@
 use crate::settings::millis;
 
 /// Rows taken over in one transaction.
-const ADOPTED_AT_ONCE: usize = MOST_ENTRIES / 2;
+const ADOPTED_AT_ONCE: usize = MAX_ENTRIES / 2;
 /// Time until the rows are scanned again after the table failed or a row was raced.
 const SCAN_AGAIN_MS: u32 = 500;
 
--- a/crates/fescuewell_placement/tests/common/mod.rs
+++ b/crates/fescuewell_placement/tests/common/mod.rs
@@ -49,7 +49,7 @@
         context_tokens: 8_192,
         default_output: 256,
         base: None,
-        least_servers,
+        min_servers: least_servers,
     }
 }
 
@@ -276,7 +276,7 @@
         for model in &document.models {
             let serving = self.serving(&model.name);
             assert!(
-                serving >= model.least_servers as usize,
+                serving >= model.min_servers as usize,
                 "{}: {:#?}",
                 model.name,
                 self.log
--- a/crates/fescuewell_platform/src/lib.rs
+++ b/crates/fescuewell_platform/src/lib.rs
@@ -23,7 +23,7 @@
 
 use std::sync::Arc;
 
-use fescuewell_core::platform::{Instances, Objects};
+use fescuewell_core::platform::{InstanceList, ObjectStore};
 use fescuewell_core::table::Table;
 
 pub use settings::Settings;
@@ -35,7 +35,7 @@
     /// Rows with transactions.
     pub table: Arc<dyn Table>,
     /// Objects named by their content.
-    pub objects: Arc<dyn Objects>,
+    pub objects: Arc<dyn ObjectStore>,
     /// The instance list.
-    pub instances: Arc<dyn Instances>,
+    pub instances: Arc<dyn InstanceList>,
 }
--- a/crates/fescuewell_platform/src/memory/instances.rs
+++ b/crates/fescuewell_platform/src/memory/instances.rs
@@ -126,7 +126,7 @@
     }
 }
 
-impl platform::Instances for Instances {
+impl platform::InstanceList for Instances {
     fn list(&self) -> Result<Vec<Listing>, Error> {
         let reason = match self.fault.on_read() {
             Fate::Answered => {
--- a/crates/fescuewell_platform/src/memory/objects.rs
+++ b/crates/fescuewell_platform/src/memory/objects.rs
@@ -51,7 +51,7 @@
     }
 }
 
-impl platform::Objects for Objects {
+impl platform::ObjectStore for Objects {
     fn put(&self, name: &str, content: &[u8]) -> Result<(), Error> {
         let fate = self.fault.on_transaction(1);
         if matches!(fate, Fate::Answered | Fate::ReplyLost) {
--- a/crates/fescuewell_platform/src/memory/table.rs
+++ b/crates/fescuewell_platform/src/memory/table.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use fescuewell_core::table::{
-    self, Compare, Error, MOST_ENTRIES, Outcome, Range, Row, Transaction, Write,
+    self, Compare, Error, MAX_ENTRIES, Outcome, Range, Row, Transaction, Write,
 };
 
 use super::fault::{Fate, Fault};
@@ -145,7 +145,7 @@
 
 impl table::Table for Table {
     fn commit(&self, transaction: &Transaction) -> Result<Outcome, Error> {
-        if transaction.entries() > MOST_ENTRIES {
+        if transaction.entries() > MAX_ENTRIES {
             let reason = "too many entries in a transaction".into();
             return Err(Error::Unreachable { reason });
         }
--- a/crates/fescuewell_platform/src/worker.rs
+++ b/crates/fescuewell_platform/src/worker.rs
@@ -66,7 +66,7 @@
 
 fn run<Duty>(table: &dyn Table, inbox: &flume::Receiver<(Duty, Step)>, mut answer: Answer<Duty>) {
     for (duty, step) in inbox.iter() {
-        let reply = table::carry_out(table, &step);
+        let reply = table::execute(table, &step);
         if !answer(duty, reply) {
             return;
         }
--- a/crates/fescuewell_platform/tests/memory.rs
+++ b/crates/fescuewell_platform/tests/memory.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fescuewell_core::platform::{Instances as _, Listing, Objects as _, Role, State};
+use fescuewell_core::platform::{InstanceList as _, Listing, ObjectStore as _, Role, State};
 use fescuewell_core::table::{Error, Outcome, Range, Reply, Step, Table as _, Transaction};
 use fescuewell_core::time::ManualClock;
 use fescuewell_platform::{Worker, memory};
--- a/crates/fescuewell_queue/src/admission/lane.rs
+++ b/crates/fescuewell_queue/src/admission/lane.rs
@@ -179,8 +179,8 @@
             .flows
             .entry(group)
             .or_insert_with(|| Flow::new(now, weight));
-        let more = flow.price(actual.minus(expected).0);
-        let less = flow.price(expected.minus(actual).0);
+        let more = flow.price(actual.saturating_sub(expected).0);
+        let less = flow.price(expected.saturating_sub(actual).0);
         flow.tag = (flow.tag + more).saturating_sub(less).max(flow.base);
         self.attach(group);
         self.settle_debts();
@@ -225,7 +225,8 @@
         // A removal from the middle counts as if it had stood in front, so the figure may be too
         // low, never too high: nobody is refused for work that is not there.
         let own = waiting.mark.saturating_sub(flow.left);
-        self.ahead(flow, own, 0).min(self.tokens.minus(place.cost))
+        self.ahead(flow, own, 0)
+            .min(self.tokens.saturating_sub(place.cost))
     }
 
     /// While a group's tag moves by one, every waiting group is served its weight in tokens.
@@ -238,7 +239,7 @@
     }
 
     fn forget(&mut self, cost: Tokens) {
-        self.tokens = self.tokens.minus(cost);
+        self.tokens = self.tokens.saturating_sub(cost);
         self.len -= 1;
     }
 
--- a/crates/fescuewell_router/src/adapters.rs
+++ b/crates/fescuewell_router/src/adapters.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use arc_swap::ArcSwap;
-use fescuewell_core::platform::{Instances, Objects};
+use fescuewell_core::platform::{InstanceList, ObjectStore};
 use fescuewell_core::prelude::*;
 use fescuewell_core::table::{Step, Table};
 use fescuewell_core::timer;
@@ -116,9 +116,9 @@
     /// The table service.
     pub table: Arc<dyn Table>,
     /// The object store.
-    pub objects: Arc<dyn Objects>,
+    pub objects: Arc<dyn ObjectStore>,
     /// The instance list.
-    pub instances: Arc<dyn Instances>,
+    pub instances: Arc<dyn InstanceList>,
     /// The decision thread's ring.
     pub events: flume::Sender<NodeEvent>,
 }
--- a/crates/fescuewell_router/src/plane.rs
+++ b/crates/fescuewell_router/src/plane.rs
@@ -164,7 +164,7 @@
             Err(refusal) => return reply.refuse(&refusal),
         };
         let models = index.document().models.iter();
-        let offered = models.filter(|model| index.offers(&account.group, &model.name));
+        let offered = models.filter(|model| index.can_use(&account.group, &model.name));
         let data: Vec<Value> = offered
             .map(|model| json!({"id": &*model.name, "object": "model", "owned_by": "fescuewell"}))
             .collect();
@@ -274,7 +274,7 @@
         let prompt = Prompt::read(path, &request.body)?;
         let model = index
             .model(&prompt.model)
-            .filter(|model| index.offers(&caller.group, &model.name))
+            .filter(|model| index.can_use(&caller.group, &model.name))
             .ok_or_else(|| Refusal::new(Code::UnknownModel).with_detail(&prompt.model))?;
         let output_limit = prompt.output_limit.unwrap_or(model.default_output);
         if output_limit > model.context_tokens {
--- a/crates/fescuewell_standin/src/rows/content.rs
+++ b/crates/fescuewell_standin/src/rows/content.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use fescuewell_core::platform::Instances as _;
+use fescuewell_core::platform::InstanceList as _;
 use fescuewell_core::table::Row;
 use fescuewell_platform::{layout, memory};
 use tokio::sync::watch;
--- a/crates/fescuewell_standin/src/rows/serve.rs
+++ b/crates/fescuewell_standin/src/rows/serve.rs
@@ -7,7 +7,7 @@
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
 use bytes::Bytes;
-use fescuewell_core::platform::Objects as _;
+use fescuewell_core::platform::ObjectStore as _;
 use fescuewell_http::listener::{Handler, Reply, Request, spawn};
 use fescuewell_platform::layout;
 use fescuewell_platform::memory::Fate;
@@ -30,7 +30,7 @@
 /// Rows in one reading.
 const PAGE: usize = 500;
 /// Entries in one transaction.
-const MOST_ENTRIES: usize = 100;
+const MAX_ENTRIES: usize = 100;
 /// Bytes of a table's, part's or key's name.
 const MOST_NAME: usize = 200;
 /// Tables that only the operator and the backend servers write.
@@ -86,7 +86,7 @@
         let first = self.entries().next();
         let is_elsewhere = |row: &WireRow| first.is_some_and(|first| first.part != row.part);
         let is_split = !self.across && self.entries().any(is_elsewhere);
-        let is_large = self.entries().count() > MOST_ENTRIES;
+        let is_large = self.entries().count() > MAX_ENTRIES;
         let is_long = self.entries().any(WireRow::is_too_long);
         (is_split || is_large || is_long).then_some(StatusCode::BAD_REQUEST)
     }
--- a/examples/ledger.rs
+++ b/examples/ledger.rs
@@ -4,7 +4,7 @@
 
 use fescuewell::budget::{Ledger, Policy, Settings, Shortage, row};
 use fescuewell::core::prelude::*;
-use fescuewell::core::table::{Table, Transaction, carry_out};
+use fescuewell::core::table::{Table, Transaction, execute};
 use fescuewell::platform::memory;
 
 /// Worst case of each request.
@@ -73,7 +73,7 @@
 /// Lets the ledger do its next piece of table work, and time pass.
 fn serve(ledger: &mut Ledger, table: &dyn Table, now: Instant) -> Instant {
     if let Some(step) = ledger.next_step(now) {
-        ledger.reply(now, carry_out(table, &step));
+        ledger.reply(now, execute(table, &step));
     }
     now + STEP
 }
--- a/tests/scenario/audit.rs
+++ b/tests/scenario/audit.rs
@@ -7,7 +7,7 @@
 use fescuewell::claims::arbiter::{Arbiter, Settings};
 use fescuewell::claims::message::{Phase, Reply, Request, RequestState};
 use fescuewell::core::id::{Digest, SlotKey};
-use fescuewell::core::table::{Range, Row, Table, carry_out};
+use fescuewell::core::table::{Range, Row, Table, execute};
 use fescuewell::core::time::Instant;
 use fescuewell::core::tokens::Tokens;
 
@@ -64,7 +64,7 @@
     fn step(&mut self) {
         self.now = self.now + std::time::Duration::from_millis(200);
         if let Some(step) = self.arbiter.next_step(self.now) {
-            let reply = carry_out(self.table, &step);
+            let reply = execute(self.table, &step);
             self.arbiter.reply(self.now, reply);
         }
     }
