--- a/crates/fescuewell_document/src/check.rs
+++ b/crates/fescuewell_document/src/check.rs
@@ -1,5 +1,4 @@
-//! Every rule that a document must keep before it can be accepted: names, uniqueness, ranges,
-//! cross-references.
+//! Validation of a document before it is accepted: names, uniqueness, ranges and cross-references.
 //!
 //! ```
 //! use fescuewell_document::prelude::*;
@@ -19,22 +18,23 @@
 use crate::fault::{Fault, nearest};
 use crate::model::Document;
 
-/// Most faults that one check reports; a broken import of thousands of items stays readable.
+/// Maximum number of faults that a check reports. Keeps the report of a broken import of thousands of items
+/// readable.
 pub const MAX_FAULTS: usize = 100;
-/// Longest name, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
-/// Most that the floors of all kinds may sum to, in percent: half of the capacity stays free to go to
-/// whatever is most urgent.
+/// Maximum sum of the floors of all kinds, in percent. Half of the capacity remains available to the most urgent
+/// requests.
 pub const MAX_FLOOR_SUM_PERCENT: u32 = 50;
-/// Most items in one list of a document.
+/// Maximum number of items in a section.
 pub const MAX_LIST_LEN: usize = 100_000;
-/// Most names in one list of an item, such as the backend servers that a group may reach.
+/// Maximum length of a list within an item, such as the backend servers that a group may reach.
 pub const MAX_INNER_LIST_LEN: usize = 2_000;
-/// Largest amount of tokens: every amount is exact in JSON readers that use floating point, and no sum
-/// of budgets comes near the end of 64 bits.
+/// Maximum amount of tokens. All amounts are exact in JSON readers that use floating point, and sums of budgets
+/// stay far below the 64-bit limit.
 pub const MAX_TOKENS: u64 = 1 << 53;
 
-/// All faults of a document, at most [`MAX_FAULTS`]; empty when it may be accepted.
+/// Returns the faults of a document, at most [`MAX_FAULTS`]. Empty if the document is valid.
 pub fn check(document: &Document) -> Vec<Fault> {
     let mut report = Report::default();
     sections::check_sizes(document, &mut report);
@@ -51,9 +51,9 @@
     report.faults
 }
 
-/// Whether `name` may name something: 1 to 64 of `a-z 0-9 . -`, with a letter or digit first.
+/// Returns whether `name` is valid: 1 to 64 characters of `a-z 0-9 . -`, starting with a letter or digit.
 ///
-/// Names become parts of row keys and paths, so a slash would let one name reach into another's rows.
+/// Names are used in row keys and paths, so a slash would allow one name to address the rows of another.
 pub fn is_name(name: &str) -> bool {
     let bytes = name.as_bytes();
     let allowed = |b: &u8| matches!(b, b'a'..=b'z' | b'0'..=b'9' | b'.' | b'-');
@@ -62,7 +62,7 @@
         && bytes.iter().all(allowed)
 }
 
-/// Collects faults up to the limit.
+/// Collects faults, at most [`MAX_FAULTS`].
 #[derive(Default)]
 struct Report {
     faults: Vec<Fault>,
@@ -75,16 +75,19 @@
         }
     }
 
-    /// Checks the form of `name` and that `seen` has not met it.
+    /// Checks that `name` is valid and not yet in `seen`.
     fn check_name<'a>(&mut self, path: &str, name: &'a str, seen: &mut HashSet<&'a str>) {
         if !is_name(name) {
-            let fault = Fault::new(format!("{path}.name"), format!("`{name}` cannot be a name"));
+            let fault = Fault::new(
+                format!("{path}.name"),
+                format!("`{name}` is not a valid name"),
+            );
             self.add(fault.with_suggestion(
-                "1 to 64 lower-case letters, digits, dots and hyphens; a letter or digit first",
+                "1 to 64 lower-case letters, digits, dots and hyphens, starting with a letter or digit",
             ));
         }
         if !seen.insert(name) {
-            let message = format!("the name `{name}` stands twice in this section");
+            let message = format!("the name `{name}` is used more than once in this section");
             self.add(Fault::new(format!("{path}.name"), message));
         }
     }
@@ -101,28 +104,40 @@
         self.add(fault.with_suggestion(format!("allowed: {start} to {end}")));
     }
 
-    fn check_reference(&mut self, path: &str, what: &str, name: &str, known: &Table<'_>) {
+    fn check_reference(&mut self, path: &str, what: &str, name: &str, known: &Positions<'_>) {
         if known.contains_key(name) {
             return;
         }
         let mut fault = Fault::new(path, format!("there is no {what} `{name}`"));
-        if let Some(meant) = nearest(name, known.keys().copied()) {
-            fault = fault.with_suggestion(format!("did you mean `{meant}`?"));
+        if let Some(nearest_name) = nearest(name, known.keys().copied()) {
+            fault = fault.with_suggestion(format!("did you mean `{nearest_name}`?"));
         }
         self.add(fault);
     }
 
-    /// Checks a list of names: each known, none twice, not too many.
-    fn check_references(&mut self, path: &str, what: &str, names: &[Arc<str>], known: &Table<'_>) {
+    /// Checks that all names in a list are known and unique, and that there are not too many.
+    fn check_references(
+        &mut self,
+        path: &str,
+        what: &str,
+        names: &[Arc<str>],
+        known: &Positions<'_>,
+    ) {
         if names.len() > MAX_INNER_LIST_LEN {
-            let message = format!("{} names; at most {MAX_INNER_LIST_LEN}", names.len());
+            let message = format!(
+                "{} names exceed the limit of {MAX_INNER_LIST_LEN}",
+                names.len()
+            );
             return self.add(Fault::new(path, message));
         }
         let mut seen = HashSet::new();
         for (index, name) in names.iter().enumerate() {
             let path = format!("{path}[{index}]");
             if !seen.insert(&**name) {
-                self.add(Fault::new(path, format!("`{name}` stands twice")));
+                self.add(Fault::new(
+                    path,
+                    format!("`{name}` is listed more than once"),
+                ));
                 continue;
             }
             self.check_reference(&path, what, name, known);
@@ -130,29 +145,29 @@
     }
 }
 
-/// Names of one section with the item's index.
-type Table<'a> = HashMap<&'a str, usize>;
+/// Names of one section with the index of their item.
+type Positions<'a> = HashMap<&'a str, usize>;
 
-/// The names that cross-references may use.
+/// The names that cross-references may refer to.
 struct Names<'a> {
-    kinds: Table<'a>,
-    groups: Table<'a>,
-    models: Table<'a>,
-    servers: Table<'a>,
+    kinds: Positions<'a>,
+    groups: Positions<'a>,
+    models: Positions<'a>,
+    servers: Positions<'a>,
 }
 
 impl<'a> Names<'a> {
     fn of(document: &'a Document) -> Self {
         Self {
-            kinds: table(document.kinds.iter().map(|kind| &kind.name)),
-            groups: table(document.groups.iter().map(|group| &group.name)),
-            models: table(document.models.iter().map(|model| &model.name)),
-            servers: table(document.servers.iter().map(|server| &server.name)),
+            kinds: positions(document.kinds.iter().map(|kind| &kind.name)),
+            groups: positions(document.groups.iter().map(|group| &group.name)),
+            models: positions(document.models.iter().map(|model| &model.name)),
+            servers: positions(document.servers.iter().map(|server| &server.name)),
         }
     }
 }
 
-fn table<'a, Items>(names: Items) -> Table<'a>
+fn positions<'a, Items>(names: Items) -> Positions<'a>
 where
     Items: Iterator<Item = &'a Arc<str>>,
 {
--- a/crates/fescuewell_document/src/check/sections.rs
+++ b/crates/fescuewell_document/src/check/sections.rs
@@ -1,4 +1,4 @@
-//! The rules of each section.
+//! Validation of each section.
 
 use std::collections::{HashMap, HashSet};
 
@@ -9,16 +9,16 @@
 use crate::key;
 use crate::model::{Account, Call, Document, Group, Model, Server, ServerRole};
 
-/// Longest deadline and longest outage to be outlasted: one day.
+/// Maximum deadline of a kind and maximum `outage_seconds` of an allowance: one day.
 const DAY_SECONDS: u32 = 86_400;
-/// Longest context that a model may be given, in tokens.
-const LARGEST_CONTEXT: u32 = 1 << 24;
-/// Largest weight of a group.
-const LARGEST_WEIGHT: u32 = 10_000;
-/// Most requests at once on one backend server.
-const LARGEST_CONCURRENCY: u32 = 100_000;
-/// Most keys of one account.
-const MOST_KEYS: usize = 32;
+/// Maximum context window of a model, in tokens.
+const MAX_CONTEXT_TOKENS: u32 = 1 << 24;
+/// Maximum weight of a group.
+const MAX_WEIGHT: u32 = 10_000;
+/// Maximum number of concurrent requests on a backend server.
+const MAX_CONCURRENCY: u32 = 100_000;
+/// Maximum number of keys of an account.
+const MAX_KEYS: usize = 32;
 
 pub(super) fn check_sizes(document: &Document, report: &mut Report) {
     let sizes = [
@@ -33,7 +33,7 @@
         if len <= MAX_LIST_LEN {
             continue;
         }
-        let message = format!("{len} items; at most {MAX_LIST_LEN} in one section");
+        let message = format!("{len} items exceed the limit of {MAX_LIST_LEN} per section");
         report.add(Fault::new(section, message));
     }
 }
@@ -65,8 +65,10 @@
         let reach = format!("{path}.reach");
         report.check_references(&reach, "backend server", &group.reach, &names.servers);
         if group.reach.is_empty() {
-            let message = format!("the group `{}` reaches no backend server", group.name);
-            report.add(Fault::new(reach, message).with_suggestion("name at least one"));
+            let message = format!("the group `{}` cannot reach any backend server", group.name);
+            report.add(
+                Fault::new(reach, message).with_suggestion("list at least one backend server"),
+            );
         }
     }
 }
@@ -74,7 +76,7 @@
 fn check_group_numbers(path: &str, group: &Group, report: &mut Report) {
     let allowance = &group.allowance;
     report.check_range(&format!("{path}.prepaid"), group.prepaid.0, 0..=MAX_TOKENS);
-    report.check_range(&format!("{path}.weight"), group.weight, 1..=LARGEST_WEIGHT);
+    report.check_range(&format!("{path}.weight"), group.weight, 1..=MAX_WEIGHT);
     let path = format!("{path}.allowance");
     let outage = allowance.outage_seconds;
     report.check_range(&format!("{path}.outage_seconds"), outage, 1..=DAY_SECONDS);
@@ -111,8 +113,8 @@
     hashes: &mut HashMap<&'a str, &'a str>,
     report: &mut Report,
 ) {
-    if account.keys.len() > MOST_KEYS {
-        let message = format!("{} keys; at most {MOST_KEYS}", account.keys.len());
+    if account.keys.len() > MAX_KEYS {
+        let message = format!("{} keys exceed the limit of {MAX_KEYS}", account.keys.len());
         return report.add(Fault::new(format!("{path}.keys"), message));
     }
     let mut seen = HashSet::new();
@@ -124,9 +126,9 @@
             report.add(fault.with_suggestion("64 lower-case hexadecimal digits"));
             continue;
         }
-        // One key on two accounts would bill whichever the lookup happens to find.
+        // If two accounts had the same key, the lookup would charge an arbitrary one of them.
         if let Some(other) = hashes.insert(&key.hash, &account.name) {
-            let message = format!("the same key stands in the account `{other}`");
+            let message = format!("the account `{other}` has the same key");
             report.add(Fault::new(format!("{path}.hash"), message));
         }
     }
@@ -148,7 +150,7 @@
             continue;
         }
         let message = format!(
-            "{} backend servers should keep `{}` loaded, but only {servers} may load it",
+            "at least {} backend servers must keep `{}` loaded, but only {servers} may load it",
             model.min_servers, model.name
         );
         report.add(Fault::new(format!("{path}.least_servers"), message));
@@ -160,14 +162,14 @@
     report.check_range(
         &format!("{path}.context_tokens"),
         context,
-        2..=LARGEST_CONTEXT,
+        2..=MAX_CONTEXT_TOKENS,
     );
-    // A default output as long as the whole context would leave no room for a prompt.
-    let largest = context.saturating_sub(1).max(1);
+    // A default output as large as the context window would leave no room for a prompt.
+    let max_output = context.saturating_sub(1).max(1);
     report.check_range(
         &format!("{path}.default_output"),
         model.default_output,
-        1..=largest,
+        1..=max_output,
     );
 }
 
@@ -185,7 +187,7 @@
         return;
     };
     if document.models[index].base.is_some() {
-        let message = format!("`{base}` is itself an adapter and cannot be a base");
+        let message = format!("`{base}` is an adapter and cannot be a base model");
         report.add(Fault::new(path, message));
     }
 }
@@ -198,7 +200,7 @@
         report.check_name(&path, &server.name, &mut seen);
         check_server(&path, server, names, report);
         if let Some(other) = addresses.insert(server.address, &server.name) {
-            let message = format!("`{other}` listens at {} already", server.address);
+            let message = format!("`{other}` already uses the address {}", server.address);
             report.add(Fault::new(format!("{path}.address"), message));
         }
     }
@@ -206,22 +208,27 @@
 
 fn check_server(path: &str, server: &Server, names: &Names<'_>, report: &mut Report) {
     if server.address.port() == 0 || server.address.ip().is_unspecified() {
-        let message = format!("nothing can be reached at {}", server.address);
+        let message = format!("{} is not a reachable address", server.address);
         let fault = Fault::new(format!("{path}.address"), message);
-        report.add(fault.with_suggestion("an IP number and a port, such as 10.1.2.3:8000"));
+        report.add(fault.with_suggestion("an IP address and a port, such as 10.1.2.3:8000"));
     }
     if !is_name(&server.zone) {
-        let message = format!("`{}` cannot be the name of a zone", server.zone);
+        let message = format!("`{}` is not a valid availability zone name", server.zone);
         report.add(Fault::new(format!("{path}.zone"), message));
     }
     let models = format!("{path}.models");
     report.check_references(&models, "model", &server.models, &names.models);
     if server.role == ServerRole::Service && !server.models.is_empty() {
-        let message = format!("`{}` runs plain calls and can load no models", server.name);
-        report.add(Fault::new(models, message).with_suggestion("role `engine` loads models"));
+        let message = format!(
+            "`{}` has the role `service` and cannot load models",
+            server.name
+        );
+        report.add(
+            Fault::new(models, message).with_suggestion("only the role `engine` can load models"),
+        );
     }
     let concurrency = format!("{path}.concurrency");
-    report.check_range(&concurrency, server.concurrency, 1..=LARGEST_CONCURRENCY);
+    report.check_range(&concurrency, server.concurrency, 1..=MAX_CONCURRENCY);
 }
 
 pub(super) fn check_services(document: &Document, names: &Names<'_>, report: &mut Report) {
@@ -242,7 +249,7 @@
             if document.servers[server].role == ServerRole::Service {
                 continue;
             }
-            let message = format!("`{name}` is a model engine and runs no plain calls");
+            let message = format!("`{name}` has the role `engine` and cannot run service calls");
             report.add(Fault::new(format!("{servers}[{at}]"), message));
         }
         check_calls(&path, &service.calls, names, report);
@@ -252,10 +259,7 @@
 fn check_calls(path: &str, calls: &[Call], names: &Names<'_>, report: &mut Report) {
     let path = format!("{path}.calls");
     if calls.is_empty() || calls.len() > MAX_INNER_LIST_LEN {
-        let message = format!(
-            "{} calls; 1 to {MAX_INNER_LIST_LEN} are allowed",
-            calls.len()
-        );
+        let message = format!("{} calls; allowed: 1 to {MAX_INNER_LIST_LEN}", calls.len());
         return report.add(Fault::new(path, message));
     }
     let mut seen = HashSet::new();
--- a/crates/fescuewell_document/src/chunk/assembly.rs
+++ b/crates/fescuewell_document/src/chunk/assembly.rs
@@ -1,4 +1,4 @@
-//! Collecting the objects of one document, from whatever source has them.
+//! Assembles a document from objects fetched from any source.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -6,98 +6,100 @@
 use fescuewell_core::prelude::*;
 use snafu::Snafu;
 
-use super::object::{Object, Root, Unreadable};
-use super::{Bundle, FORMAT, MAX_OBJECT_BYTES, Objects, name_of};
+use super::object::{DecodeError, Object, Root};
+use super::{Bundle, FORMAT, MAX_OBJECT_BYTES, Objects, object_name};
 use crate::check::MAX_LIST_LEN;
 use crate::for_each_section;
 use crate::item::Item;
 use crate::model::Document;
 
-/// Most objects that one document may have.
-const MOST_OBJECTS: usize = 4 * MAX_LIST_LEN;
-/// Most directories above a leaf; each level parts items by at least one bit of their hashes.
-const DEEPEST: usize = u128::BITS as usize;
+/// Maximum number of objects in a document.
+const MAX_OBJECTS: usize = 4 * MAX_LIST_LEN;
+/// Maximum number of directories above a leaf. Each level splits items by at least one bit of their hashes.
+const MAX_DEPTH: usize = u128::BITS as usize;
 
-/// Why a document could not be put together.
+/// Why a document could not be assembled.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// The bytes are not those that the name stands for: a damaged or forged object. Ask elsewhere.
-    #[snafu(display("object {name} does not have the bytes that its name stands for"))]
+    /// The bytes don't match the hash in the name: the object is corrupt or forged. Try another source.
+    #[snafu(display("the bytes of object {name} do not match its hash"))]
     Corrupt {
         /// The object's name.
         name: Arc<str>,
     },
-    /// The bytes are genuine but are no object of a document.
-    #[snafu(display("object {name} is not part of a document"))]
+    /// The bytes match the hash but are not a valid object of a document.
+    #[snafu(display("object {name} is not a valid part of a document"))]
     Malformed {
         /// The object's name.
         name: Arc<str>,
     },
-    /// The document was written by a newer program.
-    #[snafu(display("the document has format {found}; this program reads up to {FORMAT}"))]
+    /// The document was written by a newer version.
+    #[snafu(display(
+        "the document has format {found}; this version supports formats up to {FORMAT}"
+    ))]
     Format {
-        /// Its format.
+        /// Format of the document.
         found: u32,
     },
-    /// Not everything has been supplied yet.
+    /// Not all objects have been supplied yet.
     #[snafu(display("{count} objects are still missing"))]
     Incomplete {
-        /// How many are known to be missing; they may name more.
+        /// Number of objects known to be missing; these may refer to more.
         count: usize,
     },
-    /// The document has more objects than any document may have.
+    /// The document exceeds the maximum number of objects or items.
     #[snafu(display("the document has too many objects"))]
     TooLarge,
 }
 
-/// A document that is being collected.
+/// A document that is being assembled.
 ///
-/// Objects may arrive in any order once they are [`missing`](Self::missing) and from any source: each is
-/// verified against its name, so that a faulty store or peer cannot change a document.
+/// [`missing`](Self::missing) objects may be supplied in any order and from any source. Each object is verified
+/// against its name, so a faulty store or peer can't change a document.
 #[derive(Debug, Clone)]
 pub struct Assembly {
     root: Digest,
     known: Objects,
-    have: BTreeMap<Digest, Object>,
+    decoded: BTreeMap<Digest, Object>,
     objects: Objects,
     wanted: BTreeSet<Digest>,
 }
 
 impl Assembly {
-    /// Starts with nothing but the root's hash.
+    /// Creates an assembly for the document with this root hash.
     pub fn start(root: Digest) -> Self {
         Self {
             root,
             known: Objects::new(),
-            have: BTreeMap::new(),
+            decoded: BTreeMap::new(),
             objects: Objects::new(),
             wanted: BTreeSet::from([root]),
         }
     }
 
-    /// Reuses objects that were verified before, those of the document in force for instance.
+    /// Reuses objects that are already verified, such as those of the active document.
     ///
     /// # Errors
     ///
-    /// Like [`supply`](Self::supply).
+    /// See [`supply`](Self::supply).
     pub fn with_known(mut self, known: &Objects) -> Result<Self, Error> {
         self.known.clone_from(known);
-        if let Some(bytes) = known.get(&name_of(self.root)) {
-            self.take(self.root, bytes.clone())?;
+        if let Some(bytes) = known.get(&object_name(self.root)) {
+            self.add(self.root, bytes.clone())?;
         }
         Ok(self)
     }
 
-    /// Names of the objects to fetch next; empty when the document is complete.
+    /// Returns the names of the objects to fetch next. Empty if the document is complete.
     pub fn missing(&self) -> Vec<Arc<str>> {
-        self.wanted.iter().copied().map(name_of).collect()
+        self.wanted.iter().copied().map(object_name).collect()
     }
 
-    /// Takes an object in. One that is not wanted is ignored, since answers may come twice.
+    /// Supplies an object. Objects that are not missing are ignored, as responses may be duplicated.
     ///
     /// # Errors
     ///
-    /// When the bytes are not what the name stands for, or are no part of a document this program reads.
+    /// Returns an error if the bytes don't match the hash in the name, can't be decoded, or exceed a limit.
     pub fn supply(&mut self, name: &str, bytes: &[u8]) -> Result<(), Error> {
         let wanted = u128::from_str_radix(name, 16).map(Digest);
         let Ok(digest) = wanted else { return Ok(()) };
@@ -107,14 +109,15 @@
         if bytes.len() > MAX_OBJECT_BYTES || Digest::of(bytes) != digest {
             return Err(Error::Corrupt { name: name.into() });
         }
-        self.take(digest, bytes.into())
+        self.add(digest, bytes.into())
     }
 
-    /// The document, its sections sorted by name.
+    /// Returns the document, with each section sorted by name.
     ///
     /// # Errors
     ///
-    /// [`Error::Incomplete`], or [`Error::Malformed`] when the items cannot be decoded.
+    /// Returns [`Error::Incomplete`] if objects are missing, [`Error::Malformed`] if the items can't be decoded,
+    /// and [`Error::TooLarge`] if a section has too many items.
     pub fn finish(&self) -> Result<Document, Error> {
         if !self.wanted.is_empty() {
             let count = self.wanted.len();
@@ -124,14 +127,14 @@
         let mut document = Document::default();
         for_each_section!(T => {
             if let Some(name) = root.sections.get(&T::SECTION) {
-                self.collect::<T>(digest_of(name)?, DEEPEST, T::list_mut(&mut document))?;
+                self.collect::<T>(parse_name(name)?, MAX_DEPTH, T::list_mut(&mut document))?;
             }
         });
         crate::item::sort(&mut document);
         Ok(document)
     }
 
-    /// The objects that were collected, for reuse by the next assembly.
+    /// Returns the collected objects, for reuse by the next assembly.
     pub fn into_bundle(self) -> Bundle {
         Bundle {
             root: self.root,
@@ -140,34 +143,34 @@
     }
 
     fn root_object(&self) -> Result<&Root, Error> {
-        match self.have.get(&self.root) {
+        match self.decoded.get(&self.root) {
             Some(Object::Root(root)) => Ok(root),
             _ => Err(malformed(self.root)),
         }
     }
 
-    /// Takes in a verified object and whatever of the known ones it leads to.
-    fn take(&mut self, digest: Digest, bytes: Arc<[u8]>) -> Result<(), Error> {
-        let mut open = vec![(digest, bytes)];
-        while let Some((digest, bytes)) = open.pop() {
-            let object = Object::decode(&bytes, FORMAT).map_err(|e| unreadable(digest, &e))?;
-            if self.have.len() >= MOST_OBJECTS {
+    /// Adds a verified object and all known objects reachable from it.
+    fn add(&mut self, digest: Digest, bytes: Arc<[u8]>) -> Result<(), Error> {
+        let mut pending = vec![(digest, bytes)];
+        while let Some((digest, bytes)) = pending.pop() {
+            let object = Object::decode(&bytes, FORMAT).map_err(|e| decode_error(digest, &e))?;
+            if self.decoded.len() >= MAX_OBJECTS {
                 return Err(Error::TooLarge);
             }
             for child in children(&object)? {
-                if self.have.contains_key(&child) {
+                if self.decoded.contains_key(&child) {
                     continue;
                 }
-                match self.known.get(&name_of(child)) {
-                    Some(bytes) => open.push((child, bytes.clone())),
+                match self.known.get(&object_name(child)) {
+                    Some(bytes) => pending.push((child, bytes.clone())),
                     None => {
                         self.wanted.insert(child);
                     }
                 }
             }
             self.wanted.remove(&digest);
-            self.have.insert(digest, object);
-            self.objects.insert(name_of(digest), bytes);
+            self.decoded.insert(digest, object);
+            self.objects.insert(object_name(digest), bytes);
         }
         Ok(())
     }
@@ -176,9 +179,9 @@
     where
         T: Item,
     {
-        match self.have.get(&digest) {
+        match self.decoded.get(&digest) {
             Some(Object::Leaf(bytes)) => decode_items(digest, bytes, items),
-            Some(Object::Pieces(pieces)) => decode_items(digest, &self.joined(pieces)?, items),
+            Some(Object::Pieces(pieces)) => decode_items(digest, &self.join_pieces(pieces)?, items),
             Some(Object::Directory(entries)) if depth > 0 => {
                 for entry in entries {
                     self.collect(*entry, depth - 1, items)?;
@@ -189,10 +192,10 @@
         }
     }
 
-    fn joined(&self, pieces: &[Digest]) -> Result<Vec<u8>, Error> {
+    fn join_pieces(&self, pieces: &[Digest]) -> Result<Vec<u8>, Error> {
         let mut bytes = Vec::new();
         for digest in pieces {
-            match self.have.get(digest) {
+            match self.decoded.get(digest) {
                 Some(Object::Piece(piece)) => bytes.extend_from_slice(piece),
                 _ => return Err(malformed(*digest)),
             }
@@ -215,28 +218,32 @@
 
 fn children(object: &Object) -> Result<Vec<Digest>, Error> {
     match object {
-        Object::Root(root) => root.sections.values().map(|name| digest_of(name)).collect(),
+        Object::Root(root) => root
+            .sections
+            .values()
+            .map(|name| parse_name(name))
+            .collect(),
         Object::Directory(entries) | Object::Pieces(entries) => Ok(entries.clone()),
         Object::Leaf(_) | Object::Piece(_) => Ok(Vec::new()),
     }
 }
 
-fn digest_of(name: &str) -> Result<Digest, Error> {
+fn parse_name(name: &str) -> Result<Digest, Error> {
     let digits = u128::from_str_radix(name, 16);
     digits
         .map(Digest)
         .map_err(|_| Error::Malformed { name: name.into() })
 }
 
-fn unreadable(digest: Digest, reason: &Unreadable) -> Error {
+fn decode_error(digest: Digest, reason: &DecodeError) -> Error {
     match *reason {
-        Unreadable::Malformed => malformed(digest),
-        Unreadable::Format(found) => Error::Format { found },
+        DecodeError::Malformed => malformed(digest),
+        DecodeError::Format(found) => Error::Format { found },
     }
 }
 
 fn malformed(digest: Digest) -> Error {
     Error::Malformed {
-        name: name_of(digest),
+        name: object_name(digest),
     }
 }
--- a/crates/fescuewell_document/src/chunk/object.rs
+++ b/crates/fescuewell_document/src/chunk/object.rs
@@ -1,4 +1,4 @@
-//! The bytes of each object: a tag, then its content.
+//! Encoding of objects: a tag byte followed by the content.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,15 +12,15 @@
 const LEAF: u8 = b'L';
 const PIECES: u8 = b'P';
 const PIECE: u8 = b'B';
-/// Bytes of one hash in a directory.
+/// Size of a hash in a directory, in bytes.
 const DIGEST_BYTES: usize = 16;
 
 fescuewell_core::data! {
-    /// Content of the root object, as JSON, so that every program can at least read the format number.
+    /// Content of the root object. It is encoded as JSON so that every version can read the format number.
     pub(super) struct Root {
-        /// Format of everything below.
+        /// Format of all objects of the document.
         pub format: u32,
-        /// Name of the object at the top of each section that has items.
+        /// Name of the top object of each non-empty section.
         #[serde(default)]
         pub sections: BTreeMap<Section, Arc<str>>,
     }
@@ -35,7 +35,7 @@
     }
 }
 
-/// The part of a root that every format keeps.
+/// The part of a root that is common to all formats.
 #[derive(serde::Deserialize)]
 struct FormatOnly {
     format: u32,
@@ -44,24 +44,24 @@
 /// A decoded object.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum Object {
-    /// The top of a document.
+    /// The root of a document.
     Root(Root),
-    /// Hashes of leaves or directories, in the order of the item hashes below them.
+    /// Hashes of leaves or directories, ordered by the hashes of their items.
     Directory(Vec<Digest>),
-    /// A list of items, encoded by postcard.
+    /// A list of items, encoded with postcard.
     Leaf(Vec<u8>),
-    /// Hashes of the pieces of one leaf that is too large for an object.
+    /// Hashes of the pieces of a leaf that is too large for one object.
     Pieces(Vec<Digest>),
-    /// Part of such a leaf.
+    /// Piece of such a leaf.
     Piece(Vec<u8>),
 }
 
-/// Why bytes are no object.
+/// Why an object could not be decoded.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) enum Unreadable {
-    /// They are not what any object looks like.
+pub(super) enum DecodeError {
+    /// The bytes are not a valid object.
     Malformed,
-    /// A root of a format that this program does not know.
+    /// The root has a format that this version doesn't support.
     Format(u32),
 }
 
@@ -80,38 +80,38 @@
         bytes
     }
 
-    pub(super) fn decode(bytes: &[u8], newest: u32) -> Result<Self, Unreadable> {
-        let (&tag, content) = bytes.split_first().ok_or(Unreadable::Malformed)?;
+    pub(super) fn decode(bytes: &[u8], max_format: u32) -> Result<Self, DecodeError> {
+        let (&tag, content) = bytes.split_first().ok_or(DecodeError::Malformed)?;
         match tag {
-            ROOT => decode_root(content, newest).map(Self::Root),
+            ROOT => decode_root(content, max_format).map(Self::Root),
             DIRECTORY => digests(content).map(Self::Directory),
             LEAF => Ok(Self::Leaf(content.to_vec())),
             PIECES => digests(content).map(Self::Pieces),
             PIECE => Ok(Self::Piece(content.to_vec())),
-            _ => Err(Unreadable::Malformed),
+            _ => Err(DecodeError::Malformed),
         }
     }
 }
 
-fn decode_root(content: &[u8], newest: u32) -> Result<Root, Unreadable> {
-    // The number is read by itself first: a root of a later format may have sections whose names
-    // this program cannot read, and must be refused for its format rather than as damaged.
+fn decode_root(content: &[u8], max_format: u32) -> Result<Root, DecodeError> {
+    // Decode the format number first: a root of a later format may have sections that are unknown to this
+    // version, and must be rejected because of its format rather than as malformed.
     let FormatOnly { format } =
-        serde_json::from_slice(content).map_err(|_| Unreadable::Malformed)?;
-    if format > newest {
-        return Err(Unreadable::Format(format));
+        serde_json::from_slice(content).map_err(|_| DecodeError::Malformed)?;
+    if format > max_format {
+        return Err(DecodeError::Format(format));
     }
-    serde_json::from_slice(content).map_err(|_| Unreadable::Malformed)
+    serde_json::from_slice(content).map_err(|_| DecodeError::Malformed)
 }
 
 fn digest_bytes(digests: &[Digest]) -> Vec<u8> {
     digests.iter().flat_map(|d| d.0.to_le_bytes()).collect()
 }
 
-fn digests(content: &[u8]) -> Result<Vec<Digest>, Unreadable> {
+fn digests(content: &[u8]) -> Result<Vec<Digest>, DecodeError> {
     let (chunks, rest) = content.as_chunks::<DIGEST_BYTES>();
     if !rest.is_empty() || chunks.is_empty() {
-        return Err(Unreadable::Malformed);
+        return Err(DecodeError::Malformed);
     }
     let digests = chunks.iter().map(|c| Digest(u128::from_le_bytes(*c)));
     Ok(digests.collect())
--- a/crates/fescuewell_document/src/difference.rs
+++ b/crates/fescuewell_document/src/difference.rs
@@ -1,5 +1,5 @@
-//! What differs between two documents, for people and as data, and the merge of two edits that started
-//! from the same one.
+//! Differences between two documents, as text and as data, and the three-way merge of two edits of the same
+//! document.
 //!
 //! ```
 //! use fescuewell_document::prelude::*;
@@ -27,15 +27,15 @@
 use crate::model::Document;
 
 fescuewell_core::data! {
-    /// What happened to an item.
+    /// How an item differs.
     #[derive(Copy)]
     #[serde(rename_all = "snake_case")]
     pub enum Action {
-        /// It is new.
+        /// The item is new.
         Added,
-        /// It is gone.
+        /// The item no longer exists.
         Removed,
-        /// Some of its fields differ.
+        /// Some of the item's fields differ.
         Changed,
     }
 
@@ -43,21 +43,21 @@
     pub struct FieldChange {
         /// Path within the item: `allowance.min_draw`, `calls.confirm.price`, `reach.engine-1`.
         pub field: Arc<str>,
-        /// Its value before, as JSON text; `None` when it was absent.
+        /// Old value as JSON text; `None` if the field was absent.
         pub before: Option<Arc<str>>,
-        /// Its value after.
+        /// New value as JSON text; `None` if the field is absent.
         pub after: Option<Arc<str>>,
     }
 
     /// One item that differs.
     pub struct Change {
-        /// Where it stands.
+        /// Section of the item.
         pub section: Section,
-        /// Its name.
+        /// Name of the item.
         pub name: Arc<str>,
-        /// What happened to it.
+        /// How the item differs.
         pub action: Action,
-        /// The fields that differ; all of its fields when it was added or removed.
+        /// The fields that differ; all fields if the item was added or removed.
         pub fields: Vec<FieldChange>,
     }
 }
@@ -87,7 +87,7 @@
     }
 }
 
-/// All items that differ, by section and then by name.
+/// Returns all items that differ, sorted by section and name.
 pub fn compare(before: &Document, after: &Document) -> Vec<Change> {
     let mut changes = Vec::new();
     for_each_section!(T => compare_section::<T>(before, after, &mut changes));
@@ -110,21 +110,21 @@
     let old = by_name::<T>(before);
     let new = by_name::<T>(after);
     for (name, item) in &new {
-        let was = old.get(name).copied();
-        if was == Some(*item) {
+        let old_item = old.get(name).copied();
+        if old_item == Some(*item) {
             continue;
         }
-        changes.push(change_of(name, was, Some(*item)));
+        changes.push(describe_change(name, old_item, Some(*item)));
     }
     for (name, item) in &old {
         if !new.contains_key(name) {
-            changes.push(change_of(name, Some(*item), None));
+            changes.push(describe_change(name, Some(*item), None));
         }
     }
     changes[start..].sort_by(|a, b| a.name.cmp(&b.name));
 }
 
-fn change_of<T>(name: &Arc<str>, before: Option<&T>, after: Option<&T>) -> Change
+fn describe_change<T>(name: &Arc<str>, before: Option<&T>, after: Option<&T>) -> Change
 where
     T: Item,
 {
@@ -133,9 +133,9 @@
         (_, None) => Action::Removed,
         _ => Action::Changed,
     };
-    let mut fields = compare_fields(&flat(before), &flat(after));
+    let mut fields = compare_fields(&fields_of(before), &fields_of(after));
     if fields.is_empty() {
-        // The items differ although no field does: only the order of a list changed.
+        // The items differ but none of their fields: only the order of a list changed.
         fields.push(FieldChange {
             field: "order of a list".into(),
             before: None,
@@ -150,53 +150,55 @@
     }
 }
 
-type Flat = BTreeMap<String, Arc<str>>;
+/// JSON values by path within an item.
+type FieldValues = BTreeMap<String, Arc<str>>;
 
-fn compare_fields(before: &Flat, after: &Flat) -> Vec<FieldChange> {
+fn compare_fields(before: &FieldValues, after: &FieldValues) -> Vec<FieldChange> {
     let mut fields = Vec::new();
-    for (field, was) in before {
-        let is = after.get(field);
-        if is != Some(was) {
+    for (field, old_value) in before {
+        let new_value = after.get(field);
+        if new_value != Some(old_value) {
             fields.push(FieldChange {
                 field: field.as_str().into(),
-                before: Some(was.clone()),
-                after: is.cloned(),
+                before: Some(old_value.clone()),
+                after: new_value.cloned(),
             });
         }
     }
-    for (field, is) in after {
+    for (field, new_value) in after {
         if !before.contains_key(field) {
             fields.push(FieldChange {
                 field: field.as_str().into(),
                 before: None,
-                after: Some(is.clone()),
+                after: Some(new_value.clone()),
             });
         }
     }
     fields
 }
 
-fn flat<T>(item: Option<&T>) -> Flat
+fn fields_of<T>(item: Option<&T>) -> FieldValues
 where
     T: Item,
 {
-    let mut flat = Flat::new();
+    let mut fields = FieldValues::new();
     if let Some(item) = item {
-        flatten("", &value_of(item), &mut flat);
-        flat.remove("name");
+        flatten("", &to_json(item), &mut fields);
+        fields.remove("name");
     }
-    flat
+    fields
 }
 
-/// The item as JSON; its types hold only text keys and finite numbers, which always convert.
-fn value_of<T>(item: &T) -> Value
+/// Converts an item to JSON. This can't fail, as items contain only string keys and finite numbers.
+fn to_json<T>(item: &T) -> Value
 where
     T: Item,
 {
     serde_json::to_value(item).unwrap_or(Value::Null)
 }
 
-fn flatten(path: &str, value: &Value, flat: &mut Flat) {
+/// Adds all scalar values below `value` to `fields`.
+fn flatten(path: &str, value: &Value, fields: &mut FieldValues) {
     let join = |step: &str| match path {
         "" => step.to_owned(),
         _ => format!("{path}.{step}"),
@@ -204,23 +206,23 @@
     match value {
         Value::Object(object) => {
             for (name, field) in object {
-                flatten(&join(name), field, flat);
+                flatten(&join(name), field, fields);
             }
         }
         Value::Array(elements) => {
             for element in elements {
-                flatten(&join(&label(element)), element, flat);
+                flatten(&join(&label(element)), element, fields);
             }
         }
-        // An absent option and an empty one are the same thing.
+        // `null` is equivalent to an absent option.
         Value::Null => {}
         _ => {
-            flat.insert(path.to_owned(), value.to_string().into());
+            fields.insert(path.to_owned(), value.to_string().into());
         }
     }
 }
 
-/// What tells an element from its neighbours: its name, or itself when it is plain text.
+/// Identifies an element within its list: by its `name` field, or by its value if it has none.
 fn label(element: &Value) -> String {
     match element {
         Value::String(text) => text.clone(),
--- a/crates/fescuewell_document/src/difference/merge.rs
+++ b/crates/fescuewell_document/src/difference/merge.rs
@@ -1,8 +1,8 @@
-//! Three-way merge: what two operators made of the same document.
+//! Three-way merge of two edits of the same document.
 //!
-//! When operators race, the second one must neither overwrite the first unseen nor lose what was
-//! typed. Edits of different fields are joined; edits of the same field are given back as clashes
-//! with all three values. Amounts are never added up: two top-ups of one budget always clash.
+//! When two operators edit concurrently, the second must neither overwrite the first edit unnoticed nor lose
+//! their own input. Edits of different fields are merged; edits of the same field are returned as conflicts
+//! with all three values. Amounts are never added up, so two top-ups of one budget always conflict.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,25 +10,25 @@
 
 use serde_json::{Map, Value};
 
-use super::{by_name, label, value_of};
+use super::{by_name, label, to_json};
 use crate::for_each_section;
 use crate::item::{Item, Section};
 use crate::model::Document;
 
 fescuewell_core::data! {
-    /// Something that both sides changed, differently.
+    /// A field that both sides changed to different values.
     pub struct Conflict {
-        /// Where the item stands.
+        /// Section of the item.
         pub section: Section,
-        /// The item's name.
+        /// Name of the item.
         pub name: Arc<str>,
-        /// Path within the item; empty when one side removed it while the other changed it.
+        /// Path within the item; empty if one side removed the item and the other changed it.
         pub field: Arc<str>,
-        /// What both started from; `None` when it was absent.
+        /// Value in the common base; `None` if absent.
         pub base: Option<Arc<str>>,
-        /// What this side made of it.
+        /// Value in this side's edit.
         pub mine: Option<Arc<str>>,
-        /// What was accepted meanwhile.
+        /// Value in the document that was accepted in the meantime.
         pub theirs: Option<Arc<str>>,
     }
 }
@@ -52,41 +52,41 @@
     }
 }
 
-/// Joins two edits of `base`.
+/// Merges two edits of `base`.
 ///
-/// The result still has to pass [`check`](crate::check::check): two edits that are valid each may not
-/// be so together.
+/// The result must still pass [`check`](crate::check::check): two valid edits may be invalid in combination.
 ///
 /// # Errors
 ///
-/// Every field that both sides changed, differently.
+/// Returns a conflict for every field that both sides changed to different values.
 pub fn merge(
     base: &Document,
     mine: &Document,
     theirs: &Document,
 ) -> Result<Document, Vec<Conflict>> {
-    let (merged, clashes) = merge_preferring_mine(base, mine, theirs);
-    match clashes.is_empty() {
+    let (merged, conflicts) = merge_preferring_mine(base, mine, theirs);
+    match conflicts.is_empty() {
         true => Ok(merged),
-        false => Err(clashes),
+        false => Err(conflicts),
     }
 }
 
-/// Joins two edits of `base`, keeping `mine` wherever they clash: what to show an operator again, so that
-/// nothing that was typed is lost, together with the clashes that are to be decided.
+/// Merges two edits of `base`, keeping `mine` for conflicting fields, and returns the conflicts.
+///
+/// The console shows the result to the operator to resolve the conflicts, so that no input is lost.
 pub fn merge_preferring_mine(
     base: &Document,
     mine: &Document,
     theirs: &Document,
 ) -> (Document, Vec<Conflict>) {
     let mut merged = theirs.clone();
-    let mut clashes = Vec::new();
-    for_each_section!(T => merge_section::<T>([base, mine, theirs], &mut merged, &mut clashes));
-    (merged, clashes)
+    let mut conflicts = Vec::new();
+    for_each_section!(T => merge_section::<T>([base, mine, theirs], &mut merged, &mut conflicts));
+    (merged, conflicts)
 }
 
-/// Applies to `merged`, which starts as `theirs`, what `mine` changed since `base`.
-fn merge_section<T>(sides: [&Document; 3], merged: &mut Document, clashes: &mut Vec<Conflict>)
+/// Applies the changes from `base` to `mine` to `merged`, which initially equals `theirs`.
+fn merge_section<T>(sides: [&Document; 3], merged: &mut Document, conflicts: &mut Vec<Conflict>)
 where
     T: Item,
 {
@@ -96,21 +96,22 @@
     names.dedup();
     for name in names {
         let versions = [&base, &mine, &theirs].map(|side| side.get(name).copied());
-        let [was, my, their] = versions;
-        if was == my || my == their {
+        let [base_item, my_item, their_item] = versions;
+        if base_item == my_item || my_item == their_item {
             continue;
         }
         let list = T::list_mut(merged);
         let position = list.iter().position(|item| item.name() == name);
-        if was == their {
-            put(list, position, my.cloned());
+        if base_item == their_item {
+            set_item(list, position, my_item.cloned());
             continue;
         }
-        put(list, position, merge_item(name, versions, clashes));
+        set_item(list, position, merge_item(name, versions, conflicts));
     }
 }
 
-fn put<T>(list: &mut Vec<T>, position: Option<usize>, item: Option<T>) {
+/// Replaces, removes or appends an item.
+fn set_item<T>(list: &mut Vec<T>, position: Option<usize>, item: Option<T>) {
     match (position, item) {
         (Some(index), Some(item)) => list[index] = item,
         (Some(index), None) => {
@@ -124,18 +125,18 @@
 fn merge_item<T>(
     name: &Arc<str>,
     versions: [Option<&T>; 3],
-    clashes: &mut Vec<Conflict>,
+    conflicts: &mut Vec<Conflict>,
 ) -> Option<T>
 where
     T: Item,
 {
-    let values = versions.map(|item| item.map(value_of));
-    let [was, my, their] = values.each_ref().map(Option::as_ref);
-    let mut join = Join::default();
-    let merged = join.merge("", was, my, their);
-    for (field, sides) in join.clashes {
+    let values = versions.map(|item| item.map(to_json));
+    let [base_item, my_item, their_item] = values.each_ref().map(Option::as_ref);
+    let mut merger = Merger::default();
+    let merged = merger.merge("", base_item, my_item, their_item);
+    for (field, sides) in merger.conflicts {
         let [base, mine, theirs] = sides;
-        clashes.push(Conflict {
+        conflicts.push(Conflict {
             section: T::SECTION,
             name: name.clone(),
             field: field.into(),
@@ -147,39 +148,39 @@
     merged.and_then(|value| serde_json::from_value(value).ok())
 }
 
-/// Collects clashes while values are joined.
+/// Merges JSON values and collects the conflicts.
 #[derive(Default)]
-struct Join {
-    clashes: Vec<(String, [Option<Arc<str>>; 3])>,
+struct Merger {
+    conflicts: Vec<(String, [Option<Arc<str>>; 3])>,
 }
 
-impl Join {
+impl Merger {
     fn merge(
         &mut self,
         path: &str,
-        was: Option<&Value>,
-        my: Option<&Value>,
-        their: Option<&Value>,
+        base: Option<&Value>,
+        mine: Option<&Value>,
+        theirs: Option<&Value>,
     ) -> Option<Value> {
-        if was == my || my == their {
-            return their.cloned();
+        if base == mine || mine == theirs {
+            return theirs.cloned();
         }
-        if was == their {
-            return my.cloned();
+        if base == theirs {
+            return mine.cloned();
         }
-        match (my, their) {
-            (Some(Value::Object(my)), Some(Value::Object(their))) => {
-                let was = was.and_then(Value::as_object);
-                Some(Value::Object(self.merge_objects(path, was, my, their)))
+        match (mine, theirs) {
+            (Some(Value::Object(mine)), Some(Value::Object(theirs))) => {
+                let base = base.and_then(Value::as_object);
+                Some(Value::Object(self.merge_objects(path, base, mine, theirs)))
             }
-            (Some(Value::Array(my)), Some(Value::Array(their))) => {
-                let was = was.and_then(Value::as_array);
-                Some(Value::Array(self.merge_arrays(path, was, my, their)))
+            (Some(Value::Array(mine)), Some(Value::Array(theirs))) => {
+                let base = base.and_then(Value::as_array);
+                Some(Value::Array(self.merge_arrays(path, base, mine, theirs)))
             }
             _ => {
-                let sides = [was, my, their].map(|side| side.map(|v| v.to_string().into()));
-                self.clashes.push((path.to_owned(), sides));
-                my.cloned()
+                let sides = [base, mine, theirs].map(|side| side.map(|v| v.to_string().into()));
+                self.conflicts.push((path.to_owned(), sides));
+                mine.cloned()
             }
         }
     }
@@ -187,15 +188,20 @@
     fn merge_objects(
         &mut self,
         path: &str,
-        was: Option<&Map<String, Value>>,
-        my: &Map<String, Value>,
-        their: &Map<String, Value>,
+        base: Option<&Map<String, Value>>,
+        mine: &Map<String, Value>,
+        theirs: &Map<String, Value>,
     ) -> Map<String, Value> {
         let mut merged = Map::new();
-        let new = my.keys().filter(|name| !their.contains_key(*name));
-        for name in their.keys().chain(new) {
-            let was = was.and_then(|was| was.get(name));
-            let value = self.merge(&join_path(path, name), was, my.get(name), their.get(name));
+        let new = mine.keys().filter(|name| !theirs.contains_key(*name));
+        for name in theirs.keys().chain(new) {
+            let base = base.and_then(|base| base.get(name));
+            let value = self.merge(
+                &join_path(path, name),
+                base,
+                mine.get(name),
+                theirs.get(name),
+            );
             if let Some(value) = value {
                 merged.insert(name.clone(), value);
             }
@@ -203,29 +209,31 @@
         merged
     }
 
-    /// Lists are sets of names or of named items: each element is merged by itself.
+    /// Merges two lists element by element. Lists are sets of names or of named items.
     fn merge_arrays(
         &mut self,
         path: &str,
-        was: Option<&Vec<Value>>,
-        my: &[Value],
-        their: &[Value],
+        base: Option<&Vec<Value>>,
+        mine: &[Value],
+        theirs: &[Value],
     ) -> Vec<Value> {
-        let was = labelled(was.map_or(&[], Vec::as_slice));
-        let (my_named, their_named) = (labelled(my), labelled(their));
-        let new = my.iter().filter(|e| !their_named.contains_key(&label(e)));
+        let base = by_label(base.map_or(&[], Vec::as_slice));
+        let (my_elements, their_elements) = (by_label(mine), by_label(theirs));
+        let new = mine
+            .iter()
+            .filter(|e| !their_elements.contains_key(&label(e)));
         let mut merged = Vec::new();
-        for element in their.iter().chain(new) {
+        for element in theirs.iter().chain(new) {
             let name = label(element);
-            let [was, my, their] =
-                [&was, &my_named, &their_named].map(|side| side.get(&name).copied());
-            merged.extend(self.merge(&join_path(path, &name), was, my, their));
+            let [base, mine, theirs] =
+                [&base, &my_elements, &their_elements].map(|side| side.get(&name).copied());
+            merged.extend(self.merge(&join_path(path, &name), base, mine, theirs));
         }
         merged
     }
 }
 
-fn labelled(elements: &[Value]) -> BTreeMap<String, &Value> {
+fn by_label(elements: &[Value]) -> BTreeMap<String, &Value> {
     elements.iter().map(|e| (label(e), e)).collect()
 }
 
--- a/crates/fescuewell_document/src/fault.rs
+++ b/crates/fescuewell_document/src/fault.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a document or a settings file, in a form that names the place.
+//! Errors in a document or a settings file, with their location.
 
 use std::fmt;
 use std::sync::Arc;
@@ -6,23 +6,23 @@
 use crate::parse::Position;
 
 fescuewell_core::data! {
-    /// One thing that is wrong.
+    /// An error in a document or a settings file.
     pub struct Fault {
-        /// Where, as field names and indexes: `groups[3].reach[0]`. Empty for the whole text.
+        /// Path of field names and indexes, such as `groups[3].reach[0]`. Empty for the whole text.
         pub path: Arc<str>,
-        /// What is wrong, for people.
+        /// Human-readable description.
         pub message: Arc<str>,
-        /// What may have been meant, or what is allowed.
+        /// Likely intended value, or the allowed values.
         #[serde(default)]
         pub suggestion: Option<Arc<str>>,
-        /// Line and column, when the document was read from text.
+        /// Line and column, if the document was read from text.
         #[serde(default)]
         pub position: Option<Position>,
     }
 }
 
 impl Fault {
-    /// A fault at `path`, without suggestion or position.
+    /// Creates a fault at `path`, without suggestion or position.
     pub fn new<Path, Message>(path: Path, message: Message) -> Self
     where
         Path: Into<Arc<str>>,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Adds what may have been meant.
+    /// Adds a suggestion.
     pub fn with_suggestion<Text>(mut self, suggestion: Text) -> Self
     where
         Text: Into<Arc<str>>,
@@ -45,7 +45,7 @@
         self
     }
 
-    /// Adds line and column.
+    /// Adds the line and column.
     pub fn with_position(mut self, position: Position) -> Self {
         self.position = Some(position);
         self
@@ -68,10 +68,11 @@
     }
 }
 
-/// Longest text for which an edit distance is computed, in bytes; keeps hostile input cheap.
-const LONGEST_COMPARED: usize = 64;
+/// Maximum length of a word to compare, in bytes. Bounds the cost of malicious input.
+const MAX_COMPARED_BYTES: usize = 64;
 
-/// The entry of `known` that is nearest to `word` by edit distance, if any is near enough to be meant.
+/// Returns the entry of `known` with the smallest edit distance to `word`, if the distance is small enough for a
+/// likely misspelling.
 ///
 /// ```
 /// use fescuewell_document::fault::nearest;
@@ -82,7 +83,7 @@
 where
     Names: IntoIterator<Item = &'a str>,
 {
-    if word.len() > LONGEST_COMPARED {
+    if word.len() > MAX_COMPARED_BYTES {
         return None;
     }
     let mut best: Option<(usize, &str)> = None;
@@ -100,7 +101,7 @@
     best.map(|(_, name)| name)
 }
 
-/// Levenshtein distance in bytes, one row at a time.
+/// Computes the Levenshtein distance in bytes, keeping one row of the matrix.
 fn edit_distance(left: &[u8], right: &[u8]) -> usize {
     let mut row: Vec<usize> = (0..=right.len()).collect();
     for (i, a) in left.iter().enumerate() {
--- a/crates/fescuewell_document/src/head.rs
+++ b/crates/fescuewell_document/src/head.rs
@@ -1,12 +1,12 @@
-//! The row `head`, which says which document is in force, and the transaction that changes it.
+//! The `head` row, which identifies the active document, and the transaction that changes it.
 //!
-//! Accepting a document is one transaction of the table: it compares the `head` row's revision and that of
-//! every budget row whose prepaid total changes, and writes the new head, a `history` row and these
-//! totals. Two operators can therefore never both be told that they were first, and no allowance is
-//! drawn against a total that did not take effect. The objects have to be stored before.
+//! Accepting a document is a single table transaction. It compares the revisions of the `head` row and of
+//! every budget row whose prepaid total changes, and writes the new head, a `history` row and the new totals.
+//! Of two concurrent acceptances, only one succeeds, and no allowance is drawn from a total that didn't take
+//! effect. The objects must be stored before the transaction is sent.
 //!
-//! Every head carries a random `change` id. When the reply to the transaction is lost,
-//! [`Acceptance::status`] tells from rows that are read back whether it took effect.
+//! Every head has a random `change` id. If the reply to the transaction is lost, [`Acceptance::status`]
+//! determines whether it took effect from the rows read back.
 
 mod budget;
 
@@ -22,20 +22,20 @@
 use crate::chunk::{self, Bundle, FORMAT};
 use crate::model::Document;
 
-/// Key of the row that names the document in force.
+/// Key of the row that identifies the active document.
 pub const HEAD_KEY: &str = "head";
-/// Start of the keys of all history rows.
+/// Key prefix of the history rows.
 pub const HISTORY_PREFIX: &str = "history/";
-/// Longest author and change id, in bytes.
+/// Maximum length of the author and the change id, in bytes.
 pub const MAX_LABEL_BYTES: usize = 128;
 
 fescuewell_core::data! {
-    /// Which document is in force, since when and by whom. Stored as JSON.
+    /// The active document, who accepted it and when. Stored as JSON.
     pub struct Head {
-        /// Rises by one with each accepted document.
+        /// Increases by one with each accepted document.
         pub version: Version,
-        /// Hash of the root object; 32 hexadecimal digits in JSON.
-        #[serde(with = "digits")]
+        /// Hash of the root object, as 32 hexadecimal digits in JSON.
+        #[serde(with = "hex_digest")]
         pub root: Digest,
         /// Format of the objects.
         pub format: u32,
@@ -43,24 +43,24 @@
         pub change: Arc<str>,
         /// Who accepted it.
         pub author: Arc<str>,
-        /// When, in seconds since the Unix epoch by the console's clock.
+        /// Time of acceptance by the console's clock, in seconds since the Unix epoch.
         pub accepted_at_unix: u64,
     }
 
-    /// What became of an acceptance, as far as rows that were read back tell.
+    /// The status of an acceptance, determined from the rows read back.
     #[derive(Copy)]
     pub enum Status {
         /// It took effect.
         Accepted,
-        /// It has not taken effect; the same transaction may be sent again, since its compares still hold.
+        /// It has not taken effect. Its conditions still hold, so the same transaction may be sent again.
         Pending,
-        /// Another document was accepted instead, and this one never will be.
+        /// Another document was accepted instead; this one can't be accepted any more.
         Raced,
     }
 }
 
-/// Hashes as text: JSON readers that use floating point cannot hold 128 bits.
-mod digits {
+/// Serializes hashes as text, as JSON readers that use floating point can't represent 128 bits.
+mod hex_digest {
     use std::sync::Arc;
 
     use fescuewell_core::id::Digest;
@@ -85,79 +85,82 @@
 }
 
 impl Head {
-    /// Reads a stored head. Unknown fields are ignored: newer programs may add some.
+    /// Decodes a stored head. Unknown fields are ignored, as newer versions may add some.
     ///
     /// # Errors
     ///
-    /// [`Code::Internal`] when the row holds no head.
+    /// Returns [`Code::Internal`] if the row is not a valid head.
     pub fn decode(row: &Row) -> Result<Self, Refusal> {
         serde_json::from_slice(&row.value).map_err(|error| {
-            Refusal::new(Code::Internal)
-                .with_detail(format!("The row `{}` holds no head: {error}.", row.key))
+            Refusal::new(Code::Internal).with_detail(format!(
+                "The row `{}` is not a valid head: {error}.",
+                row.key
+            ))
         })
     }
 
-    /// The bytes to store.
+    /// Encodes the head for storage.
     pub fn encode(&self) -> Arc<[u8]> {
         serde_json::to_vec(self).unwrap_or_default().into()
     }
 }
 
-/// Key of the history row of a version.
+/// Returns the key of a version's history row.
 pub fn history_key(version: Version) -> Arc<str> {
     format!("{HISTORY_PREFIX}{:012}", version.0).into()
 }
 
-/// A document that an operator wants accepted.
+/// A document that an operator proposes.
 #[derive(Debug, Clone)]
 pub struct Proposal<'a> {
-    /// Version that the operator's edit started from; 0 for none.
+    /// Version that the edit is based on; 0 if there is none.
     pub base_version: Version,
-    /// The document of that version; empty for none.
+    /// The document of the base version; empty if there is none.
     pub before: &'a Document,
     /// The new document.
     pub after: &'a Document,
-    /// Who accepts it.
+    /// Who accepts the document.
     pub author: Arc<str>,
-    /// Random id, of this acceptance only.
+    /// Random id, unique to this acceptance.
     pub change: Arc<str>,
-    /// The console's clock, in seconds since the Unix epoch.
+    /// Time by the console's clock, in seconds since the Unix epoch.
     pub accepted_at_unix: u64,
 }
 
-/// An acceptance that is ready to be carried out.
+/// An acceptance that is ready to be committed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Acceptance {
     /// The new head.
     pub head: Head,
-    /// The new document's objects. Store those that are new before the transaction is sent: an instance may
-    /// read the head as soon as it is there.
+    /// The new document's objects. New ones must be stored before the transaction is sent, as instances may
+    /// read the head as soon as it is written.
     pub bundle: Bundle,
-    /// The transaction.
+    /// The transaction that accepts the document.
     pub transaction: Transaction,
 }
 
-/// Conditions and writes of an acceptance besides those on budgets.
+/// Number of conditions and writes of an acceptance, not counting budgets.
 const HEAD_ENTRIES: usize = 4;
-/// Conditions and writes on one budget.
+/// Number of conditions and writes per budget.
 const ENTRIES_PER_BUDGET: usize = 2;
 
 /// Builds the transaction that accepts a document.
 ///
-/// `head` is the `head` row as it was just read and `budgets` are the rows of [`changed_budgets`].
-/// A budget row that is not among them is taken to be absent; should it exist all the same, the
-/// transaction's compare fails and nothing is written.
+/// `head` is the current `head` row, and `budgets` are the rows of [`changed_budgets`]. A missing budget row
+/// is assumed not to exist; if it does exist, the transaction's condition fails and nothing is written.
 ///
 /// # Errors
 ///
-/// [`Code::DocumentInvalid`], [`Code::DocumentRaced`] when `head` is not the proposal's base any more,
-/// [`Code::PrepaidBelowDrawn`], or [`Code::Internal`] when a row cannot be read.
+/// - [`Code::DocumentInvalid`] if the document is invalid or changes too many budgets.
+/// - [`Code::DocumentRaced`] if `head` is no longer the proposal's base version.
+/// - [`Code::PrepaidBelowDrawn`] if a prepaid total falls below what is spent or granted.
+/// - [`Code::Internal`] if a row can't be decoded.
 pub fn accept(
     head: Option<&Row>,
     proposal: &Proposal<'_>,
     budgets: &[Row],
 ) -> Result<Acceptance, Refusal> {
-    refuse_faults(proposal.after)?;
+    check_document(proposal.after)?;
     let (revision, version) = match head {
         Some(row) => (row.revision, Head::decode(row)?.version),
         None => (0, Version(0)),
@@ -174,23 +177,24 @@
         version: version.next(),
         root: bundle.root,
         format: FORMAT,
-        change: cut(&proposal.change),
-        author: cut(&proposal.author),
+        change: truncate(&proposal.change),
+        author: truncate(&proposal.author),
         accepted_at_unix: proposal.accepted_at_unix,
     };
     let history = history_key(head.version);
     let mut transaction = Transaction::default()
         .with_compare(HEAD_KEY, revision)
-        // A history row of this version means that the head was lost or set back; versions never fall.
+        // Versions never decrease: an existing history row of this version means that the head was lost or
+        // reset.
         .with_compare(history.clone(), 0)
         .with_put(HEAD_KEY, head.encode())
         .with_put(history, head.encode());
     let rows: HashMap<&str, &Row> = budgets.iter().map(|row| (&*row.key, row)).collect();
     for (key, prepaid) in changed_budgets(proposal.before, proposal.after) {
         let row = rows.get(&*key).copied();
-        transaction = budget::write(transaction, key, prepaid, row)?;
+        transaction = budget::set_prepaid(transaction, key, prepaid, row)?;
     }
-    refuse_large(&transaction)?;
+    check_size(&transaction)?;
     Ok(Acceptance {
         head,
         bundle,
@@ -198,27 +202,31 @@
     })
 }
 
-/// The head, the history and the budgets change together or not at all, and a transaction is bounded.
-fn refuse_large(transaction: &Transaction) -> Result<(), Refusal> {
+/// Checks the size of the transaction. The head, the history and the budgets must change atomically, so an
+/// acceptance can't be split into several transactions.
+fn check_size(transaction: &Transaction) -> Result<(), Refusal> {
     if transaction.entries() <= MAX_ENTRIES {
         return Ok(());
     }
-    let most = (MAX_ENTRIES - HEAD_ENTRIES) / ENTRIES_PER_BUDGET;
-    let detail =
-        format!("At most {most} prepaid totals can change at once; change the others next.");
+    let max_budgets = (MAX_ENTRIES - HEAD_ENTRIES) / ENTRIES_PER_BUDGET;
+    let detail = format!(
+        "At most {max_budgets} prepaid totals can change at once; change the others in another edit."
+    );
     Err(Refusal::new(Code::DocumentInvalid).with_detail(detail))
 }
 
-fn refuse_faults(document: &Document) -> Result<(), Refusal> {
+/// Refuses a document that fails [`check::check`].
+fn check_document(document: &Document) -> Result<(), Refusal> {
     let faults = check::check(document);
     let Some(first) = faults.first() else {
         return Ok(());
     };
-    let detail = format!("{first} ({} faults in all).", faults.len());
+    let detail = format!("{first} ({} faults in total).", faults.len());
     Err(Refusal::new(Code::DocumentInvalid).with_detail(detail))
 }
 
-fn cut(label: &Arc<str>) -> Arc<str> {
+/// Truncates a label to [`MAX_LABEL_BYTES`] at a character boundary.
+fn truncate(label: &Arc<str>) -> Arc<str> {
     let mut end = label.len().min(MAX_LABEL_BYTES);
     while !label.is_char_boundary(end) {
         end -= 1;
@@ -227,14 +235,14 @@
 }
 
 impl Acceptance {
-    /// What became of this acceptance, from the `head` row and the `history` row of its version.
+    /// Determines the status of this acceptance from the `head` row and the `history` row of its version.
     ///
-    /// A head of a later version says nothing by itself: this document may have been accepted and then
-    /// followed by another one. Its history row tells.
+    /// A head of a later version is not sufficient, as this document may have been accepted and then replaced
+    /// by another one. The history row distinguishes these cases.
     ///
     /// # Errors
     ///
-    /// [`Code::Internal`] when a row cannot be read.
+    /// Returns [`Code::Internal`] if a row can't be decoded.
     pub fn status(&self, head: Option<&Row>, history: Option<&Row>) -> Result<Status, Refusal> {
         for row in [history, head].into_iter().flatten() {
             if Head::decode(row)?.change == self.head.change {
--- a/crates/fescuewell_document/src/head/budget.rs
+++ b/crates/fescuewell_document/src/head/budget.rs
@@ -1,4 +1,4 @@
-//! Prepaid totals in the budget rows.
+//! Updates of the prepaid totals in the budget rows.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,16 +9,16 @@
 
 use crate::model::Document;
 
-/// Start of the keys of all budget rows.
+/// Key prefix of the budget rows.
 pub const PREFIX: &str = "budget/";
 
-/// Key of a group's budget row.
+/// Returns the key of a group's budget row.
 pub fn key(group: &str) -> Arc<str> {
     format!("{PREFIX}{group}").into()
 }
 
-/// Keys of the budget rows that have to change, with the new totals. Groups that were removed are not among
-/// them: what they paid and spent stays on record.
+/// Returns the keys of the budget rows that must change, with the new totals. Removed groups are not included:
+/// their rows remain as a record of what they paid and spent.
 pub fn changed(before: &Document, after: &Document) -> Vec<(Arc<str>, Tokens)> {
     let old: HashMap<&str, Tokens> = before
         .groups
@@ -35,8 +35,8 @@
     changed
 }
 
-/// Adds the new total of one group to a transaction.
-pub(super) fn write(
+/// Adds the new prepaid total of one group to a transaction.
+pub(super) fn set_prepaid(
     transaction: Transaction,
     key: Arc<str>,
     prepaid: Tokens,
@@ -46,18 +46,18 @@
         let value = json!({"prepaid": prepaid, "spent": 0, "grants": {}});
         return Ok(put(transaction, key, 0, &value));
     };
-    // The row is edited as JSON, not through a type of this crate: a field that only the instances
-    // know would otherwise be dropped here, and with it what they recorded.
-    let mut value: Value = serde_json::from_slice(&row.value).map_err(|_| unreadable(&key))?;
-    let drawn = drawn(&value).ok_or_else(|| unreadable(&key))?;
+    // The row is edited as JSON rather than through a type of this crate, which would drop the fields that
+    // only the instances know.
+    let mut value: Value = serde_json::from_slice(&row.value).map_err(|_| invalid_row(&key))?;
+    let drawn = drawn(&value).ok_or_else(|| invalid_row(&key))?;
     if prepaid < drawn {
         let detail = format!(
-            "`{key}`: {} tokens are spent or allowed out, {} were to be prepaid.",
+            "`{key}`: {} tokens are spent or granted, but the new prepaid total is {}.",
             drawn.0, prepaid.0
         );
         return Err(Refusal::new(Code::PrepaidBelowDrawn).with_detail(detail));
     }
-    let fields = value.as_object_mut().ok_or_else(|| unreadable(&key))?;
+    let fields = value.as_object_mut().ok_or_else(|| invalid_row(&key))?;
     fields.insert("prepaid".into(), json!(prepaid));
     Ok(put(transaction, key, row.revision, &value))
 }
@@ -69,8 +69,8 @@
         .with_put(key, bytes)
 }
 
-/// What is spent or allowed out. An amount that cannot be read is a fault, never zero: a total accepted against a
-/// misread amount could fall below what instances may still spend.
+/// Returns the tokens that are spent or granted, or `None` if an amount is invalid. An invalid amount must not
+/// count as zero: the accepted total could then be lower than what instances may still spend.
 fn drawn(row: &Value) -> Option<Tokens> {
     let mut drawn = amount(row, "spent")?;
     match row.get("grants") {
@@ -92,6 +92,6 @@
     }
 }
 
-fn unreadable(key: &str) -> Refusal {
-    Refusal::new(Code::Internal).with_detail(format!("The row `{key}` holds no budget."))
+fn invalid_row(key: &str) -> Refusal {
+    Refusal::new(Code::Internal).with_detail(format!("The row `{key}` is not a valid budget."))
 }
--- a/crates/fescuewell_document/src/item.rs
+++ b/crates/fescuewell_document/src/item.rs
@@ -1,4 +1,4 @@
-//! Sections of a document and their items, for code that treats all sections alike.
+//! Sections of a document and their items, for code that is generic over sections.
 
 use std::fmt;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use crate::model::{Account, Document, Group, Kind, Model, Server, Service};
 
 fescuewell_core::data! {
-    /// One list of a document.
+    /// A section of a document, i.e. one of its lists.
     #[derive(Copy, PartialOrd, Ord, Hash)]
     #[serde(rename_all = "snake_case")]
     pub enum Section {
@@ -29,7 +29,7 @@
 }
 
 impl Section {
-    /// Every section, in the document's order.
+    /// All sections, in the order of the document.
     pub const ALL: [Self; 6] = [
         Self::Kinds,
         Self::Groups,
@@ -39,7 +39,7 @@
         Self::Services,
     ];
 
-    /// The section's key in the document.
+    /// Returns the key of the section in the document.
     pub fn name(self) -> &'static str {
         match self {
             Self::Kinds => "kinds",
@@ -51,7 +51,7 @@
         }
     }
 
-    /// What one item of it is called.
+    /// Returns the singular noun for an item of this section.
     pub fn singular(self) -> &'static str {
         match self {
             Self::Kinds => "kind",
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The section of that key.
+    /// Returns the section with this key.
     pub fn from_name(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|section| section.name() == name)
     }
@@ -75,18 +75,18 @@
     }
 }
 
-/// An item of a section, known by its name.
+/// An item of a section, identified by its name.
 pub trait Item: Clone + PartialEq + Serialize + DeserializeOwned {
-    /// Where items of this type stand.
+    /// Section of the items of this type.
     const SECTION: Section;
 
-    /// The item's name, unique within its section.
+    /// Returns the item's name, unique within its section.
     fn name(&self) -> &Arc<str>;
 
-    /// All items of this type in a document.
+    /// Returns all items of this type in a document.
     fn list(document: &Document) -> &Vec<Self>;
 
-    /// All items of this type in a document, for changing.
+    /// Returns all items of this type in a document, mutably.
     fn list_mut(document: &mut Document) -> &mut Vec<Self>;
 }
 
@@ -121,7 +121,7 @@
     Service in services as Services;
 }
 
-/// Calls `$body` once for each section, with `$item` standing for the type of its items.
+/// Evaluates `$body` once for each section, with `$item` as an alias for the type of its items.
 #[macro_export]
 macro_rules! for_each_section {
     ($item:ident => $body:expr) => {{
@@ -152,7 +152,7 @@
     }};
 }
 
-/// Evaluates `$body` with `$item` standing for the type of the items of one section.
+/// Evaluates `$body` with `$item` as an alias for the type of the items of `$section`.
 #[macro_export]
 macro_rules! with_section {
     ($section:expr, $item:ident => $body:expr) => {
@@ -185,7 +185,7 @@
     };
 }
 
-/// Sorts every section by name: the order of items has no meaning, and a stored document has this one.
+/// Sorts every section by name. The order of items has no meaning; stored documents are sorted.
 pub fn sort(document: &mut Document) {
     for_each_section!(T => T::list_mut(document).sort_by(|a, b| a.name().cmp(b.name())));
 }
--- a/crates/fescuewell_document/src/lib.rs
+++ b/crates/fescuewell_document/src/lib.rs
@@ -1,9 +1,9 @@
-//! The configuration document: the whole configuration in force, as one validated value.
+//! The configuration document: the complete active configuration as one validated value.
 //!
-//! [`model`] has its types; text names are unique within their section and cross-references are by name.
-//! [`parse`] reads it from JSON with comments, [`check`] validates it, [`difference`] compares and merges
-//! versions, [`chunk`] cuts it into content-addressed objects, [`head`] builds the transaction that
-//! accepts it, and [`lookup`] indexes it for routers. Nothing here opens a socket or reads a clock.
+//! [`model`] defines the types. Names are unique within their section, and cross-references are by name.
+//! [`parse`] reads a document from JSON with comments, [`check`] validates it, [`difference`] compares and
+//! merges versions, [`chunk`] splits it into content-addressed objects, [`head`] builds the transaction that
+//! accepts it, and [`lookup`] indexes it for routers. This crate opens no sockets and reads no clock.
 
 pub mod check;
 pub mod chunk;
@@ -17,7 +17,7 @@
 pub mod parse;
 pub mod settings;
 
-/// The document's types.
+/// Re-exports of the document's types.
 pub mod prelude {
     pub use crate::fault::Fault;
     pub use crate::model::{
--- a/crates/fescuewell_document/src/lookup.rs
+++ b/crates/fescuewell_document/src/lookup.rs
@@ -1,4 +1,4 @@
-//! An index of one document for routers: every lookup that a request needs, in constant time.
+//! An index of one document, with the lookups that routers need for a request in constant time.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,12 +9,12 @@
 use crate::key;
 use crate::model::{Account, Call, Document, Group, Kind, Model, Server, ServerRole, Service};
 
-type Names = HashMap<Arc<str>, u32>;
+type Positions = HashMap<Arc<str>, u32>;
 
 /// A document with indexes by name and by key hash.
 ///
-/// Keys ([`AccountKey`] and the like) are positions in this document's lists and mean nothing in the next
-/// version's index.
+/// Keys such as [`ServerKey`] are positions in this document's lists and are not valid in the index of
+/// another version.
 ///
 /// ```
 /// use fescuewell_document::lookup::Index;
@@ -34,162 +34,164 @@
 pub struct Index {
     document: Arc<Document>,
     key_hashes: HashMap<Arc<str>, u32>,
-    kinds: Names,
-    groups: Names,
-    accounts: Names,
-    models: Names,
-    servers: Names,
-    services: Names,
-    calls: HashMap<Arc<str>, Names>,
-    reach: Vec<Vec<ServerKey>>,
+    kinds: Positions,
+    groups: Positions,
+    accounts: Positions,
+    models: Positions,
+    servers: Positions,
+    services: Positions,
+    calls: HashMap<Arc<str>, Positions>,
+    reachable: Vec<Vec<ServerKey>>,
     engines: HashMap<Arc<str>, Vec<ServerKey>>,
 }
 
-fn names<T>(document: &Document) -> Names
+fn positions<T>(document: &Document) -> Positions
 where
     T: Item,
 {
-    let mut names = Names::with_capacity(T::list(document).len());
+    let mut positions = Positions::with_capacity(T::list(document).len());
     for (position, item) in T::list(document).iter().enumerate() {
-        names.insert(item.name().clone(), position as u32);
+        positions.insert(item.name().clone(), position as u32);
     }
-    names
+    positions
 }
 
-fn get<'a, T>(names: &Names, list: &'a [T], name: &str) -> Option<&'a T> {
-    names.get(name).map(|&position| &list[position as usize])
+fn get<'a, T>(positions: &Positions, list: &'a [T], name: &str) -> Option<&'a T> {
+    positions
+        .get(name)
+        .map(|&position| &list[position as usize])
 }
 
 impl Index {
-    /// Indexes a document that passed its checks; references that lead nowhere are left out.
+    /// Indexes a document that passed [`check`](crate::check::check). Dangling references are left out.
     pub fn new(document: Arc<Document>) -> Self {
-        let servers = names::<Server>(&document);
+        let servers = positions::<Server>(&document);
         Self {
             key_hashes: key_hashes(&document),
-            kinds: names::<Kind>(&document),
-            groups: names::<Group>(&document),
-            accounts: names::<Account>(&document),
-            models: names::<Model>(&document),
-            services: names::<Service>(&document),
+            kinds: positions::<Kind>(&document),
+            groups: positions::<Group>(&document),
+            accounts: positions::<Account>(&document),
+            models: positions::<Model>(&document),
+            services: positions::<Service>(&document),
             calls: calls(&document),
-            reach: reach(&document, &servers),
+            reachable: reachable_servers(&document, &servers),
             engines: engines(&document),
             servers,
             document,
         }
     }
 
-    /// The document behind this index.
+    /// Returns the indexed document.
     pub fn document(&self) -> &Arc<Document> {
         &self.document
     }
 
-    /// The account that a caller's key opens.
+    /// Returns the account that a caller's key authenticates.
     ///
-    /// The map is searched by the key's hash: the time that takes tells a guesser about bits of a hash, which
-    /// cannot be turned into a key. The stored hash itself is then compared in constant time.
+    /// The map lookup uses the key's hash, so its timing can only reveal bits of the hash, from which the key
+    /// can't be derived. The stored hash is then compared in constant time.
     pub fn account_by_key(&self, key: &str) -> Option<&Account> {
         let hash = key::hash_key(key);
         let (stored, &position) = self.key_hashes.get_key_value(&*hash)?;
         key::verify(key, stored).then(|| &self.document.accounts[position as usize])
     }
 
-    /// The account of that name.
+    /// Returns the client account with this name.
     pub fn account(&self, name: &str) -> Option<&Account> {
         get(&self.accounts, &self.document.accounts, name)
     }
 
-    /// The kind of request of that name.
+    /// Returns the kind of request with this name.
     pub fn kind(&self, name: &str) -> Option<&Kind> {
         get(&self.kinds, &self.document.kinds, name)
     }
 
-    /// The group of that name.
+    /// Returns the group with this name.
     pub fn group(&self, name: &str) -> Option<&Group> {
         get(&self.groups, &self.document.groups, name)
     }
 
-    /// The model of that name.
+    /// Returns the model with this name.
     pub fn model(&self, name: &str) -> Option<&Model> {
         get(&self.models, &self.document.models, name)
     }
 
-    /// The backend server of that name.
+    /// Returns the backend server with this name.
     pub fn server(&self, name: &str) -> Option<&Server> {
         get(&self.servers, &self.document.servers, name)
     }
 
-    /// The service of that name.
+    /// Returns the service with this name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         get(&self.services, &self.document.services, name)
     }
 
-    /// One call of a service, and the service.
+    /// Returns a service and one of its calls.
     pub fn call(&self, service: &str, call: &str) -> Option<(&Service, &Call)> {
         let found = self.service(service)?;
         let call = get(self.calls.get(service)?, &found.calls, call)?;
         Some((found, call))
     }
 
-    /// The position of a kind in the document.
+    /// Returns the position of a kind in the document.
     pub fn kind_key(&self, name: &str) -> Option<KindKey> {
         self.kinds.get(name).copied().map(KindKey)
     }
 
-    /// The position of a group in the document.
+    /// Returns the position of a group in the document.
     pub fn group_key(&self, name: &str) -> Option<GroupKey> {
         self.groups.get(name).copied().map(GroupKey)
     }
 
-    /// The position of a backend server in the document.
+    /// Returns the position of a backend server in the document.
     pub fn server_key(&self, name: &str) -> Option<ServerKey> {
         self.servers.get(name).copied().map(ServerKey)
     }
 
-    /// The backend server at a position that this index gave out.
+    /// Returns the backend server at a position that this index returned.
     ///
     /// # Panics
     ///
-    /// When the key comes from another document's index and is out of range.
+    /// Panics if the key belongs to another document's index and is out of range.
     pub fn server_at(&self, key: ServerKey) -> &Server {
         &self.document.servers[key.0 as usize]
     }
 
-    /// The backend servers that a group may reach, in ascending order of their keys; none for an unknown group.
-    pub fn reach(&self, group: &str) -> &[ServerKey] {
+    /// Returns the backend servers that a group may reach, in ascending key order. Empty for an unknown group.
+    pub fn reachable_servers(&self, group: &str) -> &[ServerKey] {
         match self.groups.get(group) {
-            Some(&position) => &self.reach[position as usize],
+            Some(&position) => &self.reachable[position as usize],
             None => &[],
         }
     }
 
-    /// Whether a group may reach a backend server.
+    /// Returns whether a group may reach a backend server.
     pub fn can_reach(&self, group: &str, server: &str) -> bool {
         let Some(key) = self.server_key(server) else {
             return false;
         };
-        self.reach(group).binary_search(&key).is_ok()
+        self.reachable_servers(group).binary_search(&key).is_ok()
     }
 
-    /// The engines that may be ordered to load a model, in ascending order of their keys.
+    /// Returns the engines that may be ordered to load a model, in ascending key order.
     pub fn engines(&self, model: &str) -> &[ServerKey] {
         self.engines.get(model).map_or(&[], Vec::as_slice)
     }
 
-    /// The engines that may load a model and that a group may reach.
+    /// Returns the engines that may load a model and that a group may reach.
     pub fn candidates(&self, group: &str, model: &str) -> Vec<ServerKey> {
-        let reach = self.reach(group);
+        let reachable = self.reachable_servers(group);
         let engines = self.engines(model).iter().copied();
         engines
-            .filter(|key| reach.binary_search(key).is_ok())
+            .filter(|key| reachable.binary_search(key).is_ok())
             .collect()
     }
 
-    /// Whether a group may use a model at all: whether any engine it reaches may load it.
+    /// Returns whether a group may use a model, i.e. can reach at least one engine that may load it.
     pub fn can_use(&self, group: &str, model: &str) -> bool {
-        let reach = self.reach(group);
+        let reachable = self.reachable_servers(group);
         let mut engines = self.engines(model).iter();
-        engines.any(|key| reach.binary_search(key).is_ok())
+        engines.any(|key| reachable.binary_search(key).is_ok())
     }
 }
 
@@ -203,11 +205,11 @@
     hashes
 }
 
-fn calls(document: &Document) -> HashMap<Arc<str>, Names> {
+fn calls(document: &Document) -> HashMap<Arc<str>, Positions> {
     let mut calls = HashMap::new();
     for service in &document.services {
         let positions = service.calls.iter().enumerate();
-        let names: Names = positions
+        let names: Positions = positions
             .map(|(position, call)| (call.name.clone(), position as u32))
             .collect();
         calls.insert(service.name.clone(), names);
@@ -215,15 +217,15 @@
     calls
 }
 
-fn reach(document: &Document, servers: &Names) -> Vec<Vec<ServerKey>> {
-    let mut reach = Vec::with_capacity(document.groups.len());
+fn reachable_servers(document: &Document, servers: &Positions) -> Vec<Vec<ServerKey>> {
+    let mut reachable = Vec::with_capacity(document.groups.len());
     for group in &document.groups {
         let found = group.reach.iter().filter_map(|name| servers.get(name));
         let mut keys: Vec<ServerKey> = found.copied().map(ServerKey).collect();
         keys.sort_unstable();
-        reach.push(keys);
+        reachable.push(keys);
     }
-    reach
+    reachable
 }
 
 fn engines(document: &Document) -> HashMap<Arc<str>, Vec<ServerKey>> {
--- a/crates/fescuewell_document/src/model.rs
+++ b/crates/fescuewell_document/src/model.rs
@@ -1,4 +1,4 @@
-//! Types of the configuration document.
+//! The types of the configuration document.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 use fescuewell_core::prelude::*;
 
 fescuewell_core::data! {
-    /// The whole configuration in force.
+    /// The complete active configuration.
     #[derive(Default)]
     #[serde(deny_unknown_fields)]
     pub struct Document {
@@ -25,7 +25,7 @@
         /// Backend servers.
         #[serde(default)]
         pub servers: Vec<Server>,
-        /// Plain services and their calls.
+        /// Services without models, and their calls.
         #[serde(default)]
         pub services: Vec<Service>,
     }
@@ -35,24 +35,25 @@
     pub struct Kind {
         /// Unique name, sent by callers in `X-Request-Kind`.
         pub name: Arc<str>,
-        /// 0 is the most urgent. Lower numbers always go first, but for the floors of the others.
+        /// Priority; 0 is the most urgent. Lower numbers are always served first, except for the floors of the
+        /// other kinds.
         pub priority: u8,
-        /// Share of the capacity, in percent, that this kind gets even while more urgent work waits.
+        /// Percentage of the capacity reserved for this kind even while more urgent requests wait.
         #[serde(default)]
         pub floor_percent: u8,
-        /// Deadline of a request that names none, in milliseconds after its arrival.
+        /// Default deadline of a request, in milliseconds after its arrival.
         pub deadline_ms: u64,
     }
 
-    /// How allowances of one group are sized.
+    /// How the allowances of one group are sized.
     #[serde(deny_unknown_fields)]
     pub struct Allowance {
-        /// Outage of the table service that allowances should outlast, in seconds of recent use.
-        /// Large for groups that weigh false refusals most, small for those that hold tight limits.
+        /// Outage of the table service that allowances should cover, in seconds of recent use. Large values
+        /// avoid false refusals, small values keep limits tight.
         pub outage_seconds: u32,
-        /// Most that one instance draws at once, in percent of what is left of the budget.
+        /// Maximum that one instance draws at once, in percent of the remaining budget.
         pub share_percent: u8,
-        /// Least that is drawn at once while as much is left, in tokens.
+        /// Minimum that is drawn at once if the budget has as much left, in tokens.
         #[serde(rename = "least")]
         pub min_draw: Tokens,
     }
@@ -62,33 +63,33 @@
     pub struct Group {
         /// Unique name.
         pub name: Arc<str>,
-        /// Prepaid tokens: a cumulative total that top-ups raise.
+        /// Prepaid tokens: a cumulative total that increases with each top-up.
         pub prepaid: Tokens,
-        /// Relative share of the capacity among groups of one kind of request.
+        /// Relative share of the capacity among the groups that send the same kind of request.
         pub weight: u32,
-        /// How its allowances are sized.
+        /// How the group's allowances are sized.
         pub allowance: Allowance,
         /// Names of the backend servers that the group may reach.
         pub reach: Vec<Arc<str>>,
     }
 
-    /// A client account: who holds keys.
+    /// A client account, identified by its keys.
     #[serde(deny_unknown_fields)]
     pub struct Account {
         /// Unique name.
         pub name: Arc<str>,
-        /// The group whose budget pays.
+        /// The group whose budget is charged.
         pub group: Arc<str>,
-        /// Keys that open the account; more than one while a key is rotated.
+        /// Keys that authenticate the account; more than one while a key is rotated.
         pub keys: Vec<Key>,
-        /// Kind of requests that name none.
+        /// Kind of requests that don't specify one.
         pub default_kind: Arc<str>,
     }
 
-    /// A stored key: never the key itself.
+    /// The stored form of a key, which never contains the key itself.
     #[serde(deny_unknown_fields)]
     pub struct Key {
-        /// Name of the key, for operators.
+        /// Name of the key, shown to operators.
         pub name: Arc<str>,
         /// BLAKE3 hash of the key, 64 hexadecimal digits. Keys are random, so no salt is needed.
         pub hash: Arc<str>,
@@ -99,25 +100,25 @@
     pub struct Model {
         /// Unique name, as callers write it.
         pub name: Arc<str>,
-        /// Prompt and output together, in tokens.
+        /// Context window: maximum prompt and output together, in tokens.
         pub context_tokens: u32,
-        /// Output limit of a request that names none, in tokens.
+        /// Default output limit of a request, in tokens.
         pub default_output: u32,
-        /// Base model, when this one is an adapter.
+        /// Base model, if this model is an adapter.
         #[serde(default)]
         pub base: Option<Arc<str>>,
-        /// Fewest backend servers that keep it loaded.
+        /// Minimum number of backend servers that keep the model loaded.
         #[serde(rename = "least_servers")]
         pub min_servers: u32,
     }
 
-    /// What a backend server does.
+    /// The role of a backend server.
     #[derive(Copy)]
     #[serde(rename_all = "snake_case")]
     pub enum ServerRole {
         /// Runs models.
         Engine,
-        /// Runs plain calls.
+        /// Runs service calls.
         Service,
     }
 
@@ -126,22 +127,22 @@
     pub struct Server {
         /// Unique name, as in the instance list.
         pub name: Arc<str>,
-        /// What it does.
+        /// Its role.
         pub role: ServerRole,
-        /// Where it listens.
+        /// Address that it listens on.
         pub address: SocketAddr,
         /// Its availability zone.
         pub zone: Arc<str>,
-        /// Models that it may be ordered to load (engines only).
+        /// Models that it may be ordered to load; engines only.
         #[serde(default)]
         pub models: Vec<Arc<str>>,
-        /// Most requests that the whole fleet keeps running on it at once.
+        /// Maximum number of requests that the whole fleet runs on it concurrently.
         pub concurrency: u32,
-        /// Whether it refuses orders that carry an old fencing number.
+        /// Whether it rejects orders with an outdated fencing number.
         pub checks_fencing: bool,
     }
 
-    /// A plain service.
+    /// A service without models.
     #[serde(deny_unknown_fields)]
     pub struct Service {
         /// Unique name, as in `/v1/services/{service}/{call}`.
@@ -152,16 +153,16 @@
         pub calls: Vec<Call>,
     }
 
-    /// One call of a plain service.
+    /// One call of a service.
     #[serde(deny_unknown_fields)]
     pub struct Call {
-        /// Name within the service.
+        /// Unique name within the service.
         pub name: Arc<str>,
-        /// Whether it may run more than once without harm.
+        /// Whether it is idempotent, i.e. may run more than once.
         pub repeatable: bool,
-        /// Kind of request that it counts as.
+        /// Kind of request under which it is scheduled.
         pub kind: Arc<str>,
-        /// Flat price in tokens; 0 for calls that are free.
+        /// Flat price in tokens; 0 for free calls.
         #[serde(default)]
         pub price: Tokens,
     }
--- a/crates/fescuewell_document/src/parse.rs
+++ b/crates/fescuewell_document/src/parse.rs
@@ -1,8 +1,8 @@
-//! Reading JSON with comments, with errors that name line, column, field and what is allowed.
+//! Parser for JSON with comments. Errors include the line, the column, the field and the allowed values.
 //!
-//! The same machinery reads configuration documents ([`read_document`]) and, through
-//! [`settings`](crate::settings), the daemons' settings files. Comments and trailing commas are
-//! accepted; the other liberties of JSON5 are not. Size and nesting depth are bounded.
+//! The parser reads configuration documents ([`read_document`]) and the daemons' settings files
+//! ([`settings`](crate::settings)). It accepts comments and trailing commas, but no other JSON5 extensions.
+//! The size and the nesting depth are limited.
 
 mod deserialize;
 
@@ -17,25 +17,25 @@
 use crate::fault::Fault;
 use crate::model::Document;
 
-/// Largest text that is read, in bytes: 22,000 groups with long lists need about 20 MB.
+/// Maximum size of a text in bytes. 22,000 groups with long lists need about 20 MB.
 pub const MAX_TEXT_BYTES: usize = 32 << 20;
 
-/// Deepest nesting of arrays and objects that is read.
+/// Maximum nesting depth of arrays and objects.
 pub const MAX_NESTING: usize = 32;
 
 fescuewell_core::data! {
-    /// A place in a text; both numbers start at 1, columns count characters.
+    /// A position in a text. Both numbers start at 1, and columns count characters.
     #[derive(Copy)]
     pub struct Position {
-        /// Line.
+        /// Line number.
         pub line: u32,
-        /// Column.
+        /// Column number.
         pub column: u32,
     }
 }
 
 impl Position {
-    /// The position of the byte at `offset`.
+    /// Returns the position of the byte at `offset`.
     pub fn at_offset(text: &str, offset: usize) -> Self {
         let mut end = offset.min(text.len());
         while !text.is_char_boundary(end) {
@@ -50,12 +50,11 @@
     }
 }
 
-/// Reads a document and runs every check on it.
+/// Reads a document and validates it with [`check::check`].
 ///
 /// # Errors
 ///
-/// All faults that [`check::check`] finds, with line and column; or the one fault that keeps the text
-/// from being read at all.
+/// Returns all faults that the check finds, with line and column, or a single fault if the text can't be parsed.
 pub fn read_document(text: &str) -> Result<Document, Vec<Fault>> {
     let value = parse_value(text).map_err(|fault| vec![fault])?;
     let document: Document = from_value(text, &value).map_err(|fault| vec![fault])?;
@@ -71,11 +70,11 @@
     Err(located)
 }
 
-/// Reads any value from JSON with comments, without checks beyond its type's own.
+/// Reads a value of any type from JSON with comments, without further validation.
 ///
 /// # Errors
 ///
-/// The first fault that was met.
+/// Returns the first fault found.
 pub fn read<T>(text: &str) -> Result<T, Fault>
 where
     T: DeserializeOwned,
@@ -94,7 +93,7 @@
 fn parse_value(text: &str) -> Result<Value<'_>, Fault> {
     if text.len() > MAX_TEXT_BYTES {
         let message = format!(
-            "the text has {} bytes; at most {MAX_TEXT_BYTES} are read",
+            "the text has {} bytes; the limit is {MAX_TEXT_BYTES}",
             text.len()
         );
         return Err(Fault::new("", message));
@@ -112,13 +111,13 @@
         allow_extended_string_escapes: false,
     };
     let parsed = parse_to_ast(text, &CollectOptions::default(), &options).map_err(|error| {
-        let message = format!("not JSON with comments: {}", error.kind());
+        let message = format!("invalid JSON: {}", error.kind());
         Fault::new("", message).with_position(Position::at_offset(text, error.range().start))
     })?;
     let Some(value) = parsed.value else {
         return Err(Fault::new("", "the text is empty").with_suggestion("expected `{ ... }`"));
     };
-    match too_deep(&value, MAX_NESTING) {
+    match find_too_deep(&value, MAX_NESTING) {
         None => Ok(value),
         Some(offset) => {
             let message = format!("nested deeper than {MAX_NESTING} levels");
@@ -127,27 +126,27 @@
     }
 }
 
-/// Offset of the first value below the allowed depth. The parser bounds its own recursion, so this
-/// recursion is bounded too.
-fn too_deep(value: &Value<'_>, left: usize) -> Option<usize> {
+/// Returns the offset of the first value that is nested deeper than `max_depth`. The parser limits its own
+/// recursion, so this recursion is limited too.
+fn find_too_deep(value: &Value<'_>, max_depth: usize) -> Option<usize> {
     let children: Vec<&Value<'_>> = match value {
         Value::Object(object) => object.properties.iter().map(|p| &p.value).collect(),
         Value::Array(array) => array.elements.iter().collect(),
         _ => return None,
     };
-    if left == 0 {
+    if max_depth == 0 {
         return Some(value.range().start);
     }
     children
         .into_iter()
-        .find_map(|child| too_deep(child, left - 1))
+        .find_map(|child| find_too_deep(child, max_depth - 1))
 }
 
-/// Offset of the value at a path such as `groups[3].reach[0]`, or of the deepest part that exists.
+/// Returns the offset of the value at a path such as `groups[3].reach[0]`, or of its deepest existing parent.
 fn offset_of(root: &Value<'_>, path: &str) -> usize {
-    let mut at = root;
+    let mut value = root;
     for step in path.split(['.', '[']).filter(|step| !step.is_empty()) {
-        let next = match at {
+        let next = match value {
             Value::Object(object) => object.get(step).map(|property| &property.value),
             Value::Array(array) => step
                 .trim_end_matches(']')
@@ -157,12 +156,12 @@
             _ => None,
         };
         let Some(next) = next else { break };
-        at = next;
+        value = next;
     }
-    at.range().start
+    value.range().start
 }
 
-/// Joins the steps from the root to a value into a path.
+/// Formats the steps from the root to a value as a path.
 fn join_path(steps: &[Step]) -> Arc<str> {
     let mut path = String::new();
     for step in steps {
@@ -179,7 +178,7 @@
     path.into()
 }
 
-/// One step from a value to a value inside it.
+/// One step of a path, from a value to one of its children.
 enum Step {
     Field(String),
     Index(usize),
--- a/crates/fescuewell_document/src/parse/deserialize.rs
+++ b/crates/fescuewell_document/src/parse/deserialize.rs
@@ -1,4 +1,4 @@
-//! A serde deserializer over the parsed text that remembers where each value stood.
+//! A serde deserializer for the syntax tree whose errors include the position of the value.
 
 use std::fmt;
 
@@ -14,10 +14,10 @@
 use super::{Position, Step, join_path};
 use crate::fault::{Fault, nearest};
 
-/// Most allowed values that an error spells out.
-const MOST_ALLOWED_SHOWN: usize = 24;
+/// Maximum number of allowed values listed in an error.
+const MAX_ALLOWED_SHOWN: usize = 24;
 
-/// A fault under construction: the path grows while the error travels up.
+/// A fault whose path is built while the error propagates to the root.
 #[derive(Debug)]
 pub(super) struct Error {
     message: String,
@@ -42,12 +42,13 @@
         }
     }
 
-    /// Keeps the innermost place: the first one that is told.
-    fn at(mut self, offset: usize) -> Self {
+    /// Sets the offset unless it is already set, so that the innermost value's offset is kept.
+    fn at_offset(mut self, offset: usize) -> Self {
         self.offset.get_or_insert(offset);
         self
     }
 
+    /// Adds the next outer step of the path.
     fn within(mut self, step: Step) -> Self {
         self.steps.push(step);
         self
@@ -67,20 +68,20 @@
 }
 
 fn suggest(word: &str, allowed: &'static [&'static str]) -> String {
-    if let Some(meant) = nearest(word, allowed.iter().copied()) {
+    if let Some(nearest_name) = nearest(word, allowed.iter().copied()) {
         return format!(
-            "did you mean `{meant}`? allowed: {}",
-            list(allowed.iter().copied())
+            "did you mean `{nearest_name}`? allowed: {}",
+            join_names(allowed.iter().copied())
         );
     }
-    format!("allowed: {}", list(allowed.iter().copied()))
+    format!("allowed: {}", join_names(allowed.iter().copied()))
 }
 
-fn list<'a, Names>(names: Names) -> String
+fn join_names<'a, Names>(names: Names) -> String
 where
     Names: Iterator<Item = &'a str>,
 {
-    let shown: Vec<&str> = names.take(MOST_ALLOWED_SHOWN).collect();
+    let shown: Vec<&str> = names.take(MAX_ALLOWED_SHOWN).collect();
     shown.join(", ")
 }
 
@@ -123,11 +124,11 @@
     }
 
     fn duplicate_field(field: &'static str) -> Self {
-        Self::new(format!("the key `{field}` stands twice"), None)
+        Self::new(format!("duplicate key `{field}`"), None)
     }
 }
 
-/// One value of the parsed text.
+/// A value of the syntax tree.
 #[derive(Clone, Copy)]
 pub(super) struct Node<'a>(pub(super) &'a Value<'a>);
 
@@ -174,7 +175,7 @@
                 next: 0,
             }),
         };
-        result.map_err(|error| error.at(self.start()))
+        result.map_err(|error| error.at_offset(self.start()))
     }
 
     fn deserialize_option<V>(self, visitor: V) -> Result<V::Value, Error>
@@ -224,7 +225,7 @@
                 None,
             )),
         };
-        result.map_err(|error| error.at(self.start()))
+        result.map_err(|error| error.at_offset(self.start()))
     }
 
     forward_to_deserialize_any! {
@@ -254,7 +255,7 @@
         let result = seed.deserialize(node);
         result
             .map(Some)
-            .map_err(|error| error.at(node.start()).within(Step::Index(index)))
+            .map_err(|error| error.at_offset(node.start()).within(Step::Index(index)))
     }
 
     fn size_hint(&self) -> Option<usize> {
@@ -286,7 +287,7 @@
         let name: StrDeserializer<'_, Error> = property.name.as_str().into_deserializer();
         seed.deserialize(name)
             .map(Some)
-            .map_err(|error| error.at(property.range.start))
+            .map_err(|error| error.at_offset(property.range.start))
     }
 
     fn next_value_seed<S>(&mut self, seed: S) -> Result<S::Value, Error>
@@ -298,7 +299,7 @@
         let node = Node(&property.value);
         seed.deserialize(node).map_err(|error| {
             let name = property.name.as_str().to_owned();
-            error.at(node.start()).within(Step::Field(name))
+            error.at_offset(node.start()).within(Step::Field(name))
         })
     }
 }
@@ -326,7 +327,7 @@
     fn node(&self) -> Result<Node<'de>, Error> {
         let missing = || {
             Error::new(
-                format!("`{}` needs a value", self.name),
+                format!("`{}` requires a value", self.name),
                 Some(format!("write {{\"{}\": ...}}", self.name)),
             )
         };
--- a/crates/fescuewell_document/src/settings.rs
+++ b/crates/fescuewell_document/src/settings.rs
@@ -1,5 +1,5 @@
-//! Reading the daemons' settings files: JSON with comments, errors that name file, line, setting and
-//! allowed values.
+//! Reads the daemons' settings files: JSON with comments. Errors include the file, the line, the setting and
+//! the allowed values.
 //!
 //! ```
 //! #[derive(serde::Deserialize, Debug)]
@@ -20,18 +20,18 @@
 use crate::fault::Fault;
 use crate::parse;
 
-/// Why a settings file was refused.
+/// Why a settings file was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{}", self.text()))]
 pub struct Error {
-    /// The file's name, as it was given.
+    /// Name of the file, as passed by the caller.
     pub file: Arc<str>,
-    /// What is wrong and where.
+    /// The error and its location.
     pub fault: Fault,
 }
 
 impl Error {
-    /// A fault that the settings' own validation found.
+    /// Creates an error from a fault that the settings' own validation found.
     pub fn new<File>(file: File, fault: Fault) -> Self
     where
         File: Into<Arc<str>>,
@@ -42,30 +42,30 @@
         }
     }
 
-    /// The line, starting at 1, when the place is known.
+    /// Returns the line number, starting at 1, if the location is known.
     pub fn line(&self) -> Option<u32> {
         self.fault.position.map(|position| position.line)
     }
 
     fn text(&self) -> String {
-        let place = match self.fault.position {
+        let location = match self.fault.position {
             Some(position) => format!("{}:{}:{}", self.file, position.line, position.column),
             None => self.file.to_string(),
         };
-        let mut rest = self.fault.clone();
-        rest.position = None;
-        format!("{place}: {rest}")
+        let mut fault = self.fault.clone();
+        fault.position = None;
+        format!("{location}: {fault}")
     }
 }
 
 /// Reads settings of any type from text.
 ///
-/// The type should refuse unknown keys (`#[serde(deny_unknown_fields)]`) and hold secrets by reference
-/// only (a file name), so that neither the file nor an error about it gives one away.
+/// The type should reject unknown keys (`#[serde(deny_unknown_fields)]`) and contain secrets only by reference,
+/// e.g. as a file name, so that neither the file nor an error about it reveals them.
 ///
 /// # Errors
 ///
-/// The first fault that was met.
+/// Returns the first fault found.
 pub fn read<Settings>(text: &str, file_name: &str) -> Result<Settings, Error>
 where
     Settings: DeserializeOwned,
--- a/crates/fescuewell_document/tests/chunk.rs
+++ b/crates/fescuewell_document/tests/chunk.rs
@@ -1,4 +1,4 @@
-//! Cutting documents into objects and putting them together again.
+//! Tests of splitting documents into objects and assembling them again.
 
 mod fixture;
 
@@ -13,7 +13,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-/// Fetches everything that is missing from `source`; gives the document, the bytes and the rounds it took.
+/// Fetches all objects of `bundle` that are not in `known`. Returns the document and the number of fetched bytes
+/// and of rounds.
 fn fetch(bundle: &Bundle, known: &Objects) -> (Document, usize, usize) {
     let mut assembly = Assembly::start(bundle.root).with_known(known).unwrap();
     let (mut bytes, mut rounds) = (0, 0);
@@ -106,8 +107,8 @@
 
 #[test]
 fn names_that_stand_twice_do_not_split_for_ever() {
-    // Symptom: the console's thread dies of a stack overflow on a bad upload. Sequence: a document with
-    // one name on many items is cut before it is checked. Cause: equal hashes never part.
+    // Guards against a stack overflow in the console: if a document is split before it is validated, many items
+    // may have the same name, and their equal hashes can't be distributed over several leaves.
     let mut document = fixture::document();
     document.groups = vec![fixture::group("same", 1); 500];
     let bundle = split(&document);
@@ -116,8 +117,8 @@
 
 #[test]
 fn a_damaged_object_is_refused_and_asked_for_again() {
-    // Symptom: instances act on different documents of one version. Sequence: a peer or the store
-    // answers with damaged bytes. Cause: content taken without comparing it with its name.
+    // Guards against instances with different documents of the same version: a peer or the store returns corrupt
+    // bytes, and the content is accepted without verifying its hash.
     let bundle = split(&fixture::document());
     let mut assembly = Assembly::start(bundle.root);
     let root = assembly.missing()[0].clone();
@@ -133,8 +134,8 @@
 
 #[test]
 fn a_newer_format_is_refused_for_its_number() {
-    // Symptom: an instance of the old program runs half a document. Sequence: the fleet is upgraded one by one
-    // and a new console writes what old instances cannot read. Cause: no format number, or one read too late.
+    // Guards against an old instance that applies a partially decoded document during a rolling upgrade: a new
+    // console writes a format that old instances can't read, and the number is missing or read too late.
     let bytes = format!(
         r#"R{{"format":{},"sections":{{"unheard":"00"}}}}"#,
         FORMAT + 1
@@ -173,9 +174,9 @@
 
 #[test]
 fn the_encoding_of_this_format_stays_what_it_was() {
-    // Symptom: after an upgrade instances refuse or misread the stored document. Sequence: a field is added
-    // to the model, and the encoding, which has no field names, shifts under the same format number.
-    // Cause: the number was not raised. If this fails, raise FORMAT and keep the old types for reading.
+    // Guards against instances that reject or misread the stored document after an upgrade: a field is added to
+    // the model, which changes the encoding without field names, but the format number stays the same. If this
+    // fails, increase FORMAT and keep the old types for reading.
     let root = split(&fixture::document()).root.to_string();
     assert_eq!(
         (FORMAT, root.as_str()),
--- a/crates/fescuewell_document/tests/difference.rs
+++ b/crates/fescuewell_document/tests/difference.rs
@@ -1,4 +1,4 @@
-//! Differences for people, and merges of raced edits.
+//! Tests of textual differences and of merging concurrent edits.
 
 mod fixture;
 
@@ -74,28 +74,28 @@
 
 #[test]
 fn two_top_ups_of_one_budget_clash() {
-    // Symptom: a group has paid twice and has only one top-up. Sequence: two operators raise the same
-    // total from the same version. Cause: the second total overwrites the first, unseen.
+    // Guards against a lost top-up: two operators raise the same total from the same version, and the second
+    // total overwrites the first unnoticed.
     let mine = edited(|d| d.groups[0].prepaid = Tokens(15_000));
     let theirs = edited(|d| d.groups[0].prepaid = Tokens(12_000));
-    let clashes = merge(&fixture::document(), &mine, &theirs).unwrap_err();
-    assert_eq!(clashes.len(), 1);
+    let conflicts = merge(&fixture::document(), &mine, &theirs).unwrap_err();
+    assert_eq!(conflicts.len(), 1);
     let Conflict {
         field,
         base,
         mine,
         theirs,
         ..
-    } = &clashes[0];
+    } = &conflicts[0];
     assert_eq!(&**field, "prepaid");
-    let shown = [base, mine, theirs].map(|side| side.as_deref().unwrap().to_owned());
-    assert_eq!(shown, ["10000", "15000", "12000"]);
+    let values = [base, mine, theirs].map(|side| side.as_deref().unwrap().to_owned());
+    assert_eq!(values, ["10000", "15000", "12000"]);
 }
 
 #[test]
 fn what_was_typed_is_kept_where_edits_clash() {
-    // Symptom: an operator types a long form, is told that somebody was faster, and starts over.
-    // Cause: showing the accepted values instead of the typed ones after a race.
+    // Guards against lost input: after a conflict, an operator must see their own values rather than the
+    // accepted ones, or they have to fill in the form again.
     let mine = edited(|d| {
         d.groups[0].prepaid = Tokens(15_000);
         d.groups.remove(1);
@@ -105,8 +105,8 @@
         d.groups[0].weight = 4;
         d.groups[1].weight = 2;
     });
-    let (kept, clashes) = merge_preferring_mine(&fixture::document(), &mine, &theirs);
-    assert_eq!(clashes.len(), 2);
+    let (kept, conflicts) = merge_preferring_mine(&fixture::document(), &mine, &theirs);
+    assert_eq!(conflicts.len(), 2);
     assert_eq!(kept.groups.len(), 1);
     assert_eq!(
         (kept.groups[0].prepaid, kept.groups[0].weight),
@@ -127,10 +127,10 @@
         d.groups.remove(1);
     });
     for (mine, theirs) in [(&mine, &theirs), (&theirs, &mine)] {
-        let clashes = merge(&fixture::document(), mine, theirs).unwrap_err();
-        assert_eq!(clashes.len(), 1);
-        assert_eq!(&*clashes[0].name, "reef-relay");
-        assert!(clashes[0].mine.is_none() || clashes[0].theirs.is_none());
+        let conflicts = merge(&fixture::document(), mine, theirs).unwrap_err();
+        assert_eq!(conflicts.len(), 1);
+        assert_eq!(&*conflicts[0].name, "reef-relay");
+        assert!(conflicts[0].mine.is_none() || conflicts[0].theirs.is_none());
     }
 }
 
@@ -138,8 +138,8 @@
 fn two_different_additions_of_one_name_clash() {
     let mine = edited(|d| d.groups.push(fixture::group("brolga", 1)));
     let theirs = edited(|d| d.groups.push(fixture::group("brolga", 2)));
-    let clashes = merge(&fixture::document(), &mine, &theirs).unwrap_err();
-    assert_eq!(&*clashes[0].field, "prepaid");
+    let conflicts = merge(&fixture::document(), &mine, &theirs).unwrap_err();
+    assert_eq!(&*conflicts[0].field, "prepaid");
 }
 
 #[test]
--- a/crates/fescuewell_document/tests/head.rs
+++ b/crates/fescuewell_document/tests/head.rs
@@ -1,4 +1,4 @@
-//! Accepting documents: one transaction with the prepaid totals.
+//! Tests of accepting documents in one transaction with the prepaid totals.
 
 mod fixture;
 
@@ -43,20 +43,20 @@
     }
 }
 
-fn written(transaction: &Transaction, key: &str) -> Option<Value> {
+fn written_value(transaction: &Transaction, key: &str) -> Option<Value> {
     transaction.writes.iter().find_map(|write| match write {
         Write::Put { key: found, value } if &**found == key => serde_json::from_slice(value).ok(),
         _ => None,
     })
 }
 
-fn compared(transaction: &Transaction, key: &str) -> Option<u64> {
+fn compared_revision(transaction: &Transaction, key: &str) -> Option<u64> {
     let compare = transaction.compares.iter().find(|c| &*c.key == key)?;
     let Compare { revision, .. } = compare;
     Some(*revision)
 }
 
-/// The fixture with one total changed, proposed over version 1 with one budget row.
+/// Proposes the fixture with one changed total, based on version 1 and with one budget row.
 fn top_up(prepaid: u64, budget: &Value) -> Result<Acceptance, Refusal> {
     let before = fixture::document();
     let mut after = before.clone();
@@ -76,20 +76,23 @@
         "budget/signwise",
         "budget/reef-relay",
     ] {
-        assert_eq!(compared(transaction, key), Some(0), "{key}");
+        assert_eq!(compared_revision(transaction, key), Some(0), "{key}");
     }
-    let head = written(transaction, "head").unwrap();
+    let head = written_value(transaction, "head").unwrap();
     assert_eq!(head["version"], 1);
     assert_eq!(head["root"], acceptance.bundle.root.to_string());
-    assert_eq!(Some(head), written(transaction, "history/000000000001"));
-    let budget = written(transaction, "budget/signwise").unwrap();
+    assert_eq!(
+        Some(head),
+        written_value(transaction, "history/000000000001")
+    );
+    let budget = written_value(transaction, "budget/signwise").unwrap();
     assert_eq!(budget, json!({"prepaid": 10_000, "spent": 0, "grants": {}}));
 }
 
 #[test]
 fn a_top_up_keeps_everything_else_in_the_row() {
-    // Symptom: grants vanish and the same money is drawn twice. Sequence: the console writes a row that an
-    // instance of a newer program extended. Cause: rewriting the row from a type that lacks its fields.
+    // Guards against lost grants and thus tokens that are drawn twice: the console rewrites a row with fields of a
+    // newer instance version from a type that lacks these fields.
     let budget = json!({
         "prepaid": 10_000, "spent": 10, "later": [1],
         "grants": {"entry-1.3": {"granted": 700, "draw": "d1", "extra": true}}
@@ -98,16 +101,19 @@
     let mut expected = budget;
     expected["prepaid"] = json!(20_000);
     let transaction = &acceptance.transaction;
-    assert_eq!(written(transaction, "budget/signwise"), Some(expected));
-    assert_eq!(compared(transaction, "budget/signwise"), Some(9));
-    assert_eq!(compared(transaction, "head"), Some(5));
-    assert_eq!(written(transaction, "budget/reef-relay"), None);
+    assert_eq!(
+        written_value(transaction, "budget/signwise"),
+        Some(expected)
+    );
+    assert_eq!(compared_revision(transaction, "budget/signwise"), Some(9));
+    assert_eq!(compared_revision(transaction, "head"), Some(5));
+    assert_eq!(written_value(transaction, "budget/reef-relay"), None);
 }
 
 #[test]
 fn a_total_below_what_is_drawn_is_refused() {
-    // Symptom: a group spends beyond its budget. Sequence: the total is lowered while allowances are out.
-    // Cause: comparing only with what is spent.
+    // Guards against a group that exceeds its budget: the total is reduced while allowances are granted, and it is
+    // only compared with the spent tokens.
     let budget =
         json!({"prepaid": 10_000, "spent": 300, "grants": {"a.1": {"granted": 701, "draw": ""}}});
     assert_eq!(
@@ -155,7 +161,7 @@
     );
 }
 
-// Guards against an acceptance that the store can never take, and that is tried again for ever.
+// Guards against endless retries of an acceptance that is too large for the store.
 #[test]
 fn totals_that_do_not_fit_one_transaction_are_refused_at_once() {
     let before = fixture::document();
@@ -191,23 +197,23 @@
 
 #[test]
 fn a_lost_reply_is_told_by_the_change_id() {
-    // Symptom: the operator is told that the edit failed, does it again, and it is refused or counted twice.
-    // Sequence: the transaction takes effect, its reply is lost, perhaps another document follows.
-    // Cause: no way to recognise one's own write.
+    // Guards against an edit that is reported as failed although it took effect, so that the operator repeats it and
+    // it is refused or counted twice. The reply to the transaction is lost, another document may follow, and the
+    // console can't recognize its own write.
     let document = fixture::document();
     let mine = first(&document);
     let head = head_row(&mine.head, 5);
     let mut other = mine.head.clone();
     other.change = "another".into();
-    let rival = head_row(&other, 6);
+    let competing = head_row(&other, 6);
     other.version = Version(2);
     let later = head_row(&other, 7);
-    let verdict = |head, history| mine.status(head, history).unwrap();
-    assert_eq!(verdict(None, None), Status::Pending);
-    assert_eq!(verdict(Some(&head), Some(&head)), Status::Accepted);
-    assert_eq!(verdict(Some(&later), Some(&head)), Status::Accepted);
-    assert_eq!(verdict(Some(&later), Some(&rival)), Status::Raced);
-    assert_eq!(verdict(Some(&rival), Some(&rival)), Status::Raced);
+    let status = |head, history| mine.status(head, history).unwrap();
+    assert_eq!(status(None, None), Status::Pending);
+    assert_eq!(status(Some(&head), Some(&head)), Status::Accepted);
+    assert_eq!(status(Some(&later), Some(&head)), Status::Accepted);
+    assert_eq!(status(Some(&later), Some(&competing)), Status::Raced);
+    assert_eq!(status(Some(&competing), Some(&competing)), Status::Raced);
 }
 
 #[test]
--- a/crates/fescuewell_document/tests/lookup.rs
+++ b/crates/fescuewell_document/tests/lookup.rs
@@ -1,4 +1,4 @@
-//! The routers' index.
+//! Tests of the index that routers use.
 
 mod fixture;
 
@@ -24,8 +24,8 @@
 
 #[test]
 fn a_stored_hash_does_not_open_the_account() {
-    // Symptom: whoever reads the document can act as any caller. Cause: comparing what was sent with what
-    // is stored, without hashing it.
+    // Guards against comparing the received key with the stored hash without hashing it: anyone who can read the
+    // document could then impersonate any caller.
     assert!(index().account_by_key(&hash_key("key of venues")).is_none());
     assert!(verify("key of venues", &hash_key("key of venues")));
     assert!(!verify("key of venues", "key of venues"));
@@ -51,14 +51,14 @@
         .push(fixture::server("engine-2", ServerRole::Engine, 9_003));
     document.groups[1].reach = vec!["engine-2".into()];
     let index = Index::new(document.into());
-    let named = |group: &str| -> Vec<String> {
+    let candidate_names = |group: &str| -> Vec<String> {
         let keys = index.candidates(group, "chat-small");
         keys.into_iter()
             .map(|key| index.server_at(key).name.to_string())
             .collect()
     };
-    assert_eq!(named("signwise"), ["engine-1"]);
-    assert_eq!(named("reef-relay"), ["engine-2"]);
+    assert_eq!(candidate_names("signwise"), ["engine-1"]);
+    assert_eq!(candidate_names("reef-relay"), ["engine-2"]);
     assert!(index.can_reach("signwise", "desk-1") && !index.can_reach("reef-relay", "desk-1"));
     assert!(index.candidates("nobody", "chat-small").is_empty());
     assert!(index.can_use("signwise", "chat-small") && !index.can_use("signwise", "chat-large"));
--- a/crates/fescuewell_document/tests/properties.rs
+++ b/crates/fescuewell_document/tests/properties.rs
@@ -1,5 +1,5 @@
-//! Properties of merges, stored rows and chunks over many random edits. The seeds are fixed: every run
-//! tries the same cases.
+//! Property tests of merges, stored rows and chunks over random edits. The seeds are fixed, so every run tests
+//! the same cases.
 
 mod fixture;
 
@@ -15,9 +15,10 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-const SALONS: usize = 4;
+/// Number of groups that the edits may change.
+const GROUPS: usize = 4;
 
-/// One small edit, whichever document it meets.
+/// A small edit that can be applied to any document.
 #[derive(Debug, Clone)]
 enum Edit {
     Prepaid(usize, u64),
@@ -29,12 +30,12 @@
 }
 
 fn edits() -> impl Strategy<Value = Vec<Edit>> {
-    let salon = 0..SALONS;
+    let index = 0..GROUPS;
     let edit = prop_oneof![
-        (salon.clone(), 1..9u64).prop_map(|(at, value)| Edit::Prepaid(at, value * 1_000)),
-        (salon.clone(), 1..9u32).prop_map(|(at, value)| Edit::Weight(at, value)),
-        (salon.clone(), any::<bool>()).prop_map(|(at, value)| Edit::Reach(at, value)),
-        salon.prop_map(Edit::Remove),
+        (index.clone(), 1..9u64).prop_map(|(at, value)| Edit::Prepaid(at, value * 1_000)),
+        (index.clone(), 1..9u32).prop_map(|(at, value)| Edit::Weight(at, value)),
+        (index.clone(), any::<bool>()).prop_map(|(at, value)| Edit::Reach(at, value)),
+        index.prop_map(Edit::Remove),
         (0..3u8).prop_map(Edit::Add),
         (0..3u8).prop_map(Edit::AddKey),
     ];
@@ -49,8 +50,8 @@
     document
 }
 
-fn salon(document: &mut Document, at: usize) -> Option<&mut Group> {
-    let name = format!("salon-{at:05}");
+fn group(document: &mut Document, index: usize) -> Option<&mut Group> {
+    let name = format!("salon-{index:05}");
     document
         .groups
         .iter_mut()
@@ -60,17 +61,17 @@
 fn apply(document: &mut Document, edit: &Edit) {
     match edit {
         Edit::Prepaid(at, value) => {
-            if let Some(group) = salon(document, *at) {
+            if let Some(group) = group(document, *at) {
                 group.prepaid = Tokens(*value);
             }
         }
         Edit::Weight(at, value) => {
-            if let Some(group) = salon(document, *at) {
+            if let Some(group) = group(document, *at) {
                 group.weight = *value;
             }
         }
         Edit::Reach(at, first) => {
-            if let Some(group) = salon(document, *at) {
+            if let Some(group) = group(document, *at) {
                 let name = if *first { "engine-2" } else { "engine-3" };
                 group.reach.retain(|known| **known != *name);
             }
@@ -117,29 +118,29 @@
 
 #[test]
 fn a_merge_is_the_same_from_both_sides_and_loses_nothing() {
-    let base = fixture::large_document(SALONS, 0);
+    let base = fixture::large_document(GROUPS, 0);
     let property = |(left, right): (Vec<Edit>, Vec<Edit>)| {
         let (left, right) = (edited(&base, &left), edited(&base, &right));
-        let forth = merge(&base, &left, &right).map(|merged| sorted(&merged));
-        let back = merge(&base, &right, &left).map(|merged| sorted(&merged));
-        prop_assert_eq!(forth.is_ok(), back.is_ok());
-        let (kept, clashes) = merge_preferring_mine(&base, &left, &right);
-        prop_assert_eq!(clashes.is_empty(), forth.is_ok());
-        // Whatever this side changed is in the result that is shown to its operator.
+        let forward = merge(&base, &left, &right).map(|merged| sorted(&merged));
+        let backward = merge(&base, &right, &left).map(|merged| sorted(&merged));
+        prop_assert_eq!(forward.is_ok(), backward.is_ok());
+        let (kept, conflicts) = merge_preferring_mine(&base, &left, &right);
+        prop_assert_eq!(conflicts.is_empty(), forward.is_ok());
+        // The result that is shown to the operator contains all of their changes.
         for change in compare(&base, &left) {
-            let still_open = compare(&kept, &left);
-            let same_item = |open: &&_| {
-                let open: &fescuewell_document::difference::Change = open;
-                (open.section, &open.name) == (change.section, &change.name)
+            let lost_changes = compare(&kept, &left);
+            let same_item = |lost: &&_| {
+                let lost: &fescuewell_document::difference::Change = lost;
+                (lost.section, &lost.name) == (change.section, &change.name)
             };
-            let open = still_open.iter().find(same_item);
-            for field in open.iter().flat_map(|open| &open.fields) {
+            let lost = lost_changes.iter().find(same_item);
+            for field in lost.iter().flat_map(|lost| &lost.fields) {
                 let mine = change.fields.iter().find(|mine| mine.field == field.field);
                 prop_assert!(mine.is_none(), "{field} of {} was lost", change.name);
             }
         }
-        if let (Ok(forth), Ok(back)) = (forth, back) {
-            prop_assert_eq!(forth, back);
+        if let (Ok(forward), Ok(backward)) = (forward, backward) {
+            prop_assert_eq!(forward, backward);
         }
         Ok(())
     };
--- a/crates/fescuewell_document/tests/read.rs
+++ b/crates/fescuewell_document/tests/read.rs
@@ -1,4 +1,4 @@
-//! Reading and checking documents: every refusal names its place.
+//! Tests of reading and validating documents: every fault includes its location.
 
 mod fixture;
 
@@ -80,17 +80,21 @@
 
 #[test]
 fn a_key_that_stands_twice_is_refused() {
-    // Symptom: an operator edits a group's total and nothing changes. The file held the key twice and
-    // the reader silently kept one of them. Cause: last-one-wins reading of objects.
+    // Guards against duplicate keys of which the parser silently keeps only the last: an operator would edit
+    // the other one, e.g. a group's total, without effect.
     let text = r#"{"kinds": [], "kinds": []}"#;
     let fault = &read_document(text).unwrap_err()[0];
-    assert!(fault.message.contains("stands twice"), "{}", fault.message);
+    assert!(
+        fault.message.contains("duplicate key `kinds`"),
+        "{}",
+        fault.message
+    );
 }
 
 #[test]
 fn deep_and_large_texts_are_refused_without_reading_them() {
-    // Symptom: the process dies of a stack overflow or of memory on a hostile upload.
-    // Sequence: thousands of opening brackets, or a body without end. Cause: recursion and size without bounds.
+    // Guards against a stack overflow or memory exhaustion by a malicious upload, such as thousands of opening
+    // brackets or an endless body, if recursion and size are unlimited.
     let deep = format!(
         "{}{}",
         "[".repeat(MAX_NESTING + 1),
@@ -164,72 +168,72 @@
     }
 }
 
-/// One change to the valid document and the path at which it must be found.
-fn spoilt(path: &str, spoil: fn(&mut Document)) {
+/// Asserts that the check reports a fault at `path` after `edit` is applied to the valid document.
+fn assert_fault(path: &str, edit: fn(&mut Document)) {
     let mut document = fixture::document();
-    spoil(&mut document);
+    edit(&mut document);
     let found = paths(&document);
     assert!(found.iter().any(|at| &**at == path), "{path} in {found:?}");
 }
 
 #[test]
 fn ranges_are_checked() {
-    spoilt("kinds", |d| d.kinds[0].floor_percent = 41);
-    spoilt("kinds[0].deadline_ms", |d| d.kinds[0].deadline_ms = 0);
-    spoilt("groups[0].prepaid", |d| {
+    assert_fault("kinds", |d| d.kinds[0].floor_percent = 41);
+    assert_fault("kinds[0].deadline_ms", |d| d.kinds[0].deadline_ms = 0);
+    assert_fault("groups[0].prepaid", |d| {
         d.groups[0].prepaid = Tokens(u64::MAX)
     });
-    spoilt("groups[0].weight", |d| d.groups[0].weight = 0);
-    spoilt("groups[0].reach", |d| d.groups[0].reach.clear());
-    spoilt("groups[0].allowance.outage_seconds", |d| {
+    assert_fault("groups[0].weight", |d| d.groups[0].weight = 0);
+    assert_fault("groups[0].reach", |d| d.groups[0].reach.clear());
+    assert_fault("groups[0].allowance.outage_seconds", |d| {
         d.groups[0].allowance.outage_seconds = 0
     });
-    spoilt("groups[0].allowance.share_percent", |d| {
+    assert_fault("groups[0].allowance.share_percent", |d| {
         d.groups[0].allowance.share_percent = 101
     });
-    spoilt("groups[0].allowance.least", |d| {
+    assert_fault("groups[0].allowance.least", |d| {
         d.groups[0].allowance.min_draw = Tokens(0)
     });
-    spoilt("models[0].context_tokens", |d| {
+    assert_fault("models[0].context_tokens", |d| {
         d.models[0].context_tokens = 0
     });
-    spoilt("models[0].default_output", |d| {
+    assert_fault("models[0].default_output", |d| {
         d.models[0].default_output = 8_192
     });
-    spoilt("models[0].least_servers", |d| d.models[0].min_servers = 2);
-    spoilt("servers[0].concurrency", |d| d.servers[0].concurrency = 0);
-    spoilt("servers[0].zone", |d| d.servers[0].zone = "".into());
-    spoilt("servers[0].address", |d| d.servers[0].address.set_port(0));
-    spoilt("servers[1].address", |d| {
+    assert_fault("models[0].least_servers", |d| d.models[0].min_servers = 2);
+    assert_fault("servers[0].concurrency", |d| d.servers[0].concurrency = 0);
+    assert_fault("servers[0].zone", |d| d.servers[0].zone = "".into());
+    assert_fault("servers[0].address", |d| d.servers[0].address.set_port(0));
+    assert_fault("servers[1].address", |d| {
         d.servers[1].address = d.servers[0].address
     });
-    spoilt("servers[1].models", |d| {
+    assert_fault("servers[1].models", |d| {
         d.servers[1].models = vec!["chat-small".into()]
     });
-    spoilt("services[0].servers[0]", |d| {
+    assert_fault("services[0].servers[0]", |d| {
         d.services[0].servers = vec!["engine-1".into()]
     });
-    spoilt("services[0].calls", |d| d.services[0].calls.clear());
-    spoilt("services[0].calls[0].price", |d| {
+    assert_fault("services[0].calls", |d| d.services[0].calls.clear());
+    assert_fault("services[0].calls[0].price", |d| {
         d.services[0].calls[0].price = Tokens(u64::MAX)
     });
-    spoilt("accounts[0].keys[0].hash", |d| {
+    assert_fault("accounts[0].keys[0].hash", |d| {
         d.accounts[0].keys[0].hash = "ABC".into()
     });
 }
 
 #[test]
 fn one_key_on_two_accounts_is_refused() {
-    // Symptom: a group pays for another group's requests. Sequence: a key is copied to a second account,
-    // the lookup by hash finds either. Cause: key hashes not unique across accounts.
-    spoilt("accounts[1].keys[0].hash", |d| {
+    // Guards against a group that pays for the requests of another: if a key is copied to a second account, the
+    // lookup by hash finds either account.
+    assert_fault("accounts[1].keys[0].hash", |d| {
         d.accounts[1].keys = d.accounts[0].keys.clone()
     });
 }
 
 #[test]
 fn an_adapter_of_an_adapter_or_of_itself_is_refused() {
-    spoilt("models[0].base", |d| {
+    assert_fault("models[0].base", |d| {
         d.models[0].base = Some(d.models[0].name.clone())
     });
 }
@@ -242,11 +246,11 @@
         failure_persistence: None,
         ..Config::default()
     };
-    let whole = text_of(&fixture::document());
-    let cut = (0..whole.len(), any::<u8>(), "\\PC{0,8}");
+    let valid = text_of(&fixture::document());
+    let splice = (0..valid.len(), any::<u8>(), "\\PC{0,8}");
     TestRunner::new_with_rng(config, rng)
-        .run(&cut, |(at, length, inserted)| {
-            let mut bytes = whole.clone().into_bytes();
+        .run(&splice, |(at, length, inserted)| {
+            let mut bytes = valid.clone().into_bytes();
             let end = (at + usize::from(length)).min(bytes.len());
             bytes.splice(at..end, inserted.bytes());
             let text = String::from_utf8_lossy(&bytes).into_owned();
