--- a/crates/fescuewell_core/src/chart.rs
+++ b/crates/fescuewell_core/src/chart.rs
@@ -1,7 +1,7 @@
-//! An interpreter for state charts that are kept as JSON files.
+//! An interpreter for state charts in JSON files.
 //!
-//! A chart lists states and, for each, which signal leads where. The file stands beside the module
-//! that uses it (`include_str!`), so that the chart can be read, drawn and reviewed by itself.
+//! A chart lists its states and, for each state, the target state of every accepted signal. The file is next to the
+//! module that includes it with `include_str!`, so that the chart can be read, drawn and reviewed separately.
 //!
 //! ```
 //! use fescuewell_core::chart::Chart;
@@ -20,40 +20,40 @@
 use serde::Deserialize;
 use snafu::Snafu;
 
-/// A parsed and checked chart.
+/// A parsed and validated state chart.
 #[derive(Debug, Clone)]
 pub struct Chart {
     initial: State,
     names: Vec<Arc<str>>,
-    steps: Vec<BTreeMap<Arc<str>, State>>,
+    transitions: Vec<BTreeMap<Arc<str>, State>>,
 }
 
 crate::key! {
-    /// A state of one chart.
+    /// A state of a chart.
     pub struct State(u16);
 }
 
-/// Why a chart could not be read, or a step could not be taken.
+/// Why a chart could not be parsed or a transition is not possible.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// The file is not a chart.
-    #[snafu(display("not a state chart: {reason}"))]
+    /// The text is not a valid chart.
+    #[snafu(display("invalid state chart: {reason}"))]
     Malformed {
-        /// What the JSON reader said.
+        /// Error of the JSON parser.
         reason: Arc<str>,
     },
-    /// A step leads to a state that the chart does not have.
-    #[snafu(display("state chart names an unknown state {state}"))]
+    /// The initial state or the target of a transition does not exist.
+    #[snafu(display("state chart refers to the unknown state {state}"))]
     UnknownState {
-        /// The missing state.
+        /// Name of the unknown state.
         state: Arc<str>,
     },
-    /// The state has no step for the signal.
-    #[snafu(display("state {state} has no step for {signal}"))]
+    /// The state has no transition for the signal.
+    #[snafu(display("state {state} has no transition for {signal}"))]
     NoTransition {
-        /// The present state.
+        /// The current state.
         state: Arc<str>,
-        /// The refused signal.
+        /// The signal.
         signal: Arc<str>,
     },
 }
@@ -71,11 +71,11 @@
 }
 
 impl Chart {
-    /// Reads a chart and checks that every step leads to a state it has.
+    /// Parses a chart and checks that the initial state and the targets of all transitions exist.
     ///
     /// # Errors
     ///
-    /// [`Error::Malformed`] or [`Error::UnknownState`].
+    /// Returns [`Error::Malformed`] or [`Error::UnknownState`].
     pub fn parse(text: &str) -> Result<Self, Error> {
         let file: File = serde_json::from_str(text).map_err(|error| Error::Malformed {
             reason: error.to_string().into(),
@@ -89,45 +89,45 @@
                     state: state.clone(),
                 })
         };
-        let mut steps = Vec::with_capacity(names.len());
+        let mut transitions = Vec::with_capacity(names.len());
         for entry in file.states.values() {
             let mut targets = BTreeMap::new();
             for (signal, target) in &entry.on {
                 targets.insert(signal.clone(), find(target)?);
             }
-            steps.push(targets);
+            transitions.push(targets);
         }
         let initial = find(&file.initial)?;
         Ok(Self {
             initial,
             names,
-            steps,
+            transitions,
         })
     }
 
-    /// The state in which everything starts.
+    /// Returns the initial state.
     pub fn initial(&self) -> State {
         self.initial
     }
 
-    /// The name of a state.
+    /// Returns the name of a state.
     pub fn name(&self, state: State) -> &str {
         &self.names[state.0 as usize]
     }
 
-    /// The state of that name.
+    /// Returns the state with this name.
     pub fn state(&self, name: &str) -> Option<State> {
         let position = self.names.iter().position(|known| &**known == name);
         position.map(|index| State(index as u16))
     }
 
-    /// Takes the step that `signal` asks for; the state stays as it was when there is none.
+    /// Performs the transition for `signal`. The state is unchanged if there is none.
     ///
     /// # Errors
     ///
-    /// [`Error::NoTransition`].
+    /// Returns [`Error::NoTransition`] if the state has no transition for `signal`.
     pub fn step(&self, state: &mut State, signal: &str) -> Result<(), Error> {
-        let Some(&next) = self.steps[state.0 as usize].get(signal) else {
+        let Some(&next) = self.transitions[state.0 as usize].get(signal) else {
             return Err(Error::NoTransition {
                 state: self.names[state.0 as usize].clone(),
                 signal: signal.into(),
--- a/crates/fescuewell_core/src/code.rs
+++ b/crates/fescuewell_core/src/code.rs
@@ -1,18 +1,18 @@
-//! Numbered result codes and the refusals that carry them; `docs/CODES.md` has the table.
+//! Numbered result codes, listed in `docs/CODES.md`, and the refusals that contain them.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 crate::data! {
-    /// Whether the work of a refused request ran.
+    /// Whether a refused request was executed.
     #[derive(Copy)]
     #[serde(rename_all = "snake_case")]
     pub enum Run {
-        /// It did not and will not run.
+        /// It was not executed and will not be.
         NotRun,
-        /// It may have run.
+        /// It may have been executed.
         Unknown,
-        /// It ran.
+        /// It was executed.
         Ran,
     }
 }
@@ -20,7 +20,7 @@
 macro_rules! codes {
     ($($(#[$meta:meta])* $name:ident = $number:literal, $status:literal, $run:ident, $text:literal;)*) => {
         crate::data! {
-            /// A result code. Numbers are stable: a code that is given up is never given out again.
+            /// A result code. Numbers are stable: the number of a removed code is never reused.
             #[derive(Copy, Hash, PartialOrd, Ord)]
             pub enum Code {
                 $(
@@ -31,36 +31,36 @@
         }
 
         impl Code {
-            /// Every code, in the order of the table.
+            /// All codes, in the order of their definition.
             pub const ALL: &'static [Code] = &[$(Code::$name),*];
 
-            /// The stable number.
+            /// Returns the stable number.
             pub fn number(self) -> u16 {
                 self as u16
             }
 
-            /// The HTTP status that goes with it.
+            /// Returns the HTTP status.
             pub fn status(self) -> u16 {
                 match self {
                     $(Code::$name => $status,)*
                 }
             }
 
-            /// Whether the request ran, as far as the code alone tells.
+            /// Returns whether the request was executed, as far as the code alone implies.
             pub fn run(self) -> Run {
                 match self {
                     $(Code::$name => Run::$run,)*
                 }
             }
 
-            /// One sentence for people.
+            /// Returns a human-readable sentence.
             pub fn text(self) -> &'static str {
                 match self {
                     $(Code::$name => $text,)*
                 }
             }
 
-            /// The code's name, as it stands in the table.
+            /// Returns the name of the code, as in the table.
             pub fn name(self) -> &'static str {
                 match self {
                     $(Code::$name => stringify!($name),)*
@@ -127,21 +127,21 @@
     Internal = 9001, 500, Unknown, "Something went wrong here.";
 }
 
-/// A truthful refusal of one request.
+/// A refusal of a request. It states correctly whether the request was executed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
-    /// The numbered code.
+    /// The result code.
     pub code: Code,
-    /// Whether the request ran.
+    /// Whether the request was executed.
     pub run: Run,
-    /// What was wrong, for people.
+    /// Human-readable message.
     pub message: Arc<str>,
-    /// When it makes sense to ask again.
+    /// Time after which a retry may succeed.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A refusal with the code's own text.
+    /// Creates a refusal with the text of the code.
     pub fn new(code: Code) -> Self {
         Self {
             code,
@@ -151,19 +151,19 @@
         }
     }
 
-    /// Adds what exactly was wrong.
+    /// Appends a detail to the text of the code.
     pub fn with_detail(mut self, detail: impl AsRef<str>) -> Self {
         self.message = format!("{} {}", self.code.text(), detail.as_ref()).into();
         self
     }
 
-    /// Adds when to ask again.
+    /// Sets the time after which a retry may succeed.
     pub fn with_retry_after(mut self, wait: Duration) -> Self {
         self.retry_after = Some(wait);
         self
     }
 
-    /// States whether the request ran, where more is known than the code tells.
+    /// Sets whether the request was executed, if more is known than the code implies.
     pub fn with_run(mut self, run: Run) -> Self {
         self.run = run;
         self
--- a/crates/fescuewell_core/src/derive.rs
+++ b/crates/fescuewell_core/src/derive.rs
@@ -1,7 +1,7 @@
-//! Macros that apply the workspace's common sets of derives.
+//! Macros for the sets of derives that are common in the workspace.
 //!
-//! Use [`key!`](crate::key) for small `Copy` identifiers and [`data!`](crate::data) for plain data
-//! that is stored or sent.
+//! Use [`key!`](crate::key) for small `Copy` identifiers, [`data!`](crate::data) for data that is stored or
+//! sent, and [`message!`](crate::message) for events and actions within a process.
 //!
 //! ```
 //! fescuewell_core::key! {
@@ -11,7 +11,7 @@
 //! assert!(ShelfKey(1) < ShelfKey(2));
 //! ```
 
-/// Derives the set of a small `Copy` identifier: ordered, hashable, serializable, with a default.
+/// Adds the derives of a small `Copy` identifier: ordering, hashing, serialization and a default.
 #[macro_export]
 macro_rules! key {
     ($($item:item)*) => {
@@ -25,7 +25,7 @@
     };
 }
 
-/// Derives the set of plain data that is stored or sent: comparable, cloneable, serializable.
+/// Adds the derives of data that is stored or sent: equality, cloning and serialization.
 #[macro_export]
 macro_rules! data {
     ($($item:item)*) => {
@@ -36,7 +36,7 @@
     };
 }
 
-/// Derives the set of in-process events and actions: printable, cloneable and comparable.
+/// Adds the derives of events and actions within a process: debug output, cloning and equality.
 #[macro_export]
 macro_rules! message {
     ($($item:item)*) => {
--- a/crates/fescuewell_core/src/event.rs
+++ b/crates/fescuewell_core/src/event.rs
@@ -1,6 +1,6 @@
-//! Numbered log events; `docs/EVENTS.md` is the catalogue.
+//! Numbered log events, listed in `docs/EVENTS.md`.
 //!
-//! A log line is `E2001 route.chosen key=value ...`. Use [`log_event!`](crate::log_event):
+//! A log line has the format `E2001 route.chosen key=value ...`. Use [`log_event!`](crate::log_event):
 //!
 //! ```
 //! use fescuewell_core::prelude::*;
@@ -10,7 +10,7 @@
 macro_rules! events {
     ($($name:ident = $number:literal, $level:ident, $title:literal, $text:literal;)*) => {
         crate::data! {
-            /// A kind of log line. Numbers are stable.
+            /// A log event. Numbers are stable.
             #[derive(Copy)]
             pub enum Event {
                 $(
@@ -21,29 +21,29 @@
         }
 
         impl Event {
-            /// Every event, in the order of the catalogue.
+            /// All events, in the order of their definition.
             pub const ALL: &'static [Event] = &[$(Event::$name),*];
 
-            /// The stable number.
+            /// Returns the stable number.
             pub fn number(self) -> u16 {
                 self as u16
             }
 
-            /// The level it is logged at.
+            /// Returns the log level.
             pub fn level(self) -> log::Level {
                 match self {
                     $(Event::$name => log::Level::$level,)*
                 }
             }
 
-            /// Its short title.
+            /// Returns the short title, such as `route.chosen`.
             pub fn title(self) -> &'static str {
                 match self {
                     $(Event::$name => $title,)*
                 }
             }
 
-            /// What it means.
+            /// Returns the description.
             pub fn text(self) -> &'static str {
                 match self {
                     $(Event::$name => $text,)*
@@ -132,7 +132,7 @@
     InternalFault = 9001, Error, "internal.fault", "Something that should not happen did.";
 }
 
-/// Logs one numbered event with `key=value` text.
+/// Logs an event, formatting the remaining arguments as `key=value` text.
 #[macro_export]
 macro_rules! log_event {
     ($event:expr, $($arg:tt)+) => {{
--- a/crates/fescuewell_core/src/id.rs
+++ b/crates/fescuewell_core/src/id.rs
@@ -1,29 +1,29 @@
 //! Identifiers.
 //!
-//! Keys ([`GroupKey`] and the like) are indexes into a process's own arenas and never leave the
-//! process; what is sent or stored carries the names (`Arc<str>`) themselves.
+//! Keys such as [`GroupKey`] are indexes into arenas of the local process. They are never sent or stored;
+//! messages and stored data contain the names (`Arc<str>`) instead.
 
 use std::fmt;
 use std::sync::Arc;
 
 crate::key! {
-    /// A group that shares prepaid capacity, as an index into this process's arena.
+    /// Index of a group that shares prepaid capacity in this process's arena.
     pub struct GroupKey(pub u32);
-    /// A client account, as an index into this process's arena.
+    /// Index of a client account in this process's arena.
     pub struct AccountKey(pub u32);
-    /// An entry instance, as an index into this process's arena.
+    /// Index of an entry instance in this process's arena.
     pub struct InstanceKey(pub u32);
-    /// A backend server, as an index into this process's arena.
+    /// Index of a backend server in this process's arena.
     pub struct ServerKey(pub u32);
-    /// A kind of request, as an index into this process's arena.
+    /// Index of a kind of request in this process's arena.
     pub struct KindKey(pub u32);
-    /// An availability zone, as an index into this process's arena.
+    /// Index of an availability zone in this process's arena.
     pub struct ZoneKey(pub u32);
-    /// A slot of the request-identity space; the same number on every instance.
+    /// Number of a slot, i.e. a partition of the request ids. It is the same on all instances.
     pub struct SlotKey(pub u16);
-    /// A fencing number: rises by one each time that a lease changes hands.
+    /// Fencing number, incremented each time a lease changes its holder.
     pub struct Epoch(pub u64);
-    /// Distinguishes one start of an instance from the next.
+    /// Distinguishes successive starts of an instance.
     pub struct Incarnation(pub u64);
     /// Version of the configuration document.
     pub struct Version(pub u64);
@@ -32,7 +32,7 @@
 }
 
 impl Digest {
-    /// Hashes `bytes`.
+    /// Computes the hash of `bytes`.
     pub fn of(bytes: &[u8]) -> Self {
         let hash = blake3::hash(bytes);
         let mut first = [0u8; 16];
@@ -48,43 +48,43 @@
 }
 
 impl Epoch {
-    /// The epoch of the next holder.
+    /// Returns the epoch of the next holder.
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
 }
 
 impl Version {
-    /// The version that follows this one.
+    /// Returns the next version.
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
 }
 
-/// The caller's name for a request, unique within its client account.
+/// The caller's id of a request, unique within its client account.
 pub type RequestId = Arc<str>;
 
-/// The name under which a backend server knows one attempt at a request.
+/// The id of one attempt of a request on a backend server.
 ///
-/// See [`RequestKey::stream_id`] for its text form.
+/// See [`RequestKey::stream_id`] for the format.
 pub type StreamId = Arc<str>;
 
 crate::data! {
-    /// What identifies a request across the whole fleet.
+    /// Identifies a request across the whole fleet.
     ///
-    /// Request ids are scoped to their client account, so that two accounts that pick the same id
-    /// never see each other's answers.
+    /// Request ids are scoped to their client account, so two accounts that choose the same id never receive
+    /// each other's responses.
     #[derive(PartialOrd, Ord, Hash)]
     pub struct RequestKey {
         /// Name of the client account.
         pub account: Arc<str>,
-        /// The caller's idempotency key, or one made for it.
+        /// Idempotency key of the caller, or a generated one.
         pub id: RequestId,
     }
 }
 
 impl RequestKey {
-    /// Joins an account name and a request id.
+    /// Creates a key from an account name and a request id.
     pub fn new(account: impl Into<Arc<str>>, id: impl Into<Arc<str>>) -> Self {
         Self {
             account: account.into(),
@@ -92,24 +92,25 @@
         }
     }
 
-    /// The slot, out of `slots`, that arbitrates this request.
+    /// Returns the slot, out of `slots`, that arbitrates this request.
     ///
     /// # Panics
     ///
-    /// When `slots` is zero.
+    /// Panics if `slots` is zero.
     pub fn slot(&self, slots: u16) -> SlotKey {
         SlotKey((self.digest().0 % u128::from(slots)) as u16)
     }
 
-    /// A fixed-size name of the request; the account's length keeps `("a", "bc")` and `("ab", "c")` apart.
+    /// Returns a fixed-size hash of the key. Hashing the account's length distinguishes `("a", "bc")` from
+    /// `("ab", "c")`.
     pub fn digest(&self) -> Digest {
         let text = format!("{}:{}/{}", self.account.len(), self.account, self.id);
         Digest::of(text.as_bytes())
     }
 
-    /// The id that a backend server is given: `fw.{instance}.{incarnation}.{attempt}.{digest}`.
+    /// Returns the id sent to a backend server: `fw.{instance}.{incarnation}.{attempt}.{digest}`.
     ///
-    /// The instance and its incarnation let a sweep list what a dead router had open.
+    /// A sweep uses the instance and its incarnation to list the open streams of a dead router.
     pub fn stream_id(&self, instance: &str, incarnation: Incarnation, attempt: u32) -> StreamId {
         format!(
             "fw.{instance}.{:x}.{attempt}.{}",
--- a/crates/fescuewell_core/src/intern.rs
+++ b/crates/fescuewell_core/src/intern.rs
@@ -1,10 +1,10 @@
-//! Interning of names into small keys.
+//! Interning of names as small keys.
 
 use std::collections::HashMap;
 use std::marker::PhantomData;
 use std::sync::Arc;
 
-/// An arena of names, addressed by a small `Copy` key.
+/// An arena of names that are indexed by small `Copy` keys.
 ///
 /// ```
 /// use fescuewell_core::prelude::*;
@@ -30,11 +30,11 @@
     }
 }
 
-/// A key that wraps an arena index.
+/// A key that wraps an index into an arena.
 pub trait Index: Copy {
-    /// Wraps an index.
+    /// Creates a key from an index.
     fn from_index(index: u32) -> Self;
-    /// The wrapped index.
+    /// Returns the index.
     fn index(self) -> usize;
 }
 
@@ -66,7 +66,7 @@
 where
     Key: Index,
 {
-    /// The key of `name`, added if it is new.
+    /// Returns the key of `name`, adding the name if it is new.
     pub fn intern(&mut self, name: &str) -> Key {
         if let Some(&index) = self.index.get(name) {
             return Key::from_index(index);
@@ -78,26 +78,26 @@
         Key::from_index(index)
     }
 
-    /// The key of `name`, if it was ever interned.
+    /// Returns the key of `name` if it is interned.
     pub fn get(&self, name: &str) -> Option<Key> {
         self.index.get(name).copied().map(Key::from_index)
     }
 
-    /// The name behind `key`.
+    /// Returns the name of `key`.
     ///
     /// # Panics
     ///
-    /// When `key` comes from another interner and is out of range.
+    /// Panics if `key` belongs to another interner and is out of range.
     pub fn name(&self, key: Key) -> &Arc<str> {
         &self.names[key.index()]
     }
 
-    /// How many names there are.
+    /// Returns the number of names.
     pub fn len(&self) -> usize {
         self.names.len()
     }
 
-    /// Whether no name was interned yet.
+    /// Returns whether there are no names.
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
--- a/crates/fescuewell_core/src/lib.rs
+++ b/crates/fescuewell_core/src/lib.rs
@@ -1,8 +1,8 @@
-//! Shared vocabulary of fescuewell: identifiers, token amounts, time, result codes, log events and
-//! the traits behind which the platform stands.
+//! Types shared by all crates of fescuewell: identifiers, token amounts, time, result codes, log events
+//! and the traits of the platform's services.
 //!
-//! Every other crate depends on this one and it depends on none of them. Nothing here opens a
-//! socket; the only thread is that of the [`timer`] service.
+//! All other crates depend on this one, and it depends on none of them. It opens no sockets, and the only
+//! thread that it starts is that of the [`timer`] service.
 
 pub mod chart;
 pub mod code;
@@ -16,7 +16,7 @@
 pub mod timer;
 pub mod tokens;
 
-/// The names that nearly every module of the workspace uses.
+/// Re-exports of the types that most modules use.
 pub mod prelude {
     pub use crate::code::{Code, Refusal, Run};
     pub use crate::event::Event;
--- a/crates/fescuewell_core/src/platform.rs
+++ b/crates/fescuewell_core/src/platform.rs
@@ -1,81 +1,81 @@
-//! The platform's other services as adapters present them: object store and instance list.
+//! Traits of the platform's object store and instance list, which adapters implement.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use snafu::Snafu;
 
-/// Why a platform service gave no answer.
+/// A failed call to a platform service.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-#[snafu(display("{service} gave no answer: {reason}"))]
+#[snafu(display("{service} did not respond: {reason}"))]
 pub struct Error {
-    /// Which service.
+    /// Name of the service.
     pub service: &'static str,
-    /// What the adapter saw.
+    /// Error reported by the adapter.
     pub reason: Arc<str>,
 }
 
-/// The platform's object store. Objects are named by their content's hash and never change.
+/// The platform's object store. Objects are named by the hash of their content and are immutable.
 pub trait ObjectStore: Send + Sync {
-    /// Stores an object; storing the same one again is harmless.
+    /// Stores an object. The call is idempotent.
     ///
     /// # Errors
     ///
-    /// When the store gave no answer; the object may have been stored.
+    /// Returns an error if the store doesn't respond. The object may have been stored.
     fn put(&self, name: &str, content: &[u8]) -> Result<(), Error>;
 
-    /// Fetches an object, or `None` when there is none of that name.
+    /// Fetches an object, or returns `None` if there is no object with this name.
     ///
     /// # Errors
     ///
-    /// When the store gave no answer.
+    /// Returns an error if the store doesn't respond.
     fn get(&self, name: &str) -> Result<Option<Vec<u8>>, Error>;
 }
 
 crate::data! {
-    /// What the instance list says of an instance or backend server.
+    /// State of an instance or backend server in the instance list.
     #[derive(Copy)]
     pub enum State {
         /// In service.
         Live,
-        /// About to go: give it no new work.
+        /// Shutting down: it must not be sent new requests.
         Leaving,
-        /// Gone for good: its processes have ended and will not come back under this incarnation.
+        /// Terminated permanently: its processes have exited and won't be restarted with this incarnation.
         Terminated,
     }
 
-    /// What stands at an address of the instance list.
+    /// Role of the process at an address of the instance list.
     #[derive(Copy)]
     pub enum Role {
-        /// An entry instance of ours.
+        /// An entry instance of this fleet.
         Entry,
         /// A model engine.
         Engine,
-        /// A plain service.
+        /// A service without models.
         Service,
     }
 
-    /// One line of the instance list.
+    /// An entry of the instance list.
     pub struct Listing {
         /// Name of the instance or backend server.
         pub name: Arc<str>,
-        /// What it is.
+        /// Its role.
         pub role: Role,
-        /// Where it listens.
+        /// Address that it listens on.
         pub address: SocketAddr,
         /// Its availability zone.
         pub zone: Arc<str>,
-        /// Its state, as far as the list knows.
+        /// Its last known state.
         pub state: State,
     }
 }
 
-/// The platform's instance list, which lags.
+/// The platform's instance list, which may lag behind the actual state.
 pub trait InstanceList: Send + Sync {
-    /// The list as the platform knows it now.
+    /// Returns the current list.
     ///
     /// # Errors
     ///
-    /// When the list could not be had.
+    /// Returns an error if the list can't be fetched.
     fn list(&self) -> Result<Vec<Listing>, Error>;
 }
--- a/crates/fescuewell_core/src/table.rs
+++ b/crates/fescuewell_core/src/table.rs
@@ -1,7 +1,8 @@
-//! The platform's rows as decisions see them, and transactions with conditions.
+//! Rows of the platform's table service and conditional transactions.
 //!
-//! A row has a *revision* that rises with each write; a transaction compares revisions and, if all match, writes. Decisions build
-//! [`Transaction`]s as plain data; an adapter carries them out behind [`Table`].
+//! A row has a *revision* that increases with each write. A transaction compares revisions and, if all match,
+//! performs its writes. Decision logic builds [`Transaction`]s as plain data, and an adapter that implements
+//! [`Table`] executes them.
 
 use std::sync::Arc;
 
@@ -10,74 +11,74 @@
 crate::data! {
     /// A stored row.
     pub struct Row {
-        /// Name of the row.
+        /// Key of the row.
         pub key: Arc<str>,
-        /// Its content.
+        /// Content of the row.
         pub value: Arc<[u8]>,
-        /// Revision of its last write; never 0.
+        /// Revision of the last write; never 0.
         pub revision: u64,
     }
 
-    /// A condition: the row's revision is this one. Revision 0 means that the row is absent.
+    /// A condition on the revision of a row. Revision 0 means that the row is absent.
     pub struct Compare {
-        /// Name of the row.
+        /// Key of the row.
         pub key: Arc<str>,
-        /// The revision it must have.
+        /// The expected revision.
         pub revision: u64,
     }
 
-    /// One write of a transaction.
+    /// A write within a transaction.
     pub enum Write {
-        /// Sets a row.
+        /// Creates or replaces a row.
         Put {
-            /// Name of the row.
+            /// Key of the row.
             key: Arc<str>,
-            /// Its new content.
+            /// New content of the row.
             value: Arc<[u8]>,
         },
-        /// Removes a row.
+        /// Deletes a row.
         Delete {
-            /// Name of the row.
+            /// Key of the row.
             key: Arc<str>,
         },
     }
 
-    /// Compares and writes that take effect together or not at all.
+    /// Conditions and writes that are applied atomically.
     #[derive(Default)]
     pub struct Transaction {
-        /// All must hold.
+        /// Conditions, all of which must hold.
         pub compares: Vec<Compare>,
-        /// Applied in order when they do.
+        /// Writes, applied in order if all conditions hold.
         pub writes: Vec<Write>,
     }
 
-    /// What became of a transaction that the table answered.
+    /// The table's reply to a transaction.
     pub enum Outcome {
-        /// All compares held; the writes are durable under this revision.
+        /// All conditions held, and the writes are durable.
         Committed {
-            /// Revision given to every row written.
+            /// New revision of all written rows.
             revision: u64,
         },
-        /// Some compare failed and nothing was written; the compared rows as they are now.
+        /// A condition failed, and nothing was written.
         Conflict {
-            /// Current rows of the compared keys; absent rows are left out.
+            /// Current rows of the compared keys; absent rows are omitted.
             rows: Vec<Row>,
         },
     }
 
-    /// Which rows to read: those whose key starts with `prefix`, after `after`, at most `limit`.
+    /// A range of rows: those whose key starts with `prefix` and is greater than `after`, at most `limit`.
     pub struct Range {
-        /// Common start of the keys.
+        /// Common prefix of the keys.
         pub prefix: Arc<str>,
-        /// Skip keys up to and including this one.
+        /// Keys up to and including this one are skipped.
         pub after: Option<Arc<str>>,
-        /// At most so many rows; 0 for no limit.
+        /// Maximum number of rows; 0 for no limit.
         pub limit: u32,
     }
 }
 
 impl Range {
-    /// All rows under `prefix`.
+    /// Creates a range of all rows whose key starts with `prefix`.
     pub fn prefix(prefix: impl Into<Arc<str>>) -> Self {
         Self {
             prefix: prefix.into(),
@@ -87,16 +88,16 @@
     }
 }
 
-/// Most conditions and writes of a transaction together.
+/// Maximum number of conditions and writes of a transaction in total.
 pub const MAX_ENTRIES: usize = 100;
 
 impl Transaction {
-    /// Number of its conditions and writes; at most [`MAX_ENTRIES`] are taken.
+    /// Returns the number of conditions and writes; at most [`MAX_ENTRIES`] are allowed.
     pub fn entries(&self) -> usize {
         self.compares.len() + self.writes.len()
     }
 
-    /// Adds a condition on a row's revision; 0 for "absent".
+    /// Adds a condition on a row's revision; 0 if the row must be absent.
     pub fn with_compare(mut self, key: impl Into<Arc<str>>, revision: u64) -> Self {
         let key = key.into();
         self.compares.push(Compare { key, revision });
@@ -112,83 +113,83 @@
         self
     }
 
-    /// Adds a removal.
+    /// Adds a deletion.
     pub fn with_delete(mut self, key: impl Into<Arc<str>>) -> Self {
         self.writes.push(Write::Delete { key: key.into() });
         self
     }
 }
 
-/// Why the table gave no outcome.
+/// A failed call to the table service.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// No byte of the request reached the table: nothing was written.
+    /// No byte of the request reached the table service, so nothing was written.
     #[snafu(display("the table service could not be reached: {reason}"))]
     Unreachable {
-        /// What the adapter saw.
+        /// Error reported by the adapter.
         reason: Arc<str>,
     },
-    /// The request may have taken effect: the reply was lost, late or unreadable.
+    /// The request may have taken effect: the reply was lost, late or malformed.
     #[snafu(display("the table service's reply was lost: {reason}"))]
     Unknown {
-        /// What the adapter saw.
+        /// Error reported by the adapter.
         reason: Arc<str>,
     },
-    /// The table answered that it takes no more for now; nothing was written.
+    /// The table service throttled the request; nothing was written.
     #[snafu(display("the table service is over its limit"))]
     Busy,
 }
 
 /// The platform's transactional table service.
 pub trait Table: Send + Sync {
-    /// Carries out a transaction.
+    /// Commits a transaction.
     ///
     /// # Errors
     ///
-    /// [`Error::Unknown`] means that it may have taken effect: read back before trying again.
+    /// After [`Error::Unknown`], the transaction may have taken effect: read the rows before a retry.
     fn commit(&self, transaction: &Transaction) -> Result<Outcome, Error>;
 
-    /// Reads one row.
+    /// Reads a row.
     ///
     /// # Errors
     ///
-    /// When the table gave no answer.
+    /// Returns an error if the table doesn't respond.
     fn read(&self, key: &str) -> Result<Option<Row>, Error>;
 
-    /// Reads rows in key order.
+    /// Reads a range of rows in key order.
     ///
     /// # Errors
     ///
-    /// When the table gave no answer.
+    /// Returns an error if the table doesn't respond.
     fn scan(&self, range: &Range) -> Result<Vec<Row>, Error>;
 }
 
 crate::message! {
-    /// One piece of table work that a decision asks an adapter to do.
+    /// A table operation that decision logic requests from an adapter.
     pub enum Step {
-        /// Read these rows.
+        /// Read individual rows.
         Read {
-            /// Their keys.
+            /// Keys of the rows.
             keys: Vec<Arc<str>>,
         },
-        /// Read the rows of a range.
+        /// Read a range of rows.
         Scan(Range),
-        /// Carry out a transaction.
+        /// Commit a transaction.
         Commit(Transaction),
     }
 
-    /// The answer to a [`Step`].
+    /// The reply to a [`Step`].
     pub enum Reply {
-        /// The rows that exist, in key order.
+        /// The existing rows; those of a range are in key order.
         Rows(Vec<Row>),
-        /// What became of the transaction.
+        /// The outcome of a transaction.
         Outcome(Outcome),
-        /// The table gave no outcome.
+        /// The operation failed.
         Failed(Error),
     }
 }
 
-/// Carries out one step on a table.
+/// Executes a step on a table.
 pub fn execute(table: &dyn Table, step: &Step) -> Reply {
     match step {
         Step::Read { keys } => read_all(table, keys),
--- a/crates/fescuewell_core/src/time.rs
+++ b/crates/fescuewell_core/src/time.rs
@@ -1,4 +1,4 @@
-//! Time as decisions see it: a point on a clock that the caller injects.
+//! Points in time on a clock that is injected into the decision logic.
 
 use std::fmt;
 use std::ops::{Add, Sub};
@@ -9,17 +9,17 @@
 crate::key! {
     /// A point in time, in microseconds since the origin of the process's [`Clock`].
     ///
-    /// Instants of two processes are never compared.
+    /// Instants of different processes are not comparable.
     pub struct Instant(pub u64);
 }
 
 impl Instant {
-    /// The point that lies `millis` milliseconds after the clock's origin.
+    /// Creates an instant `millis` milliseconds after the clock's origin.
     pub fn from_millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
 
-    /// The time since `earlier`, or zero when `earlier` lies ahead.
+    /// Returns the time since `earlier`, or zero if `earlier` is later than this instant.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
@@ -45,13 +45,13 @@
     }
 }
 
-/// Where the present time comes from.
+/// A source of the current time.
 pub trait Clock: Send + Sync {
-    /// The present time.
+    /// Returns the current time.
     fn now(&self) -> Instant;
 }
 
-/// The machine's monotonic clock, with its origin at construction.
+/// The machine's monotonic clock. Its origin is the time of construction.
 #[derive(Debug, Clone)]
 pub struct SystemClock {
     origin: std::time::Instant,
@@ -71,14 +71,14 @@
     }
 }
 
-/// A clock that moves only when told to, for tests and the bench.
+/// A clock that is advanced manually, for tests and benchmarks.
 #[derive(Debug, Clone, Default)]
 pub struct ManualClock {
     micros: Arc<AtomicU64>,
 }
 
 impl ManualClock {
-    /// Moves the clock forward.
+    /// Advances the clock.
     pub fn advance(&self, duration: Duration) {
         self.micros
             .fetch_add(duration.as_micros() as u64, Ordering::SeqCst);
--- a/crates/fescuewell_core/src/timer.rs
+++ b/crates/fescuewell_core/src/timer.rs
@@ -1,60 +1,60 @@
-//! The timer service: one thread that sends ticks to whoever subscribed.
+//! The timer service: a thread that sends periodic ticks to its subscribers.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use crate::time::{Clock, Instant};
 
-/// Names a subscription in the ticks that it receives.
+/// Name of a subscription.
 pub type Name = &'static str;
 
 /// One tick of a subscription.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Tick {
-    /// Which subscription this tick belongs to.
+    /// Name of the subscription.
     pub name: Name,
-    /// The clock's time when the tick was sent.
+    /// Time at which the tick was sent.
     pub now: Instant,
 }
 
-/// What a subscriber asks for.
+/// A request for periodic ticks.
 pub struct Subscription {
-    /// Name carried by each tick.
+    /// Name included in each tick.
     pub name: Name,
-    /// Time between two ticks.
+    /// Interval between ticks.
     pub period: Duration,
-    /// Takes a tick; returns `false` once the subscriber is gone.
+    /// Delivers a tick. Returns `false` if the subscriber no longer exists.
     pub deliver: Box<dyn FnMut(Tick) -> bool + Send>,
 }
 
-/// Handle to the timer thread. The thread ends when the last handle is dropped.
+/// A handle to the timer thread. The thread exits when the last handle is dropped.
 #[derive(Clone)]
 pub struct Service {
     requests: flume::Sender<Subscription>,
 }
 
-/// How many subscriptions may wait for the timer thread to take them up.
-const PENDING_SUBSCRIPTIONS: usize = 64;
+/// Maximum number of subscriptions that the timer thread has not received yet.
+const MAX_PENDING_SUBSCRIPTIONS: usize = 64;
 
 impl Service {
     /// Starts the timer thread.
     ///
     /// # Panics
     ///
-    /// When the operating system cannot start a thread.
+    /// Panics if the operating system can't start a thread.
     pub fn start(clock: Arc<dyn Clock>) -> Self {
-        let (requests, inbox) = flume::bounded(PENDING_SUBSCRIPTIONS);
+        let (requests, inbox) = flume::bounded(MAX_PENDING_SUBSCRIPTIONS);
         std::thread::Builder::new()
             .name("timer".into())
             .spawn(move || run(&*clock, &inbox))
-            .expect("the operating system starts threads");
+            .expect("failed to start the timer thread");
         Self { requests }
     }
 
     /// Adds a subscription.
     ///
-    /// A tick that its subscriber has no room for should be dropped by `deliver`, not waited for:
-    /// the next one carries the same news, and a slow subscriber must not delay the others.
+    /// `deliver` should drop a tick rather than block if the subscriber's queue is full. The next tick contains
+    /// the same information, and a slow subscriber must not delay the others.
     pub fn subscribe<Deliver>(&self, name: Name, period: Duration, deliver: Deliver)
     where
         Deliver: FnMut(Tick) -> bool + Send + 'static,
@@ -92,7 +92,7 @@
     if now < *due {
         return true;
     }
-    // After a pause of the whole process the missed ticks are skipped, not delivered in a burst.
+    // If the process was paused, the missed ticks are skipped rather than delivered in a burst.
     *due = now + subscription.period;
     let name = subscription.name;
     (subscription.deliver)(Tick { name, now })
--- a/crates/fescuewell_core/src/tokens.rs
+++ b/crates/fescuewell_core/src/tokens.rs
@@ -1,30 +1,30 @@
-//! Amounts of model tokens, the unit in which budgets are prepaid.
+//! Amounts of model tokens, the unit of prepaid budgets.
 
 use std::fmt;
 use std::iter::Sum;
 use std::ops::{Add, AddAssign};
 
 crate::key! {
-    /// A number of tokens. Subtraction is explicit ([`Tokens::saturating_sub`], [`Tokens::checked_sub`]) since
-    /// money that goes below zero is always a fault.
+    /// A number of tokens. Addition saturates. There is no `Sub`, as a negative amount is always an error: use
+    /// [`Tokens::saturating_sub`] or [`Tokens::checked_sub`].
     pub struct Tokens(pub u64);
 }
 
 impl Tokens {
-    /// No tokens.
+    /// Zero tokens.
     pub const ZERO: Self = Self(0);
 
-    /// The difference, or zero when `other` is larger.
+    /// Returns the difference, or zero if `other` is larger.
     pub fn saturating_sub(self, other: Self) -> Self {
         Self(self.0.saturating_sub(other.0))
     }
 
-    /// The difference, or `None` when `other` is larger.
+    /// Returns the difference, or `None` if `other` is larger.
     pub fn checked_sub(self, other: Self) -> Option<Self> {
         self.0.checked_sub(other.0).map(Self)
     }
 
-    /// Whether this is zero.
+    /// Returns whether the amount is zero.
     pub fn is_zero(self) -> bool {
         self.0 == 0
     }
