--- a/crates/fescuewell_document/src/chunk/assembly.rs
+++ b/crates/fescuewell_document/src/chunk/assembly.rs
@@ -62,7 +62,7 @@
     known: Objects,
     decoded: BTreeMap<Digest, Object>,
     objects: Objects,
-    wanted: BTreeSet<Digest>,
+    missing: BTreeSet<Digest>,
 }
 
 impl Assembly {
@@ -73,7 +73,7 @@
             known: Objects::new(),
             decoded: BTreeMap::new(),
             objects: Objects::new(),
-            wanted: BTreeSet::from([root]),
+            missing: BTreeSet::from([root]),
         }
     }
 
@@ -92,7 +92,7 @@
 
     /// Returns the names of the objects to fetch next. Empty if the document is complete.
     pub fn missing(&self) -> Vec<Arc<str>> {
-        self.wanted.iter().copied().map(object_name).collect()
+        self.missing.iter().copied().map(object_name).collect()
     }
 
     /// Supplies an object. Objects that are not missing are ignored, as responses may be duplicated.
@@ -101,9 +101,9 @@
     ///
     /// Returns an error if the bytes don't match the hash in the name, can't be decoded, or exceed a limit.
     pub fn supply(&mut self, name: &str, bytes: &[u8]) -> Result<(), Error> {
-        let wanted = u128::from_str_radix(name, 16).map(Digest);
-        let Ok(digest) = wanted else { return Ok(()) };
-        if !self.wanted.contains(&digest) {
+        let parsed = u128::from_str_radix(name, 16).map(Digest);
+        let Ok(digest) = parsed else { return Ok(()) };
+        if !self.missing.contains(&digest) {
             return Ok(());
         }
         if bytes.len() > MAX_OBJECT_BYTES || Digest::of(bytes) != digest {
@@ -119,8 +119,8 @@
     /// Returns [`Error::Incomplete`] if objects are missing, [`Error::Malformed`] if the items can't be decoded,
     /// and [`Error::TooLarge`] if a section has too many items.
     pub fn finish(&self) -> Result<Document, Error> {
-        if !self.wanted.is_empty() {
-            let count = self.wanted.len();
+        if !self.missing.is_empty() {
+            let count = self.missing.len();
             return Err(Error::Incomplete { count });
         }
         let root = self.root_object()?;
@@ -164,11 +164,11 @@
                 match self.known.get(&object_name(child)) {
                     Some(bytes) => pending.push((child, bytes.clone())),
                     None => {
-                        self.wanted.insert(child);
+                        self.missing.insert(child);
                     }
                 }
             }
-            self.wanted.remove(&digest);
+            self.missing.remove(&digest);
             self.decoded.insert(digest, object);
             self.objects.insert(object_name(digest), bytes);
         }
--- a/crates/fescuewell_document/src/fault.rs
+++ b/crates/fescuewell_document/src/fault.rs
@@ -93,7 +93,7 @@
             continue;
         }
         let distance = edit_distance(word.as_bytes(), name.as_bytes());
-        if distance > limit || best.is_some_and(|(least, _)| least <= distance) {
+        if distance > limit || best.is_some_and(|(smallest, _)| smallest <= distance) {
             continue;
         }
         best = Some((distance, name));
