--- a/crates/fescuewell_node/src/admit.rs
+++ b/crates/fescuewell_node/src/admit.rs
@@ -33,7 +33,7 @@
             Err(refusal) => self.refuse_unknown(ticket, &arrival.key, refusal),
             Ok(record) => {
                 self.book.insert(record);
-                self.retries.first_try(self.now);
+                self.retries.record_request(self.now);
                 self.hold(ticket);
             }
         }
--- a/crates/fescuewell_node/src/limits.rs
+++ b/crates/fescuewell_node/src/limits.rs
@@ -36,8 +36,8 @@
         let own = f64::from(self.concurrency) * part;
         let needed = self
             .limit
-            .places()
-            .saturating_sub(self.limit.bulk_places(now));
+            .max_in_flight()
+            .saturating_sub(self.limit.max_bulk(now));
         let reserve = (own * RESERVE_PERCENT / 100.0).max(f64::from(needed));
         // One place is always left, or bulk work would never run on small parts.
         ((own - reserve) as u32).max(1)
@@ -115,7 +115,7 @@
     /// Gives it back.
     pub fn finish(&mut self, now: Instant, ended: Ended, router: &mut Router) {
         if let Some(place) = self.limits.get_mut(&ended.server) {
-            place.limit.finished(now, ended.class, ended.outcome);
+            place.limit.finish(now, ended.class, ended.outcome);
             let bulk = u32::from(ended.class == Class::Bulk);
             place.bulk = place.bulk.saturating_sub(bulk);
         }
@@ -126,7 +126,7 @@
     pub fn crowded(&mut self, now: Instant, servers: &[ServerKey]) {
         for server in servers {
             if let Some(place) = self.limits.get_mut(server) {
-                place.limit.crowded(now);
+                place.limit.raise_reserve(now);
             }
         }
     }
@@ -152,8 +152,8 @@
         };
         let bulk_places = place.bulk_places(now, self.part);
         let room = Room {
-            urgent: place.limit.has_place(now, Class::Urgent),
-            bulk: place.bulk < bulk_places && place.limit.has_place(now, Class::Bulk),
+            urgent: place.limit.can_start(now, Class::Urgent),
+            bulk: place.bulk < bulk_places && place.limit.can_start(now, Class::Bulk),
         };
         match room.urgent && room.bulk {
             true => self.closed.remove(&server),
--- a/crates/fescuewell_node/src/node.rs
+++ b/crates/fescuewell_node/src/node.rs
@@ -15,7 +15,7 @@
 use fescuewell_membership::member::{Me, Members};
 use fescuewell_membership::propagate::Propagation;
 use fescuewell_membership::slots::Keeper;
-use fescuewell_queue::admission::Admission;
+use fescuewell_queue::admission::Queue;
 use fescuewell_queue::retry;
 use fescuewell_routing::router::Router;
 use fescuewell_routing::server::Ticket as RouteTicket;
@@ -57,7 +57,7 @@
     pub(crate) ledger: Ledger,
     pub(crate) arbiter: Arbiter,
     pub(crate) courier: Courier,
-    pub(crate) admission: Admission,
+    pub(crate) admission: Queue,
     pub(crate) retries: retry::Budget,
     pub(crate) quarantine: Quarantine,
     pub(crate) limits: Limits,
@@ -102,7 +102,7 @@
             ledger: Ledger::new(settings.budget.clone(), holder.clone(), seed ^ 1),
             arbiter: Arbiter::new(settings.arbiter.clone(), holder.clone(), seed ^ 2),
             courier: Courier::new(settings.courier.clone(), holder.clone(), seed ^ 3),
-            admission: Admission::new(settings.queue.clone(), seed ^ 4),
+            admission: Queue::new(settings.queue.clone(), seed ^ 4),
             retries: retry::Budget::new(settings.retry),
             quarantine: Quarantine::default(),
             limits: Limits::new(settings.limit.clone()),
--- a/crates/fescuewell_node/src/settle.rs
+++ b/crates/fescuewell_node/src/settle.rs
@@ -138,7 +138,7 @@
         }
         if let Some(entry) = &record.entry {
             let took = (outcome == Outcome::Done).then_some(took);
-            self.admission.finished(entry, took);
+            self.admission.finish(entry, took);
         }
     }
 
@@ -178,7 +178,7 @@
             self.usual.learn(whose, costs, now.since(record.sent_at));
         }
         if let Some(entry) = &record.entry {
-            self.admission.settled(entry, owed);
+            self.admission.correct_cost(entry, owed);
         }
         let cost = Cost {
             tokens: owed,
@@ -220,7 +220,7 @@
         if self.book.step(ticket, "again") {
             let text = format!("ticket={} reason=busy", ticket.0);
             self.log(Event::RouteRetried, text);
-            self.admission.put_back(now, entry);
+            self.admission.requeue(now, entry);
         }
     }
 
@@ -253,7 +253,7 @@
                 Event::RouteRetried,
                 format!("ticket={} reason=not_run", ticket.0),
             );
-            self.admission.put_back(now, entry);
+            self.admission.requeue(now, entry);
         }
     }
 
--- a/crates/fescuewell_queue/examples/cost.rs
+++ b/crates/fescuewell_queue/examples/cost.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant as WallInstant};
 
 use fescuewell_core::prelude::*;
-use fescuewell_queue::admission::{Admission, Entry, KindPolicy, Settings};
+use fescuewell_queue::admission::{Entry, KindPolicy, Queue, Settings};
 use fescuewell_queue::limit::{Class, Limit, Outcome};
 use fescuewell_queue::retry::{Budget, BudgetSettings};
 use rand::rngs::SmallRng;
@@ -32,12 +32,12 @@
     }
 }
 
-fn filled(rng: &mut SmallRng) -> Admission {
+fn filled(rng: &mut SmallRng) -> Queue {
     let settings = Settings {
-        most_queued: 4 * QUEUED as usize,
+        max_queued: 4 * QUEUED as usize,
         ..Settings::default()
     };
-    let mut admission = Admission::new(settings, 1);
+    let mut admission = Queue::new(settings, 1);
     let kinds = (0..KINDS).map(|index| KindPolicy {
         key: KindKey(index),
         priority: index as u8,
@@ -78,8 +78,8 @@
         if running.len() > RUNNING
             && let Some(ended) = running.pop_front()
         {
-            admission.finished(&ended, Some(Duration::from_secs(5)));
-            admission.settled(&ended, Tokens(ended.cost.0 / 2));
+            admission.finish(&ended, Some(Duration::from_secs(5)));
+            admission.correct_cost(&ended, Tokens(ended.cost.0 / 2));
         }
         ends += popped.elapsed();
         pops += popped - pushed;
@@ -102,7 +102,7 @@
     for round in 0..ROUNDS / 100 {
         let mut can_start = |entry: &Entry| entry.pool == POOLS - 1 && entry.kind == last;
         if let Some(started) = admission.pop(now(ROUNDS + round), &mut can_start) {
-            admission.put_back(now(ROUNDS + round), started);
+            admission.requeue(now(ROUNDS + round), started);
         }
     }
     report("pop after 29 full pools, and put back", ROUNDS / 100, start);
@@ -119,14 +119,14 @@
     let start = WallInstant::now();
     for round in 0..ROUNDS {
         black_box(limit.try_start(now(round), Class::Bulk));
-        limit.finished(now(round), Class::Bulk, outcome);
+        limit.finish(now(round), Class::Bulk, outcome);
     }
     report("limit: start and end", ROUNDS, start);
 
     let mut budget = Budget::new(BudgetSettings::default());
     let start = WallInstant::now();
     for round in 0..ROUNDS {
-        budget.first_try(now(round));
+        budget.record_request(now(round));
         black_box(budget.try_retry(now(round)));
     }
     report("retry budget: first try and retry", ROUNDS, start);
--- a/crates/fescuewell_queue/examples/model/mod.rs
+++ b/crates/fescuewell_queue/examples/model/mod.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use fescuewell_core::prelude::*;
-use fescuewell_queue::admission::{Admission, Entry};
+use fescuewell_queue::admission::{Entry, Queue};
 use fescuewell_queue::deadline;
 use fescuewell_queue::limit::{Class, Limit, Outcome};
 use fescuewell_queue::preempt::{Policy, Stream};
@@ -58,7 +58,7 @@
 
 /// What the router does.
 pub struct Router {
-    pub admission: Admission,
+    pub admission: Queue,
     pub limits: Vec<Limit>,
     /// Bounds tries after the first one while something waits.
     pub budget: Option<Budget>,
@@ -200,7 +200,7 @@
         let crowded = !self.router.admission.is_empty();
         if let Some(budget) = &mut self.router.budget {
             if self.tries[index].number == 0 {
-                budget.first_try(now);
+                budget.record_request(now);
             } else if crowded && !budget.try_retry(now) {
                 return Err(Refusal::new(Code::Overloaded).with_retry_after(Duration::from_secs(2)));
             }
@@ -245,7 +245,7 @@
         if number + 1 >= self.callers.tries {
             return;
         }
-        let pause = self.backoff.pause(number, retry_after);
+        let pause = self.backoff.delay_for(number, retry_after);
         let next = Event::Arrive {
             request,
             number: number + 1,
@@ -291,10 +291,10 @@
     fn free(&mut self, index: usize, outcome: Outcome, took: Option<Duration>) {
         let request = self.load[self.tries[index].request];
         let limit = &mut self.router.limits[self.tries[index].server];
-        limit.finished(self.now, class_of(request.kind), outcome);
+        limit.finish(self.now, class_of(request.kind), outcome);
         if let Some(entry) = self.entries.remove(&index) {
-            self.router.admission.finished(&entry, took);
-            self.router.admission.settled(&entry, request.actual);
+            self.router.admission.finish(&entry, took);
+            self.router.admission.correct_cost(&entry, request.actual);
         }
     }
 
@@ -324,7 +324,7 @@
             return;
         }
         for limit in &mut self.router.limits {
-            limit.crowded(self.now);
+            limit.raise_reserve(self.now);
         }
         self.preempt();
     }
@@ -336,7 +336,7 @@
         let mut chosen = 0;
         let mut can_start = |entry: &Entry| {
             let class = class_of(load[tries[entry.ticket as usize].request].kind);
-            let with_place = (0..limits.len()).filter(|&at| limits[at].has_place(now, class));
+            let with_place = (0..limits.len()).filter(|&at| limits[at].can_start(now, class));
             let Some(server) = with_place.min_by_key(|&at| limits[at].in_flight()) else {
                 return false;
             };
@@ -353,7 +353,7 @@
             return;
         };
         let waiting = self.router.admission.depth(URGENT);
-        if waiting == 0 || !policy.pays(self.router.admission.next_place(0)) {
+        if waiting == 0 || !policy.should_preempt(self.router.admission.next_finish(0)) {
             return;
         }
         let pausing = self
@@ -386,7 +386,7 @@
         let pausing = self.entries.keys().filter(|&&other| {
             self.tries[other].is_pausing && self.tries[other].server == each.server
         });
-        let surplus = self.router.limits[each.server].surplus_bulk() as usize;
+        let surplus = self.router.limits[each.server].preemptible_bulk() as usize;
         if !is_bulk || each.is_pausing || pausing.count() >= surplus {
             return None;
         }
@@ -418,8 +418,8 @@
         self.tries[index].written = self.written(index);
         self.tries[index].pauses += 1;
         let limit = &mut self.router.limits[self.tries[index].server];
-        limit.finished(self.now, Class::Bulk, Outcome::Failed);
-        self.router.admission.put_back(self.now, entry);
+        limit.finish(self.now, Class::Bulk, Outcome::Failed);
+        self.router.admission.requeue(self.now, entry);
     }
 }
 
--- a/crates/fescuewell_queue/examples/surge.rs
+++ b/crates/fescuewell_queue/examples/surge.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use fescuewell_core::prelude::*;
-use fescuewell_queue::admission::{Admission, KindPolicy, Settings};
+use fescuewell_queue::admission::{KindPolicy, Queue, Settings};
 use fescuewell_queue::limit::{self, Limit};
 use fescuewell_queue::retry::{Budget, BudgetSettings};
 use model::{Callers, PER_TOKEN, Request, Router, TO_FIRST_TOKEN, Try, URGENT};
@@ -60,7 +60,7 @@
     name: &'static str,
     keeps_deadlines: bool,
     has_budget: bool,
-    most_queued: usize,
+    max_queued: usize,
 }
 
 const UNBOUNDED: usize = 1_000_000;
@@ -70,41 +70,41 @@
         name: "fescuewell",
         keeps_deadlines: true,
         has_budget: true,
-        most_queued: 2_000,
+        max_queued: 2_000,
     },
     Policy {
         name: "without retry budget",
         keeps_deadlines: true,
         has_budget: false,
-        most_queued: 2_000,
+        max_queued: 2_000,
     },
     Policy {
         name: "without deadlines",
         keeps_deadlines: false,
         has_budget: true,
-        most_queued: 2_000,
+        max_queued: 2_000,
     },
     Policy {
         name: "bounded queue alone",
         keeps_deadlines: false,
         has_budget: false,
-        most_queued: 2_000,
+        max_queued: 2_000,
     },
     Policy {
         name: "none of them",
         keeps_deadlines: false,
         has_budget: false,
-        most_queued: UNBOUNDED,
+        max_queued: UNBOUNDED,
     },
 ];
 
 fn router(policy: Policy) -> Router {
     let settings = Settings {
-        most_queued: policy.most_queued,
+        max_queued: policy.max_queued,
         group_factor: 2,
         ..Settings::default()
     };
-    let mut admission = Admission::new(settings, 3);
+    let mut admission = Queue::new(settings, 3);
     admission.set_kinds(&[KindPolicy {
         key: URGENT,
         priority: 0,
--- a/crates/fescuewell_queue/examples/waits.rs
+++ b/crates/fescuewell_queue/examples/waits.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use fescuewell_core::prelude::*;
-use fescuewell_queue::admission::{Admission, KindPolicy, Settings};
+use fescuewell_queue::admission::{KindPolicy, Queue, Settings};
 use fescuewell_queue::limit::{self, Limit};
 use fescuewell_queue::preempt::{self, Policy};
 use model::{Callers, End, PER_TOKEN, Request, Router, TO_FIRST_TOKEN, Try, URGENT};
@@ -125,13 +125,13 @@
 fn no_reserve() -> limit::Settings {
     limit::Settings {
         reserve_percent: 0,
-        bulk_least_percent: 100,
+        min_bulk_percent: 100,
         ..limit::Settings::default()
     }
 }
 
 fn router(variant: Variant) -> Router {
-    let mut admission = Admission::new(Settings::default(), 3);
+    let mut admission = Queue::new(Settings::default(), 3);
     admission.set_kinds(&[
         KindPolicy {
             key: URGENT,
--- a/crates/fescuewell_queue/src/admission/lane.rs
+++ b/crates/fescuewell_queue/src/admission/lane.rs
@@ -122,7 +122,7 @@
     }
 
     /// Puts a request that was started back where it stood, and returns what it was charged.
-    pub fn put_back(&mut self, place: Place, ticket: u64, weight: u32) {
+    pub fn requeue(&mut self, place: Place, ticket: u64, weight: u32) {
         self.push(place, ticket, weight);
         self.adjust(place.group, weight, place.cost, Tokens::ZERO);
         let Some(flow) = self.flows.get_mut(&place.group) else {
--- a/crates/fescuewell_queue/src/admission/mod.rs
+++ b/crates/fescuewell_queue/src/admission/mod.rs
@@ -5,15 +5,15 @@
 //! a *pool*: a set of backend servers of which any will do. Pools do not wait for each other. A pool has to be
 //! chosen so that all of its requests may use all of its servers: groups of different reach wait in different pools.
 //!
-//! A queued request never vanishes: it leaves by [`Admission::pop`], [`Admission::remove`] or
-//! [`Admission::expire`], exactly once.
+//! A queued request never vanishes: it leaves by [`Queue::pop`], [`Queue::remove`] or
+//! [`Queue::expire`], exactly once.
 //!
 //! ```
 //! use fescuewell_core::prelude::*;
-//! use fescuewell_queue::admission::{Admission, Entry, KindPolicy, Settings};
+//! use fescuewell_queue::admission::{Queue, Entry, KindPolicy, Settings};
 //!
 //! let (status, summary) = (KindKey(0), KindKey(1));
-//! let mut admission = Admission::new(Settings::default(), 7);
+//! let mut admission = Queue::new(Settings::default(), 7);
 //! admission.set_kinds(&[
 //!     KindPolicy { key: status, priority: 0, floor_percent: 0 },
 //!     KindPolicy { key: summary, priority: 5, floor_percent: 10 },
@@ -91,15 +91,15 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// Most requests that wait at once.
-    pub most_queued: usize,
+    pub max_queued: usize,
     /// A group may hold so many times the places of its kind that are still free.
     pub group_factor: usize,
     /// How many groups' first requests are tried in each kind and pool before it counts as blocked.
     pub look_ahead: usize,
     /// How many others may start ahead of a request that could not, before its pool is kept free for it.
-    pub most_passed: u32,
+    pub max_bypasses: u32,
     /// Longest time for which a pool is kept free.
-    pub hold: Duration,
+    pub max_reservation: Duration,
     /// A request is accepted only if its predicted wait is at most so many percent of the time it has left. The rest
     /// is room for urgent work that comes later, and keeps the queue short, so that it empties soon
     /// after a surge.
@@ -111,11 +111,11 @@
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            most_queued: 2_000,
+            max_queued: 2_000,
             group_factor: 2,
             look_ahead: 4,
-            most_passed: 16,
-            hold: Duration::from_secs(5),
+            max_bypasses: 16,
+            max_reservation: Duration::from_secs(5),
             accept_percent: 50,
             give_up_percent: 125,
         }
@@ -133,7 +133,7 @@
 
 /// The queue of one instance.
 #[derive(Debug)]
-pub struct Admission {
+pub struct Queue {
     settings: Settings,
     rng: SmallRng,
     kinds: Kinds,
@@ -176,7 +176,7 @@
 /// Pools that were unused for so long are forgotten, with what was measured of them.
 const POOL_MEMORY: Duration = Duration::from_secs(600);
 
-impl Admission {
+impl Queue {
     /// An empty queue without kinds; `seed` feeds the jitter of "retry after".
     pub fn new(settings: Settings, seed: u64) -> Self {
         Self {
@@ -236,7 +236,7 @@
     ///
     /// It was accepted before, so it is not refused for want of room; its group's charge is undone. A
     /// ticket that waits already stays as it is.
-    pub fn put_back(&mut self, now: Instant, entry: Entry) {
+    pub fn requeue(&mut self, now: Instant, entry: Entry) {
         if self.waiting.contains_key(&entry.ticket) {
             return;
         }
@@ -250,9 +250,9 @@
         let pool = self.pools.entry(entry.pool).or_default();
         pool.last_used = now;
         if self.running.remove(&entry.ticket) {
-            pool.rate.put_back(entry.cost);
+            pool.rate.requeue(entry.cost);
         }
-        pool.put_back(&self.kinds, entry.kind, arrival);
+        pool.requeue(&self.kinds, entry.kind, arrival);
         self.enlist(waiting);
     }
 
@@ -284,22 +284,22 @@
     /// Feeds back that a popped request ended: frees its place in the estimate of the pool's speed.
     ///
     /// `took` is the time since it was popped, or `None` when it failed and says nothing about speed.
-    pub fn finished(&mut self, entry: &Entry, took: Option<Duration>) {
+    pub fn finish(&mut self, entry: &Entry, took: Option<Duration>) {
         if !self.running.remove(&entry.ticket) {
             return;
         }
         if let Some(pool) = self.pools.get_mut(&entry.pool) {
-            pool.rate.finished(entry.cost, took);
+            pool.rate.finish(entry.cost, took);
         }
     }
 
     /// Mean time until a running request of the pool ends; `None` while that is unknown.
-    pub fn next_place(&self, pool: u32) -> Option<Duration> {
+    pub fn next_finish(&self, pool: u32) -> Option<Duration> {
         self.pools.get(&pool)?.rate.next_end()
     }
 
     /// Corrects the group's share once the true cost of a popped request is known.
-    pub fn settled(&mut self, entry: &Entry, actual: Tokens) {
+    pub fn correct_cost(&mut self, entry: &Entry, actual: Tokens) {
         let correction = Correction {
             group: entry.group,
             weight: self.weight(entry.group),
--- a/crates/fescuewell_queue/src/admission/order.rs
+++ b/crates/fescuewell_queue/src/admission/order.rs
@@ -3,7 +3,7 @@
 use fescuewell_core::prelude::*;
 
 use super::pool::{Hold, Pool};
-use super::{Admission, Entry};
+use super::{Entry, Queue};
 
 /// What was learned while looking for a request to start.
 #[derive(Default)]
@@ -14,12 +14,12 @@
     refused: Vec<u64>,
 }
 
-impl Admission {
+impl Queue {
     /// Takes out the request that starts next, or `None` when nothing that waits can start.
     ///
     /// `can_start` is asked for one request after the other, in order; the first one for which it says yes
     /// is popped and counts as started, so the question may take up the place. Pop until `None`: that is also
-    /// how the queue learns that a pool is full. Report each popped request's end by [`Admission::finished`].
+    /// how the queue learns that a pool is full. Report each popped request's end by [`Queue::finish`].
     pub fn pop(
         &mut self,
         now: Instant,
@@ -134,7 +134,7 @@
                 continue;
             }
             waiting.passed += 1;
-            if waiting.passed < self.settings.most_passed {
+            if waiting.passed < self.settings.max_bypasses {
                 continue;
             }
             if let Some(pool) = self.pools.get_mut(&entry.pool) {
@@ -154,7 +154,7 @@
             let Some(hold) = pool.hold else {
                 continue;
             };
-            if now.since(hold.since) < self.settings.hold {
+            if now.since(hold.since) < self.settings.max_reservation {
                 continue;
             }
             pool.hold = None;
--- a/crates/fescuewell_queue/src/admission/pool.rs
+++ b/crates/fescuewell_queue/src/admission/pool.rs
@@ -11,7 +11,7 @@
 /// The lanes of one pool, with the accounts that keep the floors.
 #[derive(Debug, Default)]
 pub(crate) struct Pool {
-    queues: BTreeMap<KindKey, Queue>,
+    queues: BTreeMap<KindKey, KindQueue>,
     pub rate: Rate,
     pub hold: Option<Hold>,
     pub last_used: Instant,
@@ -20,7 +20,7 @@
 
 /// One kind's queue within the pool.
 #[derive(Debug, Default)]
-struct Queue {
+struct KindQueue {
     lane: Lane,
     arrivals: Arrivals,
     /// Tokens that the kind's floor owes it; negative after a start on credit.
@@ -74,7 +74,7 @@
     }
 
     /// Puts a request that was started in vain back where it stood.
-    pub fn put_back(&mut self, kinds: &Kinds, kind: KindKey, arrival: Arrival) {
+    pub fn requeue(&mut self, kinds: &Kinds, kind: KindKey, arrival: Arrival) {
         self.join_turns(kinds, kind);
         let queue = self.queues.entry(kind).or_default();
         let Arrival {
@@ -82,7 +82,7 @@
             ticket,
             weight,
         } = arrival;
-        queue.lane.put_back(place, ticket, weight);
+        queue.lane.requeue(place, ticket, weight);
         let repaid = (queue.deficit + place.cost.0 as f64).min(0.0);
         queue.deficit = queue.deficit.max(repaid);
         self.len += 1;
--- a/crates/fescuewell_queue/src/admission/rate.rs
+++ b/crates/fescuewell_queue/src/admission/rate.rs
@@ -70,13 +70,13 @@
     }
 
     /// A request was started in vain and waits again.
-    pub fn put_back(&mut self, cost: Tokens) {
+    pub fn requeue(&mut self, cost: Tokens) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.tokens = (self.tokens - cost.0 as f64).max(0.0);
     }
 
     /// A request ended; `took` is `None` when it failed and says nothing about the speed.
-    pub fn finished(&mut self, cost: Tokens, took: Option<Duration>) {
+    pub fn finish(&mut self, cost: Tokens, took: Option<Duration>) {
         self.in_flight = self.in_flight.saturating_sub(1);
         let Some(took) = took else {
             return;
--- a/crates/fescuewell_queue/src/admission/wait.rs
+++ b/crates/fescuewell_queue/src/admission/wait.rs
@@ -6,7 +6,7 @@
 use fescuewell_core::prelude::*;
 use rand::Rng;
 
-use super::{Admission, Entry, Position};
+use super::{Entry, Position, Queue};
 
 /// Longest wait that is predicted; what is longer is as good as for ever.
 const LONGEST_WAIT: Duration = Duration::from_secs(3_600);
@@ -24,7 +24,7 @@
 /// A caller refused for a full queue is asked back when this share of what waits has started.
 const ROOM_SHARE: u32 = 4;
 
-impl Admission {
+impl Queue {
     /// Predicted time until a request that joins behind all of its kind would start; `None` while the pool's
     /// speed has not been measured.
     pub fn predicted_wait(&self, now: Instant, kind: KindKey, pool: u32) -> Option<Duration> {
@@ -70,7 +70,7 @@
     }
 
     fn has_room(&self, entry: &Entry) -> bool {
-        let most = self.settings.most_queued;
+        let most = self.settings.max_queued;
         let factor = self.settings.group_factor;
         self.kinds.has_room(entry.kind, most)
             && self.kinds.has_share(entry.kind, entry.group, most, factor)
--- a/crates/fescuewell_queue/src/deadline.rs
+++ b/crates/fescuewell_queue/src/deadline.rs
@@ -22,7 +22,7 @@
 use fescuewell_core::prelude::*;
 
 /// Longest remaining time that is believed, so that a nonsensical figure cannot hold a place for ever.
-pub const LONGEST: Duration = Duration::from_secs(24 * 3_600);
+pub const MAX_REMAINING: Duration = Duration::from_secs(24 * 3_600);
 
 /// What remains until the deadline, less an allowance for the way; zero when it has passed.
 pub fn remaining(now: Instant, deadline: Instant, transit: Duration) -> Duration {
@@ -36,7 +36,7 @@
 
 /// The deadline of a request that arrives now with so many milliseconds left.
 pub fn from_millis(now: Instant, millis: u64) -> Instant {
-    now + Duration::from_millis(millis).min(LONGEST)
+    now + Duration::from_millis(millis).min(MAX_REMAINING)
 }
 
 /// The latest time at which starting makes sense when the answer will take `service`.
--- a/crates/fescuewell_queue/src/limit/mod.rs
+++ b/crates/fescuewell_queue/src/limit/mod.rs
@@ -58,26 +58,26 @@
     pub reserve_percent: u32,
     /// Part of the limit that bulk work may use however much urgent work there is, in percent. At least the
     /// sum of the floors of bulk kinds, or these floors cannot be kept.
-    pub bulk_least_percent: u32,
+    pub min_bulk_percent: u32,
     /// The reserve holds the mean number of urgent requests in flight over the last 30 s and so many standard
     /// deviations. Less wastes less room and makes bursts of urgent work wait, or preempt.
     pub reserve_deviations: f64,
     /// Largest limit, in percent of the share. More than 100 lets an instance with much work use what others leave,
     /// at the price that the fleet together may exceed the server's concurrency until the server answers "busy".
-    pub stretch_percent: u32,
+    pub max_limit_percent: u32,
     /// The limit shrinks when a token takes longer than so many percent of its least time. A batching
     /// engine is slower with a full batch than with an empty one, so this is well above 100.
-    pub tolerance_percent: u32,
+    pub latency_tolerance_percent: u32,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
             reserve_percent: 20,
-            bulk_least_percent: 10,
+            min_bulk_percent: 10,
             reserve_deviations: 1.0,
-            stretch_percent: 100,
-            tolerance_percent: 300,
+            max_limit_percent: 100,
+            latency_tolerance_percent: 300,
         }
     }
 }
@@ -154,7 +154,7 @@
     /// Takes a place if there is one for the class.
     pub fn try_start(&mut self, now: Instant, class: Class) -> bool {
         self.forgive(now);
-        if !self.has_place(now, class) {
+        if !self.can_start(now, class) {
             return false;
         }
         self.demand.observe(now, self.urgent);
@@ -168,11 +168,11 @@
     }
 
     /// Whether [`Limit::try_start`] would take a place.
-    pub fn has_place(&self, now: Instant, class: Class) -> bool {
-        if self.in_flight() >= self.places() || now < self.rest_until {
+    pub fn can_start(&self, now: Instant, class: Class) -> bool {
+        if self.in_flight() >= self.max_in_flight() || now < self.rest_until {
             return false;
         }
-        class == Class::Urgent || self.bulk < self.bulk_places(now)
+        class == Class::Urgent || self.bulk < self.max_bulk(now)
     }
 
     /// An urgent request found no place on this server nor on any other that would do.
@@ -180,13 +180,13 @@
     /// The reserve grows at once to what urgent work uses now and one more, and shrinks again as that is forgotten.
     /// Otherwise bulk work would take the next places that come free, and a burst of urgent work
     /// would wait, or preempt, again and again until the mean has caught up.
-    pub fn crowded(&mut self, now: Instant) {
+    pub fn raise_reserve(&mut self, now: Instant) {
         self.demand.observe(now, self.urgent);
         self.demand.raise(self.urgent + 1);
     }
 
     /// Gives a place back and learns from how the request ended.
-    pub fn finished(&mut self, now: Instant, class: Class, outcome: Outcome) {
+    pub fn finish(&mut self, now: Instant, class: Class, outcome: Outcome) {
         self.demand.observe(now, self.urgent);
         match class {
             Class::Urgent => self.urgent = self.urgent.saturating_sub(1),
@@ -206,7 +206,7 @@
     }
 
     /// Most requests that run at once.
-    pub fn places(&self) -> u32 {
+    pub fn max_in_flight(&self) -> u32 {
         (self.limit as u32).max(1)
     }
 
@@ -215,8 +215,8 @@
     /// What is left besides the reserve, which follows the urgent work of late: with a fixed reserve, urgent
     /// work beyond it waits for bulk streams to end, which one sees as urgent waits as long as a
     /// bulk stream divided by the places. One place is always left, or bulk work would never run on small shares.
-    pub fn bulk_places(&self, now: Instant) -> u32 {
-        let places = f64::from(self.places());
+    pub fn max_bulk(&self, now: Instant) -> u32 {
+        let places = f64::from(self.max_in_flight());
         let reserve = (places * f64::from(self.settings.reserve_percent) / 100.0).ceil();
         let demand = self.demand.at(now, self.urgent);
         let expected = demand.expected(self.settings.reserve_deviations).ceil();
@@ -225,12 +225,12 @@
     }
 
     /// Bulk requests that run beyond their least part: so many may be preempted for urgent work.
-    pub fn surplus_bulk(&self) -> u32 {
+    pub fn preemptible_bulk(&self) -> u32 {
         self.bulk.saturating_sub(self.bulk_least())
     }
 
     fn bulk_least(&self) -> u32 {
-        let part = self.places() * self.settings.bulk_least_percent.min(100);
+        let part = self.max_in_flight() * self.settings.min_bulk_percent.min(100);
         part.div_ceil(100).max(1)
     }
 
@@ -238,7 +238,7 @@
         if let Some(per_token) = per_token {
             self.latency.add(now, per_token);
         }
-        let tolerance = f64::from(self.settings.tolerance_percent) / 100.0;
+        let tolerance = f64::from(self.settings.latency_tolerance_percent) / 100.0;
         let gradient = self.latency.gradient(tolerance);
         if gradient < 1.0 {
             self.cut(now, gradient.max(LEAST_SLOW_FACTOR));
@@ -249,7 +249,7 @@
         }
         self.ended += 1;
         // Judged by rounds: within one, the requests may all end before the next ones start.
-        if self.ended >= self.places() {
+        if self.ended >= self.max_in_flight() {
             self.ended = 0;
             self.was_used = self.is_used();
         }
@@ -308,7 +308,7 @@
     }
 
     fn most(&self) -> f64 {
-        self.share * f64::from(self.settings.stretch_percent.max(1)) / 100.0
+        self.share * f64::from(self.settings.max_limit_percent.max(1)) / 100.0
     }
 }
 
--- a/crates/fescuewell_queue/src/overload.rs
+++ b/crates/fescuewell_queue/src/overload.rs
@@ -2,14 +2,14 @@
 //!
 //! ```
 //! use fescuewell_core::prelude::*;
-//! use fescuewell_queue::overload::{Bounds, Guard, Size};
+//! use fescuewell_queue::overload::{Bounds, Limiter, Size};
 //!
-//! let mut guard = Guard::new(Bounds { streams: 10, bytes: 1_000 });
+//! let mut guard = Limiter::new(Bounds { streams: 10, bytes: 1_000 });
 //! let now = Instant::from_millis(0);
 //! let size = Size { bytes: 600 };
 //! assert!(guard.admit(now, 0, 1, size).is_ok());
 //! assert!(guard.admit(now, 0, 1, size).is_err());
-//! guard.closed(now, size);
+//! guard.release(now, size);
 //! assert!(guard.admit(now, 0, 1, size).is_ok());
 //! ```
 
@@ -38,7 +38,7 @@
 /// The decision depends on the present load alone, never on past refusals: when the surge ends and streams
 /// close, the next request is taken. There is nothing that could go on refusing.
 #[derive(Debug, Clone)]
-pub struct Guard {
+pub struct Limiter {
     bounds: Bounds,
     streams: usize,
     bytes: usize,
@@ -62,7 +62,7 @@
 const LEAST_RETRY_AFTER: Duration = Duration::from_millis(200);
 const MOST_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-impl Guard {
+impl Limiter {
     /// A guard with nothing open.
     pub fn new(bounds: Bounds) -> Self {
         Self {
@@ -79,7 +79,7 @@
     }
 
     /// Counts a request in, or refuses it. `tier` is the place of its kind among `tiers`; 0 is the most urgent.
-    /// Each accepted request has to be [`closed`](Guard::closed) with the same size.
+    /// Each accepted request has to be [`release`](Limiter::release)d with the same size.
     ///
     /// # Errors
     ///
@@ -107,7 +107,7 @@
     }
 
     /// A request of that size ended.
-    pub fn closed(&mut self, now: Instant, size: Size) {
+    pub fn release(&mut self, now: Instant, size: Size) {
         self.streams = self.streams.saturating_sub(1);
         self.bytes = self.bytes.saturating_sub(size.bytes);
         self.closings.add(now);
--- a/crates/fescuewell_queue/src/preempt.rs
+++ b/crates/fescuewell_queue/src/preempt.rs
@@ -2,7 +2,7 @@
 //!
 //! The reserve of a [limit](crate::limit) holds for the urgent work of late. A burst beyond it would wait until bulk
 //! streams end, a second and more. Where engines can cancel a stream and later resume it at its offset, a
-//! bulk stream is paused instead: cancelled, [put back](crate::admission::Admission::put_back) and resumed
+//! bulk stream is paused instead: cancelled, [put back](crate::admission::Queue::requeue) and resumed
 //! when its turn comes. Its caller sees a pause, not a failure.
 //!
 //! ```
@@ -29,28 +29,28 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
     /// Nothing is paused if a place is expected to come free by itself within this time.
-    pub least_gain: Duration,
+    pub min_wait: Duration,
     /// How often one stream may be paused. Without a bound, a stream could be paused for ever by one burst after another.
-    pub most_pauses: u32,
+    pub max_pauses: u32,
     /// A stream is only paused if it could still wait so long and meet its deadline.
-    pub least_slack: Duration,
+    pub min_slack: Duration,
     /// A stream that has produced more is left alone: resuming it costs the engine as many tokens to read again.
-    pub most_produced: Tokens,
+    pub max_produced: Tokens,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            least_gain: Duration::from_millis(20),
-            most_pauses: 2,
-            least_slack: Duration::from_secs(20),
-            most_produced: Tokens(4_000),
+            min_wait: Duration::from_millis(20),
+            max_pauses: 2,
+            min_slack: Duration::from_secs(20),
+            max_produced: Tokens(4_000),
         }
     }
 }
 
 /// A running bulk stream on a server that has more of them than their least part
-/// ([`Limit::surplus_bulk`](crate::limit::Limit::surplus_bulk)).
+/// ([`Limit::preemptible_bulk`](crate::limit::Limit::preemptible_bulk)).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Stream {
     /// Its ticket.
@@ -76,8 +76,8 @@
     }
 
     /// Whether to pause something, given the time until a place comes free by itself; `None` if unknown.
-    pub fn pays(&self, next_place: Option<Duration>) -> bool {
-        next_place.is_none_or(|wait| wait > self.settings.least_gain)
+    pub fn should_preempt(&self, next_finish: Option<Duration>) -> bool {
+        next_finish.is_none_or(|wait| wait > self.settings.min_wait)
     }
 
     /// The stream to pause: the one that has produced least, which loses least; `None` when none may be paused.
@@ -92,8 +92,8 @@
     }
 
     fn may_pause(&self, now: Instant, stream: &Stream) -> bool {
-        stream.pauses < self.settings.most_pauses
-            && stream.produced <= self.settings.most_produced
-            && stream.latest_resume >= now + self.settings.least_slack
+        stream.pauses < self.settings.max_pauses
+            && stream.produced <= self.settings.max_produced
+            && stream.latest_resume >= now + self.settings.min_slack
     }
 }
--- a/crates/fescuewell_queue/src/retry.rs
+++ b/crates/fescuewell_queue/src/retry.rs
@@ -4,10 +4,10 @@
 //! use fescuewell_core::prelude::*;
 //! use fescuewell_queue::retry::{Budget, BudgetSettings};
 //!
-//! let mut budget = Budget::new(BudgetSettings { ratio_percent: 50, least: 1, ..Default::default() });
+//! let mut budget = Budget::new(BudgetSettings { ratio_percent: 50, min_retries: 1, ..Default::default() });
 //! let now = Instant::from_millis(0);
-//! budget.first_try(now);
-//! budget.first_try(now);
+//! budget.record_request(now);
+//! budget.record_request(now);
 //! assert!(budget.try_retry(now)); // from the ratio
 //! assert!(budget.try_retry(now)); // from the constant
 //! assert!(!budget.try_retry(now));
@@ -26,7 +26,7 @@
     /// Retries for each hundred first tries.
     pub ratio_percent: u32,
     /// Retries that are allowed in each window whatever the first tries, so that a quiet instance can retry at all.
-    pub least: u32,
+    pub min_retries: u32,
     /// Time over which first tries and retries are counted.
     pub window: Duration,
 }
@@ -35,7 +35,7 @@
     fn default() -> Self {
         Self {
             ratio_percent: 10,
-            least: 3,
+            min_retries: 3,
             window: Duration::from_secs(10),
         }
     }
@@ -77,7 +77,7 @@
     }
 
     /// Counts the first try of a request.
-    pub fn first_try(&mut self, now: Instant) {
+    pub fn record_request(&mut self, now: Instant) {
         self.first_tries += 1;
         self.cell(now).first_tries += 1;
     }
@@ -85,7 +85,7 @@
     /// Takes a retry out of the budget, if there is one left.
     pub fn try_retry(&mut self, now: Instant) -> bool {
         self.cell(now);
-        if self.left() == 0 {
+        if self.remaining() == 0 {
             return false;
         }
         self.retries += 1;
@@ -94,9 +94,9 @@
     }
 
     /// Retries left as of the last call.
-    pub fn left(&self) -> u64 {
+    pub fn remaining(&self) -> u64 {
         let earned = self.first_tries * u64::from(self.settings.ratio_percent) / 100;
-        (earned + u64::from(self.settings.least)).saturating_sub(self.retries)
+        (earned + u64::from(self.settings.min_retries)).saturating_sub(self.retries)
     }
 
     fn cell(&mut self, now: Instant) -> &mut Cell {
@@ -130,16 +130,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BackoffSettings {
     /// Longest pause before the first retry.
-    pub first: Duration,
+    pub base_interval: Duration,
     /// Longest pause of all.
-    pub most: Duration,
+    pub max_interval: Duration,
 }
 
 impl Default for BackoffSettings {
     fn default() -> Self {
         Self {
-            first: Duration::from_millis(50),
-            most: Duration::from_secs(5),
+            base_interval: Duration::from_millis(50),
+            max_interval: Duration::from_secs(5),
         }
     }
 }
@@ -168,13 +168,13 @@
 
     /// The pause before retry number `retry` (0 is the first): uniform between nothing and the doubled
     /// bound ("full jitter"). A "retry after" from the server is the least, with jitter of its own.
-    pub fn pause(&mut self, retry: u32, retry_after: Option<Duration>) -> Duration {
+    pub fn delay_for(&mut self, retry: u32, retry_after: Option<Duration>) -> Duration {
         let factor = 1u32 << retry.min(MOST_DOUBLINGS);
         let most = self
             .settings
-            .first
+            .base_interval
             .saturating_mul(factor)
-            .min(self.settings.most);
+            .min(self.settings.max_interval);
         let drawn = most.mul_f64(self.rng.random::<f64>());
         let Some(least) = retry_after else {
             return drawn;
@@ -183,15 +183,15 @@
         drawn.max(least.mul_f64(1.0 + jitter))
     }
 
-    /// Like [`Backoff::pause`], or `None` when the retry could not start before the deadline.
-    pub fn pause_before(
+    /// Like [`Backoff::delay_for`], or `None` when the retry could not start before the deadline.
+    pub fn delay_before(
         &mut self,
         now: Instant,
         deadline: Instant,
         retry: u32,
         retry_after: Option<Duration>,
     ) -> Option<Duration> {
-        let pause = self.pause(retry, retry_after);
+        let pause = self.delay_for(retry, retry_after);
         (now + pause < deadline).then_some(pause)
     }
 }
--- a/crates/fescuewell_queue/tests/admission.rs
+++ b/crates/fescuewell_queue/tests/admission.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use fescuewell_core::prelude::*;
-use fescuewell_queue::admission::{Admission, Entry, GroupPolicy, KindPolicy, Settings};
+use fescuewell_queue::admission::{Entry, GroupPolicy, KindPolicy, Queue, Settings};
 
 const URGENT: KindKey = KindKey(0);
 const BULK: KindKey = KindKey(1);
@@ -14,8 +14,8 @@
     Instant::from_millis(millis)
 }
 
-fn admission(settings: Settings) -> Admission {
-    let mut admission = Admission::new(settings, 1);
+fn admission(settings: Settings) -> Queue {
+    let mut admission = Queue::new(settings, 1);
     admission.set_kinds(&[
         KindPolicy {
             key: URGENT,
@@ -50,7 +50,7 @@
     }
 }
 
-fn tokens_by_group(admission: &mut Admission, tokens: u64) -> BTreeMap<GroupKey, u64> {
+fn tokens_by_group(admission: &mut Queue, tokens: u64) -> BTreeMap<GroupKey, u64> {
     let mut sums = BTreeMap::new();
     let mut total = 0;
     while total < tokens {
@@ -64,7 +64,7 @@
 }
 
 /// A pool that runs at `per_second` requests of 100 tokens, with the queue full all the time.
-fn measured(settings: Settings) -> Admission {
+fn measured(settings: Settings) -> Queue {
     let mut admission = admission(settings);
     for ticket in 0..100 {
         admission.push(at(0), entry(ticket, BULK)).unwrap();
@@ -73,7 +73,7 @@
     for _ in 0..50 {
         let mut room = true;
         while let Some(started) = admission.pop(now, &mut |_| std::mem::take(&mut room)) {
-            admission.finished(&started, Some(Duration::from_millis(100)));
+            admission.finish(&started, Some(Duration::from_millis(100)));
         }
         now = now + Duration::from_millis(100);
     }
@@ -197,7 +197,7 @@
         } else {
             100
         };
-        admission.settled(&started, Tokens(actual));
+        admission.correct_cost(&started, Tokens(actual));
         *true_tokens.entry(started.group).or_insert(0u64) += actual;
     }
 
@@ -226,7 +226,7 @@
     // Sequence: each time that one place comes free, a request that needs one place takes it; the large one needs two.
     // Cause: what cannot start is skipped, and nothing keeps the places free for it.
     let settings = Settings {
-        most_passed: 5,
+        max_bypasses: 5,
         ..Settings::default()
     };
     let mut admission = admission(settings);
@@ -260,7 +260,7 @@
     // Sequence: a batch fills all places, then an urgent request arrives.
     // Cause: one bound for all kinds.
     let settings = Settings {
-        most_queued: 100,
+        max_queued: 100,
         group_factor: 100,
         ..Settings::default()
     };
@@ -281,7 +281,7 @@
 #[test]
 fn urgent_work_cannot_keep_bulk_out_of_the_queue() {
     let settings = Settings {
-        most_queued: 100,
+        max_queued: 100,
         group_factor: 100,
         ..Settings::default()
     };
@@ -298,7 +298,7 @@
 #[test]
 fn one_group_cannot_fill_the_queue() {
     let settings = Settings {
-        most_queued: 300,
+        max_queued: 300,
         ..Settings::default()
     };
     let mut admission = admission(settings);
@@ -397,7 +397,7 @@
         };
         refused += u32::from(admission.push(now, request).is_err());
         let started = admission.pop(now, &mut |_| true);
-        started.inspect(|entry| admission.finished(entry, Some(Duration::from_millis(100))));
+        started.inspect(|entry| admission.finish(entry, Some(Duration::from_millis(100))));
     }
 
     assert_eq!(refused, 0);
@@ -410,7 +410,7 @@
         admission.push(at(0), entry(ticket, BULK)).unwrap();
     }
     let started = admission.pop(at(0), &mut |_| true).unwrap();
-    admission.put_back(at(0), started);
+    admission.requeue(at(0), started);
 
     let order: Vec<u64> = std::iter::from_fn(|| admission.pop(at(0), &mut |_| true))
         .map(|entry| entry.ticket)
@@ -447,7 +447,7 @@
     admission.push(at(0), of_group(2, 1, 500)).unwrap();
     admission.pop(at(0), &mut |_| true).unwrap();
     let started = admission.pop(at(0), &mut |_| true).unwrap();
-    admission.put_back(at(0), started);
+    admission.requeue(at(0), started);
     admission.push(at(0), of_group(3, 1, 500)).unwrap();
     admission.pop(at(0), &mut |_| true).unwrap();
 
@@ -467,13 +467,13 @@
     while running.len() < 10 {
         running.extend(admission.pop(at(5_000), &mut |_| true));
     }
-    let before = admission.next_place(0);
+    let before = admission.next_finish(0);
     let failed = running.remove(0);
 
-    admission.finished(&failed, None);
-    admission.put_back(at(5_000), failed);
+    admission.finish(&failed, None);
+    admission.requeue(at(5_000), failed);
     admission.pop(at(5_000), &mut |entry| entry.ticket == failed.ticket);
 
     assert!(before.is_some());
-    assert_eq!(admission.next_place(0), before);
+    assert_eq!(admission.next_finish(0), before);
 }
--- a/crates/fescuewell_queue/tests/limit.rs
+++ b/crates/fescuewell_queue/tests/limit.rs
@@ -23,7 +23,7 @@
             started += 1;
         }
         for _ in 0..started {
-            limit.finished(at(second * 1_000 + 900), Class::Urgent, outcome);
+            limit.finish(at(second * 1_000 + 900), Class::Urgent, outcome);
         }
     }
 }
@@ -32,12 +32,12 @@
 fn busy_answers_shrink_the_limit_and_success_regains_it() {
     let mut limit = Limit::new(Settings::default(), 20.0);
     rounds(&mut limit, 0, 3, Outcome::Busy);
-    let shrunk = limit.places();
+    let shrunk = limit.max_in_flight();
 
     rounds(&mut limit, 3, 10, done(20));
 
     assert!((5..=8).contains(&shrunk), "{shrunk}");
-    assert_eq!(limit.places(), 20);
+    assert_eq!(limit.max_in_flight(), 20);
 }
 
 #[test]
@@ -46,7 +46,7 @@
 
     rounds(&mut limit, 0, 1, Outcome::Busy);
 
-    assert_eq!(limit.places(), 14);
+    assert_eq!(limit.max_in_flight(), 14);
 }
 
 #[test]
@@ -59,7 +59,7 @@
 
     rounds(&mut limit, 5, 10, done(200));
 
-    assert!(limit.places() <= 4, "{}", limit.places());
+    assert!(limit.max_in_flight() <= 4, "{}", limit.max_in_flight());
 }
 
 #[test]
@@ -69,12 +69,12 @@
     // Cause: the limit grew by use only, and the low limit kept the use low.
     let mut limit = Limit::new(Settings::default(), 20.0);
     rounds(&mut limit, 0, 20, Outcome::Busy);
-    let shrunk = limit.places();
+    let shrunk = limit.max_in_flight();
 
     limit.try_start(at(60_000), Class::Urgent);
 
     assert_eq!(shrunk, 1);
-    assert_eq!(limit.places(), 20);
+    assert_eq!(limit.max_in_flight(), 20);
 }
 
 #[test]
@@ -84,7 +84,7 @@
     let bulk = (0..100).filter(|_| limit.try_start(at(0), Class::Bulk));
 
     assert_eq!(bulk.count(), 40);
-    assert!(limit.has_place(at(0), Class::Urgent));
+    assert!(limit.can_start(at(0), Class::Urgent));
 }
 
 #[test]
@@ -97,11 +97,11 @@
         limit.try_start(at(0), Class::Urgent);
     }
 
-    let usual = limit.bulk_places(at(120_000));
+    let usual = limit.max_bulk(at(120_000));
     for _ in 0..20 {
         limit.try_start(at(120_000), Class::Urgent);
     }
-    let crowded = limit.bulk_places(at(600_000));
+    let crowded = limit.max_bulk(at(600_000));
 
     assert!((10..=20).contains(&usual), "{usual}");
     assert_eq!(crowded, 5);
@@ -117,7 +117,7 @@
         assert!(limit.try_start(at(0), Class::Urgent));
     }
 
-    limit.finished(at(1), Class::Urgent, done(20));
+    limit.finish(at(1), Class::Urgent, done(20));
 
     assert!(limit.try_start(at(1), Class::Bulk));
 }
@@ -126,23 +126,23 @@
 fn a_share_below_one_spaces_requests() {
     let mut limit = Limit::new(Settings::default(), 0.25);
     assert!(limit.try_start(at(0), Class::Bulk));
-    assert!(!limit.has_place(at(1), Class::Urgent));
+    assert!(!limit.can_start(at(1), Class::Urgent));
 
-    limit.finished(at(1_000), Class::Bulk, done(20));
+    limit.finish(at(1_000), Class::Bulk, done(20));
 
-    assert!(!limit.has_place(at(3_900), Class::Urgent));
-    assert!(limit.has_place(at(4_000), Class::Urgent));
+    assert!(!limit.can_start(at(3_900), Class::Urgent));
+    assert!(limit.can_start(at(4_000), Class::Urgent));
 }
 
 #[test]
 fn the_limit_follows_its_share() {
     let mut limit = Limit::new(Settings::default(), 10.0);
     limit.set_share(5.0);
-    let fewer = limit.places();
+    let fewer = limit.max_in_flight();
     limit.set_share(30.0);
 
     assert_eq!(fewer, 5);
-    assert_eq!(limit.places(), 30);
+    assert_eq!(limit.max_in_flight(), 30);
 }
 
 #[test]
@@ -154,11 +154,11 @@
     while limit.try_start(at(0), Class::Bulk) {}
     while limit.try_start(at(0), Class::Urgent) {}
 
-    limit.crowded(at(0));
-    let crowded = limit.bulk_places(at(0));
-    let later = limit.bulk_places(at(600_000));
+    limit.raise_reserve(at(0));
+    let crowded = limit.max_bulk(at(0));
+    let later = limit.max_bulk(at(600_000));
 
     assert_eq!(crowded, 50 - 11);
-    assert_eq!(limit.surplus_bulk(), 40 - 5);
+    assert_eq!(limit.preemptible_bulk(), 40 - 5);
     assert!(later >= 38, "{later}");
 }
--- a/crates/fescuewell_queue/tests/preempt.rs
+++ b/crates/fescuewell_queue/tests/preempt.rs
@@ -48,7 +48,7 @@
 fn nothing_is_paused_when_a_place_comes_free_soon() {
     let policy = Policy::new(Settings::default());
 
-    assert!(!policy.pays(Some(Duration::from_millis(10))));
-    assert!(policy.pays(Some(Duration::from_millis(100))));
-    assert!(policy.pays(None));
+    assert!(!policy.should_preempt(Some(Duration::from_millis(10))));
+    assert!(policy.should_preempt(Some(Duration::from_millis(100))));
+    assert!(policy.should_preempt(None));
 }
--- a/crates/fescuewell_queue/tests/properties.rs
+++ b/crates/fescuewell_queue/tests/properties.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use fescuewell_core::prelude::*;
-use fescuewell_queue::admission::{Admission, Entry, GroupPolicy, KindPolicy, Settings};
+use fescuewell_queue::admission::{Entry, GroupPolicy, KindPolicy, Queue, Settings};
 use proptest::prelude::*;
 use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
 
@@ -84,7 +84,7 @@
 
 /// The queue with a plain account of what is inside.
 struct Model {
-    admission: Admission,
+    admission: Queue,
     now: Instant,
     next: u64,
     inside: HashMap<u64, Entry>,
@@ -94,11 +94,11 @@
 impl Model {
     fn new() -> Self {
         let settings = Settings {
-            most_queued: MOST_QUEUED,
-            most_passed: 3,
+            max_queued: MOST_QUEUED,
+            max_bypasses: 3,
             ..Settings::default()
         };
-        let mut admission = Admission::new(settings, 5);
+        let mut admission = Queue::new(settings, 5);
         admission.set_kinds(&policies());
         Self {
             admission,
@@ -138,7 +138,7 @@
         }
     }
 
-    fn put_back(&mut self) {
+    fn requeue(&mut self) {
         // A full queue takes back what it gave out, so the bound does not apply here.
         let Some(entry) = self.running.pop() else {
             return;
@@ -146,7 +146,7 @@
         if self.admission.len() == MOST_QUEUED {
             return;
         }
-        self.admission.put_back(self.now, entry);
+        self.admission.requeue(self.now, entry);
         self.inside.insert(entry.ticket, entry);
     }
 
@@ -155,8 +155,8 @@
             return;
         };
         self.admission
-            .finished(&entry, Some(Duration::from_millis(actual)));
-        self.admission.settled(&entry, Tokens(actual));
+            .finish(&entry, Some(Duration::from_millis(actual)));
+        self.admission.correct_cost(&entry, Tokens(actual));
     }
 
     fn expire(&mut self) {
@@ -184,7 +184,7 @@
                 deadline: self.now + Duration::from_millis(patience),
             }),
             Step::Pop { places } => self.pop(places),
-            Step::PutBack => self.put_back(),
+            Step::PutBack => self.requeue(),
             Step::Settle { actual } => self.settle(actual),
             Step::Remove { ticket } => {
                 let removed = self.admission.remove(self.now, ticket);
@@ -244,13 +244,13 @@
     }
 }
 
-fn roomy() -> Admission {
+fn roomy() -> Queue {
     let settings = Settings {
-        most_queued: 100_000,
+        max_queued: 100_000,
         group_factor: 1_000,
         ..Settings::default()
     };
-    let mut admission = Admission::new(settings, 5);
+    let mut admission = Queue::new(settings, 5);
     admission.set_kinds(&policies());
     admission
 }
--- a/crates/fescuewell_queue/tests/retry.rs
+++ b/crates/fescuewell_queue/tests/retry.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use fescuewell_core::prelude::*;
-use fescuewell_queue::overload::{Bounds, Guard, Size};
+use fescuewell_queue::overload::{Bounds, Limiter, Size};
 use fescuewell_queue::retry::{Backoff, BackoffSettings, Budget, BudgetSettings};
 
 fn at(millis: u64) -> Instant {
@@ -19,7 +19,7 @@
     let mut retries = 0;
     for request in 0..6_000 {
         let now = at(request * 10);
-        budget.first_try(now);
+        budget.record_request(now);
         for _ in 0..3 {
             retries += u64::from(budget.try_retry(now));
         }
@@ -33,7 +33,7 @@
 fn unused_retries_lapse() {
     let mut budget = Budget::new(BudgetSettings::default());
     for request in 0..1_000 {
-        budget.first_try(at(request));
+        budget.record_request(at(request));
     }
 
     let later = (0..50).filter(|_| budget.try_retry(at(60_000))).count();
@@ -55,7 +55,7 @@
     let settings = BackoffSettings::default();
     let mut backoff = Backoff::new(settings, 3);
     let mut mean = |retry| {
-        let sum: Duration = (0..200).map(|_| backoff.pause(retry, None)).sum();
+        let sum: Duration = (0..200).map(|_| backoff.delay_for(retry, None)).sum();
         sum / 200
     };
     let (first, fifth, last) = (mean(0), mean(4), mean(30));
@@ -64,8 +64,8 @@
     assert!((320..480).contains(&fifth.as_millis()), "{fifth:?}");
     assert!((2_000..3_000).contains(&last.as_millis()), "{last:?}");
     let told = Duration::from_secs(2);
-    assert!((0..100).all(|_| backoff.pause(0, Some(told)) >= told));
-    assert_eq!(backoff.pause_before(at(0), at(1_000), 0, Some(told)), None);
+    assert!((0..100).all(|_| backoff.delay_for(0, Some(told)) >= told));
+    assert_eq!(backoff.delay_before(at(0), at(1_000), 0, Some(told)), None);
 }
 
 #[test]
@@ -78,7 +78,7 @@
         bytes: 1_000_000,
     };
     let size = Size { bytes: 1_000 };
-    let mut guard = Guard::new(bounds);
+    let mut guard = Limiter::new(bounds);
     let bulk = (0..200).filter(|_| guard.admit(at(0), 1, 2, size).is_ok());
     let bulk = bulk.count();
     let urgent = (0..200).filter(|_| guard.admit(at(0), 0, 2, size).is_ok());
@@ -86,7 +86,7 @@
     let refusal = guard.admit(at(0), 0, 2, size).unwrap_err();
 
     for _ in 0..100 {
-        guard.closed(at(1_000), size);
+        guard.release(at(1_000), size);
     }
 
     assert_eq!((bulk, urgent), (80, 20));
@@ -100,7 +100,7 @@
         streams: 100,
         bytes: 10_000,
     };
-    let mut guard = Guard::new(bounds);
+    let mut guard = Limiter::new(bounds);
     let size = Size { bytes: 3_000 };
 
     let accepted = (0..10).filter(|_| guard.admit(at(0), 0, 1, size).is_ok());
