--- a/crates/fescuewell_queue/src/lib.rs
+++ b/crates/fescuewell_queue/src/lib.rs
@@ -1,11 +1,13 @@
-//! Admission: priorities with a floor, token-fair sharing, adaptive limits and retry budgets, as pure state machines.
+//! Admission control: request queueing, concurrency limits, preemption, overload protection and retries.
 //!
-//! - [`admission`] holds the queue of one instance: which request starts next, which is refused and why.
-//! - [`limit`] decides how many requests one instance keeps running on one backend server.
-//! - [`preempt`] picks the bulk stream that makes room for a burst of urgent work.
-//! - [`overload`] refuses early when the instance itself runs out of streams or memory.
-//! - [`retry`] bounds retries and spaces them.
-//! - [`deadline`] carries the remaining time of a request from one process to the next.
+//! All types are pure state machines without I/O; the caller passes in the current time.
+//!
+//! - [`admission`]: the request queue of one instance, with priorities, guaranteed shares and fair sharing by tokens.
+//! - [`limit`]: an adaptive limit on the requests that one instance runs on one backend server.
+//! - [`preempt`]: selects the bulk stream to pause when a burst of urgent requests needs capacity.
+//! - [`overload`]: refuses requests when the instance itself reaches its limit of streams or memory.
+//! - [`retry`]: retry budget and exponential backoff.
+//! - [`deadline`]: passes the remaining time of a request between processes.
 
 pub mod admission;
 pub mod deadline;
--- a/crates/fescuewell_queue/src/overload.rs
+++ b/crates/fescuewell_queue/src/overload.rs
@@ -1,89 +1,90 @@
-//! Early refusal by the load of the instance itself.
+//! Overload protection: refuses requests by the load of the instance itself.
 //!
 //! ```
 //! use fescuewell_core::prelude::*;
 //! use fescuewell_queue::overload::{Bounds, Limiter, Size};
 //!
-//! let mut guard = Limiter::new(Bounds { streams: 10, bytes: 1_000 });
+//! let mut limiter = Limiter::new(Bounds { streams: 10, bytes: 1_000 });
 //! let now = Instant::from_millis(0);
 //! let size = Size { bytes: 600 };
-//! assert!(guard.admit(now, 0, 1, size).is_ok());
-//! assert!(guard.admit(now, 0, 1, size).is_err());
-//! guard.release(now, size);
-//! assert!(guard.admit(now, 0, 1, size).is_ok());
+//! assert!(limiter.admit(now, 0, 1, size).is_ok());
+//! assert!(limiter.admit(now, 0, 1, size).is_err());
+//! limiter.release(now, size);
+//! assert!(limiter.admit(now, 0, 1, size).is_ok());
 //! ```
 
 use std::time::Duration;
 
 use fescuewell_core::prelude::*;
 
-/// What one instance can carry.
+/// Capacity of one instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
-    /// Most requests that are open at once, queued or running.
+    /// Maximum number of open requests, queued or running.
     pub streams: usize,
-    /// Most memory that they take together.
+    /// Maximum memory of all open requests.
     pub bytes: usize,
 }
 
-/// What one request takes.
+/// Resources that one request uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Size {
-    /// Memory for its body, its buffers and its place in the queue.
+    /// Memory for its body, its buffers and its queue entry.
     pub bytes: usize,
 }
 
-/// Counts what is open and refuses what does not fit.
+/// Tracks open requests and refuses those that exceed the bounds.
 ///
-/// The decision depends on the present load alone, never on past refusals: when the surge ends and streams
-/// close, the next request is taken. There is nothing that could go on refusing.
+/// The decision depends only on the current load, never on past refusals. There is no refusing state that could outlast
+/// the surge: once streams close, the next request is accepted.
 #[derive(Debug, Clone)]
 pub struct Limiter {
     bounds: Bounds,
     streams: usize,
     bytes: usize,
-    closings: Closings,
+    release_rate: ReleaseRate,
 }
 
-/// How quickly requests close, for "retry after".
+/// Smoothed rate at which requests are released, for "retry after".
 #[derive(Debug, Clone, Default)]
-struct Closings {
+struct ReleaseRate {
     per_second: f64,
     last: Instant,
 }
 
-/// Time over which closings are forgotten, in seconds.
-const CLOSING_MEMORY: f64 = 5.0;
+/// Time constant of the release rate, in seconds.
+const RELEASE_DECAY_SECONDS: f64 = 5.0;
 
-/// Share of the bounds, in percent, that the least urgent tier may fill; those between lie evenly.
-const LEAST_URGENT_PERCENT: usize = 80;
+/// Part of the bounds that the least urgent tier may use. The tiers between are interpolated linearly up to 100.
+const LEAST_URGENT_TIER_PERCENT: usize = 80;
 
-/// Bounds of "retry after".
-const LEAST_RETRY_AFTER: Duration = Duration::from_millis(200);
-const MOST_RETRY_AFTER: Duration = Duration::from_secs(30);
+/// Range of "retry after".
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
 impl Limiter {
-    /// A guard with nothing open.
+    /// Creates a limiter without open requests.
     pub fn new(bounds: Bounds) -> Self {
         Self {
             bounds,
             streams: 0,
             bytes: 0,
-            closings: Closings::default(),
+            release_rate: ReleaseRate::default(),
         }
     }
 
-    /// Takes over new bounds; what is open stays open.
+    /// Replaces the bounds. Open requests are not affected.
     pub fn set_bounds(&mut self, bounds: Bounds) {
         self.bounds = bounds;
     }
 
-    /// Counts a request in, or refuses it. `tier` is the place of its kind among `tiers`; 0 is the most urgent.
-    /// Each accepted request has to be [`release`](Limiter::release)d with the same size.
+    /// Admits or refuses a request. `tier` is the index of its kind's tier among `tiers`; 0 is the most urgent.
+    ///
+    /// Call [`release`](Limiter::release) with the same size when an admitted request ends.
     ///
     /// # Errors
     ///
-    /// `Overloaded`, with the time after which to ask again.
+    /// `Overloaded`, with the time after which to retry.
     pub fn admit(
         &mut self,
         now: Instant,
@@ -91,7 +92,7 @@
         tiers: usize,
         size: Size,
     ) -> Result<(), Refusal> {
-        let percent = percent_of(tier, tiers);
+        let percent = tier_percent(tier, tiers);
         let streams = self.bounds.streams * percent / 100;
         let bytes = self.bounds.bytes * percent / 100;
         let stream_fits = self.streams < streams;
@@ -102,47 +103,47 @@
             return Ok(());
         }
         let excess = (self.streams + 1).saturating_sub(streams).max(1);
-        let wait = self.closings.time_for(now, excess);
+        let wait = self.release_rate.time_to_release(now, excess);
         Err(Refusal::new(Code::Overloaded).with_retry_after(wait))
     }
 
-    /// A request of that size ended.
+    /// Releases the resources of a request that ended.
     pub fn release(&mut self, now: Instant, size: Size) {
         self.streams = self.streams.saturating_sub(1);
         self.bytes = self.bytes.saturating_sub(size.bytes);
-        self.closings.add(now);
+        self.release_rate.add(now);
     }
 
-    /// Requests open now.
+    /// Number of open requests.
     pub fn streams(&self) -> usize {
         self.streams
     }
 
-    /// Memory taken now.
+    /// Memory of all open requests.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 }
 
-impl Closings {
-    fn rate(&self, now: Instant) -> f64 {
+impl ReleaseRate {
+    fn at(&self, now: Instant) -> f64 {
         let seconds = now.since(self.last).as_secs_f64();
-        self.per_second * (-seconds / CLOSING_MEMORY).exp()
+        self.per_second * (-seconds / RELEASE_DECAY_SECONDS).exp()
     }
 
     fn add(&mut self, now: Instant) {
-        self.per_second = self.rate(now) + 1.0 / CLOSING_MEMORY;
+        self.per_second = self.at(now) + 1.0 / RELEASE_DECAY_SECONDS;
         self.last = now;
     }
 
-    fn time_for(&self, now: Instant, count: usize) -> Duration {
-        let seconds = count as f64 / self.rate(now).max(f64::MIN_POSITIVE);
-        let most = MOST_RETRY_AFTER.as_secs_f64();
-        Duration::from_secs_f64(seconds.min(most)).max(LEAST_RETRY_AFTER)
+    fn time_to_release(&self, now: Instant, count: usize) -> Duration {
+        let seconds = count as f64 / self.at(now).max(f64::MIN_POSITIVE);
+        let longest = MAX_RETRY_AFTER.as_secs_f64();
+        Duration::from_secs_f64(seconds.min(longest)).max(MIN_RETRY_AFTER)
     }
 }
 
-fn percent_of(tier: usize, tiers: usize) -> usize {
+fn tier_percent(tier: usize, tiers: usize) -> usize {
     let steps = tiers.saturating_sub(1).max(1);
-    100 - (100 - LEAST_URGENT_PERCENT) * tier.min(steps) / steps
+    100 - (100 - LEAST_URGENT_TIER_PERCENT) * tier.min(steps) / steps
 }
--- a/crates/fescuewell_queue/src/preempt.rs
+++ b/crates/fescuewell_queue/src/preempt.rs
@@ -1,9 +1,9 @@
-//! Preemption: which running bulk stream makes room for urgent work.
+//! Preemption of running bulk streams by urgent requests.
 //!
-//! The reserve of a [limit](crate::limit) holds for the urgent work of late. A burst beyond it would wait until bulk
-//! streams end, a second and more. Where engines can cancel a stream and later resume it at its offset, a
-//! bulk stream is paused instead: cancelled, [put back](crate::admission::Queue::requeue) and resumed
-//! when its turn comes. Its caller sees a pause, not a failure.
+//! The reserve of a [limit](crate::limit) covers the recent number of urgent requests. A larger burst would wait for
+//! bulk streams to end, which takes a second or more. If the engines can cancel a stream and later resume it at its
+//! offset, a bulk stream is paused instead: it is cancelled, [requeued](crate::admission::Queue::requeue) and resumed
+//! when it is scheduled again. Its caller sees a pause, not a failure.
 //!
 //! ```
 //! use std::time::Duration;
@@ -25,16 +25,16 @@
 
 use fescuewell_core::prelude::*;
 
-/// When preemption pays.
+/// Conditions for preemption.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
-    /// Nothing is paused if a place is expected to come free by itself within this time.
+    /// No stream is paused if a running request is expected to end within this time.
     pub min_wait: Duration,
-    /// How often one stream may be paused. Without a bound, a stream could be paused for ever by one burst after another.
+    /// Maximum number of pauses of one stream. Without it, successive bursts could pause the same stream for ever.
     pub max_pauses: u32,
-    /// A stream is only paused if it could still wait so long and meet its deadline.
+    /// A stream is paused only if it can wait at least this long and still meet its deadline.
     pub min_slack: Duration,
-    /// A stream that has produced more is left alone: resuming it costs the engine as many tokens to read again.
+    /// Streams that have produced more tokens are not paused, because the engine reads all of them again to resume.
     pub max_produced: Tokens,
 }
 
@@ -49,49 +49,49 @@
     }
 }
 
-/// A running bulk stream on a server that has more of them than their least part
+/// A running bulk stream, on a server that runs more of them than the guaranteed minimum
 /// ([`Limit::preemptible_bulk`](crate::limit::Limit::preemptible_bulk)).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Stream {
-    /// Its ticket.
+    /// Ticket of its queue entry.
     pub ticket: u64,
     /// Tokens produced so far.
     pub produced: Tokens,
-    /// How often it was paused already.
+    /// Number of times it has been paused.
     pub pauses: u32,
-    /// The latest time at which resuming it makes sense.
+    /// Latest time at which it can resume and still meet its deadline.
     pub latest_resume: Instant,
 }
 
-/// Decides on preemption.
+/// Decides whether to preempt and which stream.
 #[derive(Debug, Clone)]
 pub struct Policy {
     settings: Settings,
 }
 
 impl Policy {
-    /// A policy with these settings.
+    /// Creates a policy.
     pub fn new(settings: Settings) -> Self {
         Self { settings }
     }
 
-    /// Whether to pause something, given the time until a place comes free by itself; `None` if unknown.
+    /// Returns whether to preempt, given the expected time until a running request ends (`None` if unknown).
     pub fn should_preempt(&self, next_finish: Option<Duration>) -> bool {
         next_finish.is_none_or(|wait| wait > self.settings.min_wait)
     }
 
-    /// The stream to pause: the one that has produced least, which loses least; `None` when none may be paused.
+    /// Selects the stream to pause: the one with the fewest tokens to read again. `None` if none may be paused.
     pub fn choose<Streams>(&self, now: Instant, streams: Streams) -> Option<u64>
     where
         Streams: IntoIterator<Item = Stream>,
     {
         let streams = streams.into_iter();
-        let allowed = streams.filter(|stream| self.may_pause(now, stream));
+        let allowed = streams.filter(|stream| self.is_preemptible(now, stream));
         let chosen = allowed.min_by_key(|stream| (stream.produced, stream.ticket));
         chosen.map(|stream| stream.ticket)
     }
 
-    fn may_pause(&self, now: Instant, stream: &Stream) -> bool {
+    fn is_preemptible(&self, now: Instant, stream: &Stream) -> bool {
         stream.pauses < self.settings.max_pauses
             && stream.produced <= self.settings.max_produced
             && stream.latest_resume >= now + self.settings.min_slack
--- a/crates/fescuewell_queue/src/retry.rs
+++ b/crates/fescuewell_queue/src/retry.rs
@@ -1,4 +1,4 @@
-//! Budgets that bound retries, and the pauses between them.
+//! Retry budget and exponential backoff.
 //!
 //! ```
 //! use fescuewell_core::prelude::*;
@@ -8,8 +8,8 @@
 //! let now = Instant::from_millis(0);
 //! budget.record_request(now);
 //! budget.record_request(now);
-//! assert!(budget.try_retry(now)); // from the ratio
-//! assert!(budget.try_retry(now)); // from the constant
+//! assert!(budget.try_retry(now)); // allowed by the ratio
+//! assert!(budget.try_retry(now)); // allowed by `min_retries`
 //! assert!(!budget.try_retry(now));
 //! ```
 
@@ -20,14 +20,15 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// How many retries a [`Budget`] allows.
+/// Settings of a [`Budget`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BudgetSettings {
-    /// Retries for each hundred first tries.
+    /// Retries allowed per hundred requests of the window.
     pub ratio_percent: u32,
-    /// Retries that are allowed in each window whatever the first tries, so that a quiet instance can retry at all.
+    /// Retries allowed in each window regardless of the number of requests, so that an instance with few requests can
+    /// retry at all.
     pub min_retries: u32,
-    /// Time over which first tries and retries are counted.
+    /// Length of the sliding window in which requests and retries are counted.
     pub window: Duration,
 }
 
@@ -41,97 +42,96 @@
     }
 }
 
-/// A bound on retries as a share of first tries.
+/// Limits retries to a percentage of requests, plus a constant, within a sliding window.
 ///
-/// A token bucket whose deposits lapse: each first try pays in a share of a retry, and both count for one
-/// window. Without a bound, each failure of an overloaded server brings more requests, which keep it
-/// overloaded after the surge that started it has ended; one would see more attempts than requests.
+/// Without a limit, each failure of an overloaded server causes further attempts, and these keep the server overloaded
+/// after the surge has ended: the number of attempts exceeds the number of requests.
 #[derive(Debug, Clone)]
 pub struct Budget {
     settings: BudgetSettings,
-    cells: VecDeque<Cell>,
-    first_tries: u64,
+    sections: VecDeque<Section>,
+    requests: u64,
     retries: u64,
 }
 
-/// Counts of one part of the window.
+/// Counts of one section of the window.
 #[derive(Debug, Clone, Copy, Default)]
-struct Cell {
+struct Section {
     start: Instant,
-    first_tries: u64,
+    requests: u64,
     retries: u64,
 }
 
-/// Parts into which the window is cut.
-const CELLS: u32 = 10;
+/// Number of sections of the window.
+const SECTIONS: u32 = 10;
 
 impl Budget {
-    /// A budget with nothing counted yet.
+    /// Creates a budget with empty counts.
     pub fn new(settings: BudgetSettings) -> Self {
         Self {
             settings,
-            cells: VecDeque::new(),
-            first_tries: 0,
+            sections: VecDeque::new(),
+            requests: 0,
             retries: 0,
         }
     }
 
-    /// Counts the first try of a request.
+    /// Counts the first attempt at a request.
     pub fn record_request(&mut self, now: Instant) {
-        self.first_tries += 1;
-        self.cell(now).first_tries += 1;
+        self.requests += 1;
+        self.current_section(now).requests += 1;
     }
 
-    /// Takes a retry out of the budget, if there is one left.
+    /// Takes one retry from the budget. Returns `false` if none is left.
     pub fn try_retry(&mut self, now: Instant) -> bool {
-        self.cell(now);
+        self.current_section(now);
         if self.remaining() == 0 {
             return false;
         }
         self.retries += 1;
-        self.cell(now).retries += 1;
+        self.current_section(now).retries += 1;
         true
     }
 
-    /// Retries left as of the last call.
+    /// Number of retries left as of the last call.
     pub fn remaining(&self) -> u64 {
-        let earned = self.first_tries * u64::from(self.settings.ratio_percent) / 100;
-        (earned + u64::from(self.settings.min_retries)).saturating_sub(self.retries)
+        let from_ratio = self.requests * u64::from(self.settings.ratio_percent) / 100;
+        (from_ratio + u64::from(self.settings.min_retries)).saturating_sub(self.retries)
     }
 
-    fn cell(&mut self, now: Instant) -> &mut Cell {
-        self.lapse(now);
-        let width = self.settings.window / CELLS;
-        let fresh = self.cells.back();
-        if fresh.is_none_or(|cell| now.since(cell.start) >= width) {
-            let cell = Cell {
+    fn current_section(&mut self, now: Instant) -> &mut Section {
+        self.remove_expired(now);
+        let width = self.settings.window / SECTIONS;
+        let newest = self.sections.back();
+        if newest.is_none_or(|section| now.since(section.start) >= width) {
+            let section = Section {
                 start: now,
-                ..Cell::default()
+                ..Section::default()
             };
-            self.cells.push_back(cell);
+            self.sections.push_back(section);
         }
-        let last = self.cells.len() - 1;
-        &mut self.cells[last]
+        let last = self.sections.len() - 1;
+        &mut self.sections[last]
     }
 
-    fn lapse(&mut self, now: Instant) {
-        while let Some(&cell) = self.cells.front() {
-            if now.since(cell.start) < self.settings.window {
+    fn remove_expired(&mut self, now: Instant) {
+        while let Some(&section) = self.sections.front() {
+            if now.since(section.start) < self.settings.window {
                 return;
             }
-            self.first_tries -= cell.first_tries;
-            self.retries -= cell.retries;
-            self.cells.pop_front();
+            self.requests -= section.requests;
+            self.retries -= section.retries;
+            self.sections.pop_front();
         }
     }
 }
 
-/// How long to pause before a retry.
+/// Settings of a [`Backoff`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BackoffSettings {
-    /// Longest pause before the first retry.
+    /// Maximum delay before the first retry.
     pub base_interval: Duration,
-    /// Longest pause of all.
+    /// Maximum delay before any retry.
     pub max_interval: Duration,
 }
 
@@ -144,21 +144,21 @@
     }
 }
 
-/// Pauses that double and are drawn at random, so that requests that failed together do not come back together.
+/// Exponential backoff with random delays, so that requests that failed together are not retried together.
 #[derive(Debug, Clone)]
 pub struct Backoff {
     settings: BackoffSettings,
     rng: SmallRng,
 }
 
-/// Doublings after which the longest pause is reached in any case.
-const MOST_DOUBLINGS: u32 = 20;
+/// Maximum exponent; keeps the shift from overflowing. The delay has reached the maximum by then.
+const MAX_DOUBLINGS: u32 = 20;
 
-/// Share of "retry after" that is added at random.
+/// Maximum random addition to "retry after", as a fraction of it.
 const RETRY_AFTER_JITTER: f64 = 0.5;
 
 impl Backoff {
-    /// Pauses drawn from `seed`.
+    /// Creates a backoff whose random delays are derived from `seed`.
     pub fn new(settings: BackoffSettings, seed: u64) -> Self {
         Self {
             settings,
@@ -166,24 +166,26 @@
         }
     }
 
-    /// The pause before retry number `retry` (0 is the first): uniform between nothing and the doubled
-    /// bound ("full jitter"). A "retry after" from the server is the least, with jitter of its own.
+    /// Returns the delay before retry number `retry` (0 is the first).
+    ///
+    /// The delay is uniform between zero and the base interval doubled `retry` times ("full jitter"). A "retry after"
+    /// from the server is the minimum, with separate jitter.
     pub fn delay_for(&mut self, retry: u32, retry_after: Option<Duration>) -> Duration {
-        let factor = 1u32 << retry.min(MOST_DOUBLINGS);
-        let most = self
+        let factor = 1u32 << retry.min(MAX_DOUBLINGS);
+        let max_delay = self
             .settings
             .base_interval
             .saturating_mul(factor)
             .min(self.settings.max_interval);
-        let drawn = most.mul_f64(self.rng.random::<f64>());
-        let Some(least) = retry_after else {
-            return drawn;
+        let random_delay = max_delay.mul_f64(self.rng.random::<f64>());
+        let Some(min_delay) = retry_after else {
+            return random_delay;
         };
         let jitter = self.rng.random::<f64>() * RETRY_AFTER_JITTER;
-        drawn.max(least.mul_f64(1.0 + jitter))
+        random_delay.max(min_delay.mul_f64(1.0 + jitter))
     }
 
-    /// Like [`Backoff::delay_for`], or `None` when the retry could not start before the deadline.
+    /// Like [`Backoff::delay_for`], but returns `None` if the retry would not start before the deadline.
     pub fn delay_before(
         &mut self,
         now: Instant,
@@ -191,7 +193,7 @@
         retry: u32,
         retry_after: Option<Duration>,
     ) -> Option<Duration> {
-        let pause = self.delay_for(retry, retry_after);
-        (now + pause < deadline).then_some(pause)
+        let delay = self.delay_for(retry, retry_after);
+        (now + delay < deadline).then_some(delay)
     }
 }
