--- a/crates/fescuewell_queue/src/admission/mod.rs
+++ b/crates/fescuewell_queue/src/admission/mod.rs
@@ -33,8 +33,8 @@
 //! assert_eq!(first.ticket, 2);
 //! ```
 
+mod fair_queue;
 mod kinds;
-mod lane;
 mod order;
 mod pool;
 mod rate;
@@ -47,8 +47,8 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
+use fair_queue::Place;
 use kinds::Kinds;
-use lane::Place;
 use pool::{Arrival, Correction, Pool};
 
 fescuewell_core::key! {
--- a/crates/fescuewell_queue/src/admission/pool.rs
+++ b/crates/fescuewell_queue/src/admission/pool.rs
@@ -4,8 +4,8 @@
 
 use fescuewell_core::prelude::*;
 
+use super::fair_queue::{Lane, Place};
 use super::kinds::Kinds;
-use super::lane::{Lane, Place};
 use super::rate::{Arrivals, Rate};
 
 /// The lanes of one pool, with the accounts that keep the floors.
