--- a/crates/fescuewell_queue/src/admission/kinds.rs
+++ b/crates/fescuewell_queue/src/admission/kinds.rs
@@ -1,4 +1,4 @@
-//! The kinds in force and the room that each has in the queue.
+//! Request kinds and their limits in the queue.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -6,11 +6,11 @@
 
 use super::KindPolicy;
 
-/// Policies of the kinds, their order, and how many requests of each wait.
+/// Policies and tiers of all kinds, and the number of queued requests of each.
 #[derive(Debug, Default)]
 pub(crate) struct Kinds {
     kinds: BTreeMap<KindKey, Kind>,
-    /// Kinds of equal priority stand in one tier; the most urgent tier comes first.
+    /// Kinds of equal priority form a tier; the most urgent tier is first.
     tiers: Vec<Vec<KindKey>>,
     queued: usize,
     groups: HashMap<(KindKey, GroupKey), usize>,
@@ -21,26 +21,25 @@
     policy: KindPolicy,
     tier: usize,
     queued: usize,
-    /// Taken out of the document while requests of it still wait: they are served, new ones refused.
+    /// The kind was removed from the document while requests of it wait: these are served, new ones are refused.
     retired: bool,
 }
 
 impl Kind {
-    /// Places, of `most`, that no other kind may take.
-    fn promised(&self, most: usize) -> usize {
-        most * usize::from(self.policy.floor_percent.min(100)) / 100
+    /// Returns the part of `max_queued` that no other kind may use.
+    fn guaranteed(&self, max_queued: usize) -> usize {
+        max_queued * usize::from(self.policy.floor_percent.min(100)) / 100
     }
 }
 
-/// Share of the queue that the least urgent tier may fill, in percent; tiers between lie evenly
-/// between this and the whole.
-const LEAST_URGENT_PERCENT: usize = 50;
+/// Part of the queue that the least urgent tier may use. The tiers between are interpolated linearly up to 100.
+const LEAST_URGENT_TIER_PERCENT: usize = 50;
 
-/// Priority of retired kinds, after all others.
+/// Priority of retired kinds, which are served last.
 const RETIRED_PRIORITY: u8 = u8::MAX;
 
 impl Kinds {
-    /// Takes over new policies; kinds that still have requests waiting are kept until these are gone.
+    /// Replaces the policies. Removed kinds with queued requests are retired, and dropped once these have left the queue.
     pub fn set(&mut self, policies: &[KindPolicy]) {
         for kind in self.kinds.values_mut() {
             kind.retired = true;
@@ -59,10 +58,10 @@
         }
         self.kinds
             .retain(|_, kind| !kind.retired || kind.queued > 0);
-        self.rank();
+        self.assign_tiers();
     }
 
-    fn rank(&mut self) {
+    fn assign_tiers(&mut self) {
         let mut priorities: BTreeMap<u8, Vec<KindKey>> = BTreeMap::new();
         for (&key, kind) in &self.kinds {
             let tier = priorities.entry(kind.policy.priority).or_default();
@@ -78,81 +77,90 @@
         }
     }
 
-    /// Whether new requests of the kind are taken.
-    pub fn is_open(&self, key: KindKey) -> bool {
+    /// Returns whether new requests of the kind are accepted.
+    pub fn accepts(&self, key: KindKey) -> bool {
         self.kinds.get(&key).is_some_and(|kind| !kind.retired)
     }
 
-    /// Position of the kind's tier; 0 is the most urgent.
+    /// Returns the index of the kind's tier; 0 is the most urgent.
     pub fn tier(&self, key: KindKey) -> usize {
         self.kinds
             .get(&key)
             .map_or(self.tiers.len(), |kind| kind.tier)
     }
 
-    /// The tiers, most urgent first.
+    /// Returns the tiers, most urgent first.
     pub fn tiers(&self) -> &[Vec<KindKey>] {
         &self.tiers
     }
 
-    /// Share of the tokens that the kind gets while more urgent work waits, between 0 and 1.
+    /// Returns the fraction of the tokens, from 0 to 1, that the kind receives while more urgent requests wait.
     pub fn floor(&self, key: KindKey) -> f64 {
         self.kinds.get(&key).map_or(0.0, |kind| {
             f64::from(kind.policy.floor_percent.min(100)) / 100.0
         })
     }
 
-    /// Requests of the kind that wait.
+    /// Returns the number of queued requests of the kind.
     pub fn queued(&self, key: KindKey) -> usize {
         self.kinds.get(&key).map_or(0, |kind| kind.queued)
     }
 
-    /// Whether there is room for one more request, of `most` in all.
+    /// Returns whether a queue of at most `max_queued` requests has room for one more of the kind.
     ///
-    /// Each tier and the less urgent ones below it together may fill only their share, so bulk work cannot
-    /// take the places of urgent work. Places that a floor promises are kept free of other kinds, so that a
-    /// flood of urgent work cannot keep bulk work out of the queue and thereby void its floor.
-    pub fn has_room(&self, key: KindKey, most: usize) -> bool {
-        if self.queued >= most {
+    /// Each tier, together with the less urgent ones, may use only part of the queue, so that bulk requests cannot
+    /// take the room of urgent ones. The part guaranteed by a floor is kept free of other kinds: if urgent requests
+    /// could keep bulk requests out of the queue, the floor would have no effect.
+    pub fn has_room(&self, key: KindKey, max_queued: usize) -> bool {
+        if self.queued >= max_queued {
             return false;
         }
-        (0..=self.tier(key)).all(|tier| self.claimed_from(tier, key, most) <= self.cap(tier, most))
+        (0..=self.tier(key))
+            .all(|tier| self.used_from(tier, key, max_queued) <= self.capacity(tier, max_queued))
     }
 
-    fn claimed_from(&self, tier: usize, newcomer: KindKey, most: usize) -> usize {
+    /// Returns the room used by the tier and all less urgent ones after adding a request of kind `added`. Unused guarantees
+    /// count as used.
+    fn used_from(&self, tier: usize, added: KindKey, max_queued: usize) -> usize {
         let below = self.kinds.iter().filter(|(_, kind)| kind.tier >= tier);
         below
             .map(|(&key, kind)| {
-                (kind.queued + usize::from(key == newcomer)).max(kind.promised(most))
+                (kind.queued + usize::from(key == added)).max(kind.guaranteed(max_queued))
             })
             .sum()
     }
 
-    /// Most requests of the tier and all below it.
-    fn cap(&self, tier: usize, most: usize) -> usize {
+    /// Returns the maximum number of queued requests of the tier and all less urgent ones.
+    fn capacity(&self, tier: usize, max_queued: usize) -> usize {
         let steps = self.tiers.len().saturating_sub(1).max(1);
-        let percent = 100 - (100 - LEAST_URGENT_PERCENT) * tier / steps;
+        let percent = 100 - (100 - LEAST_URGENT_TIER_PERCENT) * tier / steps;
         let below = self.kinds.values().filter(|kind| kind.tier >= tier);
-        let promised: usize = below.map(|kind| kind.promised(most)).sum();
-        (most * percent / 100).max(promised).max(1)
+        let guaranteed: usize = below.map(|kind| kind.guaranteed(max_queued)).sum();
+        (max_queued * percent / 100).max(guaranteed).max(1)
     }
 
-    /// Whether the group may take one more of the kind's places.
+    /// Returns whether the group may queue one more request of the kind.
     ///
-    /// A group may hold `factor` times what is still free (dynamic thresholds, Choudhury and Hahne, 1998), so no
-    /// single group fills the queue and leaves the others nothing but refusals.
-    pub fn has_share(&self, key: KindKey, group: GroupKey, most: usize, factor: usize) -> bool {
+    /// A group may have `factor` times as many requests queued as there is free room (dynamic thresholds, Choudhury and
+    /// Hahne, 1998), so that a single group cannot fill the queue and cause refusals for all others.
+    pub fn has_group_room(
+        &self,
+        key: KindKey,
+        group: GroupKey,
+        max_queued: usize,
+        factor: usize,
+    ) -> bool {
         let tier = self.tier(key);
-        let claimed = self.claimed_from(tier, key, most).saturating_sub(1);
-        let free = self.cap(tier, most).saturating_sub(claimed);
+        let used = self.used_from(tier, key, max_queued).saturating_sub(1);
+        let free = self.capacity(tier, max_queued).saturating_sub(used);
         let held = self.groups.get(&(key, group)).copied().unwrap_or(0);
         held < (free * factor).max(1)
     }
 
-    /// Counts a request in.
+    /// Adds a queued request.
     pub fn add(&mut self, key: KindKey, group: GroupKey) {
         if !self.kinds.contains_key(&key) {
-            self.retire(key);
+            self.add_retired(key);
         }
         let Some(kind) = self.kinds.get_mut(&key) else {
             return;
@@ -162,8 +170,8 @@
         *self.groups.entry((key, group)).or_default() += 1;
     }
 
-    /// Takes in a kind that left the document while a request of it was popped and then put back.
-    fn retire(&mut self, key: KindKey) {
+    /// Adds a retired kind for a request that is requeued after its kind was removed from the document.
+    fn add_retired(&mut self, key: KindKey) {
         let policy = KindPolicy {
             key,
             priority: RETIRED_PRIORITY,
@@ -176,26 +184,26 @@
             retired: true,
         };
         self.kinds.insert(key, kind);
-        self.rank();
+        self.assign_tiers();
     }
 
-    /// Counts a request out.
-    pub fn subtract(&mut self, key: KindKey, group: GroupKey) {
+    /// Removes a queued request.
+    pub fn remove(&mut self, key: KindKey, group: GroupKey) {
         let Some(kind) = self.kinds.get_mut(&key) else {
             return;
         };
         kind.queued -= 1;
         self.queued -= 1;
-        let gone = kind.retired && kind.queued == 0;
+        let is_unused = kind.retired && kind.queued == 0;
         if let Some(held) = self.groups.get_mut(&(key, group)) {
             *held -= 1;
             if *held == 0 {
                 self.groups.remove(&(key, group));
             }
         }
-        if gone {
+        if is_unused {
             self.kinds.remove(&key);
-            self.rank();
+            self.assign_tiers();
         }
     }
 }
--- a/crates/fescuewell_queue/src/admission/mod.rs
+++ b/crates/fescuewell_queue/src/admission/mod.rs
@@ -1,20 +1,19 @@
-//! The queue of one instance: what starts next, and what is refused.
+//! The request queue of one instance.
 //!
-//! Kinds go in strict order of priority, except that a kind with a floor gets its share of the tokens
-//! started while more urgent work waits. Within a kind, groups share by tokens and weight. Requests wait for
-//! a *pool*: a set of backend servers of which any will do. Pools do not wait for each other. A pool has to be
-//! chosen so that all of its requests may use all of its servers: groups of different reach wait in different pools.
+//! Kinds are scheduled in strict order of priority, except that a kind with a floor receives its percentage of the
+//! started tokens while more urgent requests wait. Within a kind, groups share tokens by weight. Each request waits for
+//! a *pool*, a set of interchangeable backend servers. A full pool does not block the others. All requests of a pool must
+//! be allowed to use all of its servers, so groups that may use different servers need different pools.
 //!
-//! A queued request never vanishes: it leaves by [`Queue::pop`], [`Queue::remove`] or
-//! [`Queue::expire`], exactly once.
+//! Each queued request leaves the queue exactly once, by [`Queue::pop`], [`Queue::remove`] or [`Queue::expire`].
 //!
 //! ```
 //! use fescuewell_core::prelude::*;
 //! use fescuewell_queue::admission::{Queue, Entry, KindPolicy, Settings};
 //!
 //! let (status, summary) = (KindKey(0), KindKey(1));
-//! let mut admission = Queue::new(Settings::default(), 7);
-//! admission.set_kinds(&[
+//! let mut queue = Queue::new(Settings::default(), 7);
+//! queue.set_kinds(&[
 //!     KindPolicy { key: status, priority: 0, floor_percent: 0 },
 //!     KindPolicy { key: summary, priority: 5, floor_percent: 10 },
 //! ]);
@@ -27,9 +26,9 @@
 //!     cost: Tokens(400),
 //!     deadline: Instant::from_millis(10_000),
 //! };
-//! admission.push(now, entry(1, summary)).unwrap();
-//! admission.push(now, entry(2, status)).unwrap();
-//! let first = admission.pop(now, &mut |_| true).unwrap();
+//! queue.push(now, entry(1, summary)).unwrap();
+//! queue.push(now, entry(2, status)).unwrap();
+//! let first = queue.pop(now, &mut |_| true).unwrap();
 //! assert_eq!(first.ticket, 2);
 //! ```
 
@@ -47,7 +46,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-use fair_queue::Place;
+use fair_queue::Item;
 use kinds::Kinds;
 use pool::{Arrival, Correction, Pool};
 
@@ -56,55 +55,54 @@
     pub struct KindPolicy {
         /// The kind.
         pub key: KindKey,
-        /// 0 is the most urgent.
+        /// Priority; 0 is the most urgent.
         pub priority: u8,
-        /// Share of the tokens started, in percent, that the kind gets while more urgent work waits.
+        /// Percentage of the started tokens that the kind receives while more urgent requests wait.
         pub floor_percent: u8,
     }
 
-    /// Share of one group within a kind.
+    /// Weight of one group within each kind.
     pub struct GroupPolicy {
         /// The group.
         pub key: GroupKey,
-        /// Relative share; 0 counts as 1, and so does a group without a policy.
+        /// Relative share. 0 counts as 1, as does a group without a policy.
         pub weight: u32,
     }
 
-    /// One waiting request.
+    /// A queued request.
     pub struct Entry {
-        /// The caller's name for it, unique among those that wait.
+        /// Identifier chosen by the caller, unique among queued requests.
         pub ticket: u64,
-        /// Who pays.
+        /// The group that pays.
         pub group: GroupKey,
-        /// Its kind.
+        /// The kind.
         pub kind: KindKey,
-        /// Which set of interchangeable backend servers it needs.
+        /// The set of interchangeable backend servers that can run it.
         pub pool: u32,
-        /// Expected cost, for fairness and predictions.
+        /// Expected cost, for fair sharing and predictions.
         pub cost: Tokens,
-        /// The latest time at which starting it makes sense.
+        /// Latest time at which the request can start and still meet the deadline of its caller.
         pub deadline: Instant,
     }
 }
 
-/// Bounds of the queue.
+/// Settings of a [`Queue`].
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Most requests that wait at once.
+    /// Maximum number of queued requests.
     pub max_queued: usize,
-    /// A group may hold so many times the places of its kind that are still free.
+    /// A group may have this many times as many requests of a kind queued as there is free room for the kind.
     pub group_factor: usize,
-    /// How many groups' first requests are tried in each kind and pool before it counts as blocked.
+    /// Number of groups whose first request is tried in each pool and kind before it counts as blocked.
     pub look_ahead: usize,
-    /// How many others may start ahead of a request that could not, before its pool is kept free for it.
+    /// Number of times that other requests may bypass a request that could not start, before its pool is reserved for it.
     pub max_bypasses: u32,
-    /// Longest time for which a pool is kept free.
+    /// Maximum duration of a reservation.
     pub max_reservation: Duration,
-    /// A request is accepted only if its predicted wait is at most so many percent of the time it has left. The rest
-    /// is room for urgent work that comes later, and keeps the queue short, so that it empties soon
-    /// after a surge.
+    /// A request is accepted only if its predicted wait is at most this percentage of its remaining time. The rest leaves
+    /// room for urgent requests that arrive later and keeps the queue short, so that it empties soon after a surge.
     pub accept_percent: u32,
-    /// A queued request is given up once its predicted wait exceeds so many percent of the time it has left.
+    /// A queued request is given up when its predicted wait exceeds this percentage of its remaining time.
     pub give_up_percent: u32,
 }
 
@@ -122,12 +120,12 @@
     }
 }
 
-/// Where an accepted request stands.
+/// Position of an accepted request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Position {
-    /// Requests of the same pool that wait and are as urgent or more.
+    /// Number of queued requests of the same pool that are at least as urgent.
     pub ahead: usize,
-    /// Predicted time until it starts; `None` while the pool's speed has not been measured.
+    /// Predicted time until it starts; `None` if the throughput of the pool has not been measured yet.
     pub wait: Option<Duration>,
 }
 
@@ -140,29 +138,29 @@
     weights: HashMap<GroupKey, u32>,
     waiting: HashMap<u64, Waiting>,
     deadlines: BTreeSet<(Instant, u64)>,
-    /// Popped, and neither finished nor put back: a request that failed is often reported as finished before
-    /// it is put back, and must not free two places in the estimate of the pool's speed.
+    /// Requests that were popped and neither finished nor requeued. A failed request is often finished and then requeued,
+    /// and must be subtracted only once from the running requests of the pool.
     running: HashSet<u64>,
     pools: BTreeMap<u32, Pool>,
-    /// Pool that started a request last: the others are asked first next time.
+    /// Pool that started a request last; the search for the next one begins after it.
     last_pool: u32,
-    /// Sequence number of the request that was pushed last.
+    /// Sequence number of the request pushed last.
     sequence: u64,
-    /// Sequence number of the request that was put back last; it stands before all pushed ones.
-    front: u64,
+    /// Sequence number of the request requeued last; lower than those of all pushed requests.
+    front_sequence: u64,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Waiting {
     entry: Entry,
     sequence: u64,
-    /// How many others started while this one could not.
-    passed: u32,
+    /// Number of requests that started while this one could not.
+    bypasses: u32,
 }
 
 impl Waiting {
-    fn place(&self) -> Place {
-        Place {
+    fn item(&self) -> Item {
+        Item {
             group: self.entry.group,
             sequence: self.sequence,
             cost: self.entry.cost,
@@ -170,14 +168,14 @@
     }
 }
 
-/// Pushed requests count up from here, those put back count down.
+/// Sequence numbers of pushed requests count up from here, those of requeued requests count down.
 const FIRST_SEQUENCE: u64 = 1 << 63;
 
-/// Pools that were unused for so long are forgotten, with what was measured of them.
-const POOL_MEMORY: Duration = Duration::from_secs(600);
+/// Unused pools are dropped after this time, including their measurements.
+const POOL_TTL: Duration = Duration::from_secs(600);
 
 impl Queue {
-    /// An empty queue without kinds; `seed` feeds the jitter of "retry after".
+    /// Creates an empty queue without kinds. `seed` determines the jitter of "retry after".
     pub fn new(settings: Settings, seed: u64) -> Self {
         Self {
             settings,
@@ -190,115 +188,115 @@
             pools: BTreeMap::new(),
             last_pool: 0,
             sequence: FIRST_SEQUENCE,
-            front: FIRST_SEQUENCE,
+            front_sequence: FIRST_SEQUENCE,
         }
     }
 
-    /// Takes over the kinds of a new document. Requests of a kind that is gone are served last.
+    /// Replaces the kinds with those of a new document. Queued requests of a removed kind are served last.
     pub fn set_kinds(&mut self, kinds: &[KindPolicy]) {
         self.kinds.set(kinds);
     }
 
-    /// Takes over the groups' weights of a new document.
+    /// Replaces the weights of the groups with those of a new document.
     pub fn set_groups(&mut self, groups: &[GroupPolicy]) {
         let weights = groups.iter().map(|group| (group.key, group.weight.max(1)));
         self.weights = weights.collect();
         let weights = &self.weights;
         for pool in self.pools.values_mut() {
-            pool.reweigh(|group| weights.get(&group).copied().unwrap_or(1));
+            pool.set_weights(|group| weights.get(&group).copied().unwrap_or(1));
         }
     }
 
-    /// Queues a request, or refuses it truthfully.
+    /// Queues a request.
     ///
     /// # Errors
     ///
-    /// `QueueFull` or `DeadlineTooNear`, both with the time after which to ask again; `DeadlinePassed`;
-    /// `UnknownKind`; `Internal` when the ticket already waits.
+    /// `QueueFull` or `DeadlineTooNear`, both with the time after which to retry; `DeadlinePassed`; `UnknownKind`;
+    /// `Internal` if the ticket is already queued.
     pub fn push(&mut self, now: Instant, entry: Entry) -> Result<Position, Refusal> {
         let position = self.check(now, &entry)?;
         self.sequence += 1;
         let waiting = Waiting {
             entry,
             sequence: self.sequence,
-            passed: 0,
+            bypasses: 0,
         };
         let arrival = self.arrival(&waiting);
         let pool = self.pools.entry(entry.pool).or_default();
         pool.last_used = now;
         pool.push(now, &self.kinds, entry.kind, arrival);
-        self.enlist(waiting);
+        self.track(waiting);
         Ok(position)
     }
 
-    /// Puts a popped request back where it stood, because the backend server did not take it after all or
-    /// because it was [preempted](crate::preempt).
+    /// Puts a popped request back at the front of its group, because the backend server did not accept it or because it
+    /// was [preempted](crate::preempt).
     ///
-    /// It was accepted before, so it is not refused for want of room; its group's charge is undone. A
-    /// ticket that waits already stays as it is.
+    /// The request was accepted before, so it is not refused if the queue is full. Its group is refunded. Does nothing if
+    /// the ticket is already queued.
     pub fn requeue(&mut self, now: Instant, entry: Entry) {
         if self.waiting.contains_key(&entry.ticket) {
             return;
         }
-        self.front -= 1;
+        self.front_sequence -= 1;
         let waiting = Waiting {
             entry,
-            sequence: self.front,
-            passed: 0,
+            sequence: self.front_sequence,
+            bypasses: 0,
         };
         let arrival = self.arrival(&waiting);
         let pool = self.pools.entry(entry.pool).or_default();
         pool.last_used = now;
         if self.running.remove(&entry.ticket) {
-            pool.rate.requeue(entry.cost);
+            pool.throughput.revert_start(entry.cost);
         }
         pool.requeue(&self.kinds, entry.kind, arrival);
-        self.enlist(waiting);
+        self.track(waiting);
     }
 
-    /// Takes a request out, for instance because its caller went away.
+    /// Removes a request, for instance because its caller disconnected.
     pub fn remove(&mut self, now: Instant, ticket: u64) -> Option<Entry> {
-        let waiting = self.delist(ticket)?;
+        let waiting = self.untrack(ticket)?;
         let entry = waiting.entry;
         let pool = self.pools.get_mut(&entry.pool)?;
-        pool.remove(now, entry.kind, waiting.place());
+        pool.remove(now, entry.kind, waiting.item());
         Some(entry)
     }
 
-    /// Takes out the requests whose deadline has passed or will pass before they could start.
+    /// Removes and returns the requests whose deadline has passed or will pass before they can start.
     ///
-    /// They are to be refused at once (`DeadlinePassed`, `DeadlineTooNear`): holding a request until a
-    /// deadline that it cannot meet only keeps its caller from going elsewhere.
+    /// The caller of this method refuses them at once (`DeadlinePassed`, `DeadlineTooNear`): keeping a request until a
+    /// deadline that it cannot meet only prevents its caller from trying elsewhere.
     pub fn expire(&mut self, now: Instant) -> Vec<Entry> {
-        let mut gone = Vec::new();
-        for (deadline, ticket) in self.in_danger(now) {
-            if deadline > now && !self.is_hopeless(now, ticket) {
+        let mut expired = Vec::new();
+        for (deadline, ticket) in self.at_risk(now) {
+            if deadline > now && !self.will_miss_deadline(now, ticket) {
                 continue;
             }
-            gone.extend(self.remove(now, ticket));
+            expired.extend(self.remove(now, ticket));
         }
-        self.forget_pools(now);
-        gone
+        self.drop_unused_pools(now);
+        expired
     }
 
-    /// Feeds back that a popped request ended: frees its place in the estimate of the pool's speed.
+    /// Records the end of a popped request, which updates the throughput estimate of its pool.
     ///
-    /// `took` is the time since it was popped, or `None` when it failed and says nothing about speed.
+    /// `took` is the time since it was popped, or `None` if it failed, since that time does not reflect the speed.
     pub fn finish(&mut self, entry: &Entry, took: Option<Duration>) {
         if !self.running.remove(&entry.ticket) {
             return;
         }
         if let Some(pool) = self.pools.get_mut(&entry.pool) {
-            pool.rate.finish(entry.cost, took);
+            pool.throughput.record_finish(entry.cost, took);
         }
     }
 
-    /// Mean time until a running request of the pool ends; `None` while that is unknown.
+    /// Returns the mean time until a running request of the pool ends, or `None` if that is unknown.
     pub fn next_finish(&self, pool: u32) -> Option<Duration> {
-        self.pools.get(&pool)?.rate.next_end()
+        self.pools.get(&pool)?.throughput.next_finish()
     }
 
-    /// Corrects the group's share once the true cost of a popped request is known.
+    /// Corrects the charge of the group once the actual cost of a popped request is known.
     pub fn correct_cost(&mut self, entry: &Entry, actual: Tokens) {
         let correction = Correction {
             group: entry.group,
@@ -307,26 +305,26 @@
             actual,
         };
         if let Some(pool) = self.pools.get_mut(&entry.pool) {
-            pool.adjust(&self.kinds, entry.kind, correction);
+            pool.correct_cost(&self.kinds, entry.kind, correction);
         }
     }
 
-    /// How many requests of the kind wait.
+    /// Returns the number of queued requests of the kind.
     pub fn depth(&self, kind: KindKey) -> usize {
         self.kinds.queued(kind)
     }
 
-    /// How many requests wait.
+    /// Returns the number of queued requests.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether nothing waits.
+    /// Returns whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// The priority number for engines; 0 goes first.
+    /// Returns the priority to send to engines; 0 is the most urgent.
     pub fn engine_priority(&self, kind: KindKey) -> u32 {
         self.kinds.tier(kind) as u32
     }
@@ -337,36 +335,38 @@
 
     fn arrival(&self, waiting: &Waiting) -> Arrival {
         Arrival {
-            place: waiting.place(),
+            item: waiting.item(),
             ticket: waiting.entry.ticket,
             weight: self.weight(waiting.entry.group),
         }
     }
 
-    fn enlist(&mut self, waiting: Waiting) {
+    fn track(&mut self, waiting: Waiting) {
         let entry = waiting.entry;
         self.kinds.add(entry.kind, entry.group);
         self.deadlines.insert((entry.deadline, entry.ticket));
         self.waiting.insert(entry.ticket, waiting);
     }
 
-    fn delist(&mut self, ticket: u64) -> Option<Waiting> {
+    fn untrack(&mut self, ticket: u64) -> Option<Waiting> {
         let waiting = self.waiting.remove(&ticket)?;
         let entry = waiting.entry;
-        self.kinds.subtract(entry.kind, entry.group);
+        self.kinds.remove(entry.kind, entry.group);
         self.deadlines.remove(&(entry.deadline, ticket));
         if let Some(pool) = self.pools.get_mut(&entry.pool)
-            && pool.hold.is_some_and(|hold| hold.ticket == ticket)
+            && pool
+                .reservation
+                .is_some_and(|reservation| reservation.ticket == ticket)
         {
-            pool.hold = None;
+            pool.reservation = None;
         }
         Some(waiting)
     }
 
-    fn forget_pools(&mut self, now: Instant) {
+    fn drop_unused_pools(&mut self, now: Instant) {
         self.pools.retain(|_, pool| {
-            let idle = pool.is_empty() && pool.rate.in_flight() == 0;
-            !idle || now.since(pool.last_used) < POOL_MEMORY
+            let idle = pool.is_empty() && pool.throughput.in_flight() == 0;
+            !idle || now.since(pool.last_used) < POOL_TTL
         });
     }
 }
--- a/crates/fescuewell_queue/src/admission/order.rs
+++ b/crates/fescuewell_queue/src/admission/order.rs
@@ -1,56 +1,60 @@
-//! The choice of what starts next.
+//! Scheduling: which queued request starts next.
 
 use fescuewell_core::prelude::*;
 
-use super::pool::{Hold, Pool};
+use super::pool::{Pool, Reservation};
 use super::{Entry, Queue};
 
-/// What was learned while looking for a request to start.
+/// Intermediate results of the search for a request to start.
 #[derive(Default)]
 struct Search {
-    /// Kinds and pools that were tried in vain.
+    /// Pools and kinds that were tried without success.
     tried: Vec<(u32, KindKey)>,
-    /// The first request of each of these, which could not start.
-    refused: Vec<u64>,
+    /// First request of each tried pool and kind that could not start.
+    blocked: Vec<u64>,
 }
 
 impl Queue {
-    /// Takes out the request that starts next, or `None` when nothing that waits can start.
+    /// Removes and returns the request that starts next, or `None` if no queued request can start.
     ///
-    /// `can_start` is asked for one request after the other, in order; the first one for which it says yes
-    /// is popped and counts as started, so the question may take up the place. Pop until `None`: that is also
-    /// how the queue learns that a pool is full. Report each popped request's end by [`Queue::finish`].
+    /// Calls `can_start` for candidates in order. The first one for which it returns `true` counts as started, so
+    /// `can_start` may already reserve the capacity. Call this until it returns `None`, which also records that the pools
+    /// are full. Call [`Queue::finish`] when a popped request ends.
     pub fn pop(
         &mut self,
         now: Instant,
         can_start: &mut dyn FnMut(&Entry) -> bool,
     ) -> Option<Entry> {
-        self.release_holds(now);
+        self.expire_reservations(now);
         let mut search = Search::default();
-        let Some(ticket) = self.find(&mut search, can_start) else {
+        let Some(ticket) = self.find_next(&mut search, can_start) else {
             self.mark_blocked(now);
             return None;
         };
-        self.count_passed(now, ticket, &search.refused);
+        self.count_bypasses(now, ticket, &search.blocked);
         self.start(now, ticket)
     }
 
-    fn find(&self, search: &mut Search, can_start: &mut dyn FnMut(&Entry) -> bool) -> Option<u64> {
-        let pools = self.pools_in_turn();
+    fn find_next(
+        &self,
+        search: &mut Search,
+        can_start: &mut dyn FnMut(&Entry) -> bool,
+    ) -> Option<u64> {
+        let pools = self.pools_round_robin();
         for &(key, pool) in &pools {
-            for kind in pool.owed(&self.kinds) {
-                let found = self.try_lane(key, pool, kind, search, can_start);
-                if found.is_some() {
-                    return found;
+            for kind in pool.below_floor(&self.kinds) {
+                let ticket = self.try_kind(key, pool, kind, search, can_start);
+                if ticket.is_some() {
+                    return ticket;
                 }
             }
         }
         for tier in self.kinds.tiers() {
             for &(key, pool) in &pools {
-                for kind in pool.turns(tier) {
-                    let found = self.try_lane(key, pool, kind, search, can_start);
-                    if found.is_some() {
-                        return found;
+                for kind in pool.by_served(tier) {
+                    let ticket = self.try_kind(key, pool, kind, search, can_start);
+                    if ticket.is_some() {
+                        return ticket;
                     }
                 }
             }
@@ -58,18 +62,18 @@
         None
     }
 
-    /// The pools with something waiting, starting behind the one that was served last: pools may share
-    /// servers, and the first in the map would otherwise always win.
-    fn pools_in_turn(&self) -> Vec<(u32, &Pool)> {
-        let behind = self.pools.range(self.last_pool.saturating_add(1)..);
-        let rest = self.pools.range(..=self.last_pool);
-        let all = behind.chain(rest);
+    /// Returns the pools with waiting requests in round-robin order, starting after the one that was served last. Pools may
+    /// share servers, and a fixed order would always prefer the first pool.
+    fn pools_round_robin(&self) -> Vec<(u32, &Pool)> {
+        let after_last = self.pools.range(self.last_pool.saturating_add(1)..);
+        let up_to_last = self.pools.range(..=self.last_pool);
+        let all = after_last.chain(up_to_last);
         all.filter(|(_, pool)| !pool.is_empty())
             .map(|(&key, pool)| (key, pool))
             .collect()
     }
 
-    fn try_lane(
+    fn try_kind(
         &self,
         key: u32,
         pool: &Pool,
@@ -81,23 +85,23 @@
             return None;
         }
         search.tried.push((key, kind));
-        if let Some(hold) = pool.hold
-            && self.kinds.tier(kind) >= self.kinds.tier(hold.kind)
+        if let Some(reservation) = pool.reservation
+            && self.kinds.tier(kind) >= self.kinds.tier(reservation.kind)
         {
-            if hold.kind != kind {
+            if reservation.kind != kind {
                 return None;
             }
-            return self.try_ticket(hold.ticket, can_start);
+            return self.try_ticket(reservation.ticket, can_start);
         }
-        let mut refused = None;
-        for ticket in pool.lane(kind)?.heads(self.settings.look_ahead) {
+        let mut blocked = None;
+        for ticket in pool.fair_queue(kind)?.heads(self.settings.look_ahead) {
             if self.try_ticket(ticket, can_start).is_some() {
-                search.refused.extend(refused);
+                search.blocked.extend(blocked);
                 return Some(ticket);
             }
-            refused = refused.or(Some(ticket));
+            blocked = blocked.or(Some(ticket));
         }
-        search.refused.extend(refused);
+        search.blocked.extend(blocked);
         None
     }
 
@@ -107,38 +111,38 @@
     }
 
     fn start(&mut self, now: Instant, ticket: u64) -> Option<Entry> {
-        let waiting = self.delist(ticket)?;
+        let waiting = self.untrack(ticket)?;
         let entry = waiting.entry;
         let pool = self.pools.get_mut(&entry.pool)?;
         pool.last_used = now;
-        pool.start(now, &self.kinds, entry.kind, waiting.place());
+        pool.start(now, &self.kinds, entry.kind, waiting.item());
         self.last_pool = entry.pool;
         self.running.insert(ticket);
         Some(entry)
     }
 
-    /// Counts the started request against those that it went past, and keeps the pool free for one that
-    /// too many went past. Without this, a request that needs much room at once would wait until its
-    /// deadline while small ones take each bit of room that comes free.
-    fn count_passed(&mut self, now: Instant, started: u64, refused: &[u64]) {
+    /// Counts a bypass for each request that the started one overtook, and reserves the pool for a request that has
+    /// been bypassed too often. Without this, a request that needs much capacity at once would wait until its deadline
+    /// while small requests take all capacity as it becomes free.
+    fn count_bypasses(&mut self, now: Instant, started: u64, blocked: &[u64]) {
         let Some(started) = self.waiting.get(&started).map(|waiting| waiting.entry) else {
             return;
         };
-        for &ticket in refused {
+        for &ticket in blocked {
             let Some(waiting) = self.waiting.get_mut(&ticket) else {
                 continue;
             };
             let entry = waiting.entry;
-            let entitled = self.kinds.tier(started.kind) < self.kinds.tier(entry.kind);
-            if entry.pool != started.pool || entitled {
+            let is_more_urgent = self.kinds.tier(started.kind) < self.kinds.tier(entry.kind);
+            if entry.pool != started.pool || is_more_urgent {
                 continue;
             }
-            waiting.passed += 1;
-            if waiting.passed < self.settings.max_bypasses {
+            waiting.bypasses += 1;
+            if waiting.bypasses < self.settings.max_bypasses {
                 continue;
             }
             if let Some(pool) = self.pools.get_mut(&entry.pool) {
-                pool.hold.get_or_insert(Hold {
+                pool.reservation.get_or_insert(Reservation {
                     ticket,
                     kind: entry.kind,
                     since: now,
@@ -147,19 +151,19 @@
         }
     }
 
-    /// Ends holds that lasted too long: the request may wait for a server that is gone, and the others
-    /// must not wait with it.
-    fn release_holds(&mut self, now: Instant) {
+    /// Releases reservations older than the maximum: the request may need a server that no longer exists, and must not
+    /// block the others.
+    fn expire_reservations(&mut self, now: Instant) {
         for pool in self.pools.values_mut() {
-            let Some(hold) = pool.hold else {
+            let Some(reservation) = pool.reservation else {
                 continue;
             };
-            if now.since(hold.since) < self.settings.max_reservation {
+            if now.since(reservation.since) < self.settings.max_reservation {
                 continue;
             }
-            pool.hold = None;
-            if let Some(waiting) = self.waiting.get_mut(&hold.ticket) {
-                waiting.passed = 0;
+            pool.reservation = None;
+            if let Some(waiting) = self.waiting.get_mut(&reservation.ticket) {
+                waiting.bypasses = 0;
             }
         }
     }
@@ -167,7 +171,7 @@
     fn mark_blocked(&mut self, now: Instant) {
         for pool in self.pools.values_mut() {
             if !pool.is_empty() {
-                pool.rate.blocked(now);
+                pool.throughput.record_blocked(now);
             }
         }
     }
