--- a/crates/fescuewell_queue/examples/cost.rs
+++ b/crates/fescuewell_queue/examples/cost.rs
@@ -1,4 +1,4 @@
-//! Cost of the queue's decisions at 10,000 waiting requests and 1,200 groups.
+//! Benchmark of the queue with 10,000 queued requests and 1,200 groups.
 //!
 //! `cargo run --release -p fescuewell_queue --example cost`
 
@@ -37,18 +37,18 @@
         max_queued: 4 * QUEUED as usize,
         ..Settings::default()
     };
-    let mut admission = Queue::new(settings, 1);
+    let mut queue = Queue::new(settings, 1);
     let kinds = (0..KINDS).map(|index| KindPolicy {
         key: KindKey(index),
         priority: index as u8,
         floor_percent: 5 * index as u8,
     });
-    admission.set_kinds(&kinds.collect::<Vec<_>>());
+    queue.set_kinds(&kinds.collect::<Vec<_>>());
     for ticket in 0..QUEUED {
         let entry = entry(rng, ticket, Instant::default());
-        admission.push(Instant::default(), entry).expect("room");
+        queue.push(Instant::default(), entry).expect("room");
     }
-    admission
+    queue
 }
 
 fn report(name: &str, count: u64, since: WallInstant) {
@@ -58,42 +58,47 @@
 
 fn main() {
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut admission = filled(&mut rng);
+    let mut queue = filled(&mut rng);
     let now = |round: u64| Instant(round * ROUND_MICROS);
     let entries: Vec<Entry> = (0..ROUNDS)
         .map(|round| entry(&mut rng, QUEUED + round, now(round)))
         .collect();
 
-    let (mut pushes, mut pops, mut ends) = (Duration::ZERO, Duration::ZERO, Duration::ZERO);
+    let (mut push_time, mut pop_time, mut finish_time) =
+        (Duration::ZERO, Duration::ZERO, Duration::ZERO);
     let mut running = VecDeque::new();
     let mut refused = 0;
     for (round, &entry) in (0..).zip(&entries) {
         let now = now(round);
         let start = WallInstant::now();
-        refused += u32::from(admission.push(now, entry).is_err());
+        refused += u32::from(queue.push(now, entry).is_err());
         let pushed = WallInstant::now();
-        let started = admission.pop(now, &mut |_| true);
+        let started = queue.pop(now, &mut |_| true);
         let popped = WallInstant::now();
         running.extend(started);
         if running.len() > RUNNING
             && let Some(ended) = running.pop_front()
         {
-            admission.finish(&ended, Some(Duration::from_secs(5)));
-            admission.correct_cost(&ended, Tokens(ended.cost.0 / 2));
+            queue.finish(&ended, Some(Duration::from_secs(5)));
+            queue.correct_cost(&ended, Tokens(ended.cost.0 / 2));
         }
-        ends += popped.elapsed();
-        pops += popped - pushed;
-        pushes += pushed - start;
+        finish_time += popped.elapsed();
+        pop_time += popped - pushed;
+        push_time += pushed - start;
     }
     let each = |sum: Duration| sum.as_nanos() as f64 / ROUNDS as f64;
-    println!("queued {}, refused {refused} of {ROUNDS}", admission.len());
-    println!("{:<44} {:>10.0} ns", "push", each(pushes));
-    println!("{:<44} {:>10.0} ns", "pop that starts", each(pops));
-    println!("{:<44} {:>10.0} ns", "finished and settled", each(ends));
+    println!("queued {}, refused {refused} of {ROUNDS}", queue.len());
+    println!("{:<44} {:>10.0} ns", "push", each(push_time));
+    println!("{:<44} {:>10.0} ns", "pop that starts", each(pop_time));
+    println!(
+        "{:<44} {:>10.0} ns",
+        "finished and settled",
+        each(finish_time)
+    );
 
     let start = WallInstant::now();
     for round in 0..ROUNDS / 100 {
-        black_box(admission.pop(now(ROUNDS + round), &mut |_| false));
+        black_box(queue.pop(now(ROUNDS + round), &mut |_| false));
     }
     report("pop that finds all pools full", ROUNDS / 100, start);
 
@@ -101,16 +106,20 @@
     let start = WallInstant::now();
     for round in 0..ROUNDS / 100 {
         let mut can_start = |entry: &Entry| entry.pool == POOLS - 1 && entry.kind == last;
-        if let Some(started) = admission.pop(now(ROUNDS + round), &mut can_start) {
-            admission.requeue(now(ROUNDS + round), started);
+        if let Some(started) = queue.pop(now(ROUNDS + round), &mut can_start) {
+            queue.requeue(now(ROUNDS + round), started);
         }
     }
     report("pop after 29 full pools, and put back", ROUNDS / 100, start);
 
     let later = now(ROUNDS);
     let start = WallInstant::now();
-    let gone = admission.expire(later).len();
-    report(&format!("expire that looks and gives up {gone}"), 1, start);
+    let given_up = queue.expire(later).len();
+    report(
+        &format!("expire that looks and gives up {given_up}"),
+        1,
+        start,
+    );
 
     let mut limit = Limit::new(fescuewell_queue::limit::Settings::default(), 64.0);
     let outcome = Outcome::Done {
--- a/crates/fescuewell_queue/examples/model/mod.rs
+++ b/crates/fescuewell_queue/examples/model/mod.rs
@@ -1,7 +1,7 @@
-//! A small virtual-time model: callers, one queue, and a few backend servers with a fixed number of places.
+//! Discrete-event simulation of callers, one queue and a few backend servers with fixed concurrency.
 //!
-//! Every stream runs at the same speed, whatever else runs on its server. Nothing reads a clock, so the
-//! figures are the same on every machine.
+//! All streams run at the same speed, regardless of the load of their server. The simulation uses virtual time only, so
+//! the results are the same on all machines.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -14,25 +14,25 @@
 use fescuewell_queue::preempt::{Policy, Stream};
 use fescuewell_queue::retry::{Backoff, BackoffSettings, Budget};
 
-/// Time for each token of an answer.
-pub const PER_TOKEN: Duration = Duration::from_millis(20);
+/// Time per token of a response.
+pub const TIME_PER_TOKEN: Duration = Duration::from_millis(20);
 
-/// Time from the start at the server to the first token.
-pub const TO_FIRST_TOKEN: Duration = Duration::from_millis(150);
+/// Time from the start on the server to the first token.
+pub const TIME_TO_FIRST_TOKEN: Duration = Duration::from_millis(150);
 
-/// The router reckons with answers that take so many times what it expects.
+/// Factor by which the router multiplies the expected response time.
 const SERVICE_MARGIN: f64 = 1.2;
 
-/// Time from the decision to pause a stream until its place is free.
-const TO_PAUSE: Duration = Duration::from_millis(20);
+/// Time from the decision to pause a stream until its capacity is free.
+const PAUSE_TIME: Duration = Duration::from_millis(20);
 
-/// Tokens that a server reads in the time in which it writes one; a resumed stream is read again.
-const READ_PER_WRITTEN: u64 = 50;
+/// Tokens that a server can read in the time in which it writes one. A resumed stream is read again.
+const READ_TOKENS_PER_WRITTEN: u64 = 50;
 
-/// How often the queue is searched for requests to give up.
-const TICK: Duration = Duration::from_millis(100);
+/// Interval at which the queue is searched for requests to give up.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The most urgent kind; it alone may use the reserve.
+/// The most urgent kind, the only one that may use the reserve.
 pub const URGENT: KindKey = KindKey(0);
 
 /// One request of the load.
@@ -41,68 +41,68 @@
     pub at: Instant,
     pub kind: KindKey,
     pub group: GroupKey,
-    /// What the router expects it to cost.
+    /// Cost that the router expects.
     pub expected: Tokens,
-    /// What it costs.
+    /// Actual cost.
     pub actual: Tokens,
 }
 
-/// What callers do.
+/// Behaviour of the callers.
 #[derive(Debug, Clone, Copy)]
 pub struct Callers {
-    /// How long each try may take, answer included.
-    pub patience: Duration,
-    /// Most tries of a request.
-    pub tries: u32,
+    /// Maximum duration of each attempt, including the response.
+    pub timeout: Duration,
+    /// Maximum number of attempts per request.
+    pub max_attempts: u32,
 }
 
-/// What the router does.
+/// Configuration and state of the router.
 pub struct Router {
-    pub admission: Queue,
+    pub queue: Queue,
     pub limits: Vec<Limit>,
-    /// Bounds tries after the first one while something waits.
+    /// Limits retries while requests wait.
     pub budget: Option<Budget>,
-    /// Whether deadlines are kept: unreachable ones refused, streams past theirs cut.
-    pub keeps_deadlines: bool,
-    /// Whether bulk streams are paused for urgent work.
-    pub preempt: Option<Policy>,
-    /// Whether all requests count as one kind and group.
-    pub is_blind: bool,
+    /// Whether deadlines are enforced: requests that cannot meet theirs are refused, streams past theirs are cancelled.
+    pub enforces_deadlines: bool,
+    /// Policy for pausing bulk streams for urgent requests, if enabled.
+    pub preemption: Option<Policy>,
+    /// Whether all requests are queued as one kind and group.
+    pub ignores_kinds: bool,
 }
 
-/// How a try ended.
+/// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
     Refused(Code),
-    /// Answered; in time or not.
-    Answered,
-    /// Cut by its deadline while it ran.
-    Cut,
-    /// Its caller left while it waited, and it was taken out.
-    Left,
+    /// The response was complete, in time or not.
+    Completed,
+    /// Cancelled at its deadline while it ran.
+    Cancelled,
+    /// Removed from the queue because its caller gave up.
+    Abandoned,
 }
 
-/// One try of a request.
+/// One attempt at a request.
 #[derive(Debug, Clone, Copy)]
-pub struct Try {
+pub struct Attempt {
     pub request: usize,
     pub number: u32,
     pub at: Instant,
     pub started: Option<Instant>,
     pub ended: Option<(Instant, End)>,
     pub server: usize,
-    /// Times of its last start or resumption, and tokens written before.
+    /// Time of its last start or resumption, and tokens written before that.
     resumed: Instant,
     written: u64,
     pub pauses: u32,
     is_pausing: bool,
 }
 
-impl Try {
-    /// Whether the caller got its whole answer before it gave up.
-    pub fn is_good(&self, callers: &Callers) -> bool {
-        let limit = self.at + callers.patience;
-        matches!(self.ended, Some((at, End::Answered)) if at <= limit)
+impl Attempt {
+    /// Returns whether the caller received the whole response before it gave up.
+    pub fn is_in_time(&self, callers: &Callers) -> bool {
+        let limit = self.at + callers.timeout;
+        matches!(self.ended, Some((at, End::Completed)) if at <= limit)
     }
 }
 
@@ -111,7 +111,7 @@
     Arrive { request: usize, number: u32 },
     Finish { index: usize, pauses: u32 },
     Paused { index: usize },
-    GiveUp { index: usize },
+    Timeout { index: usize },
     Tick,
 }
 
@@ -123,12 +123,12 @@
     events: BinaryHeap<Reverse<(Instant, u64, Event)>>,
     sequence: u64,
     now: Instant,
-    tries: Vec<Try>,
+    attempts: Vec<Attempt>,
     entries: HashMap<usize, Entry>,
 }
 
-/// Runs the load until nothing is left, and returns all tries.
-pub fn run(load: &[Request], callers: Callers, router: Router, end: Instant) -> Vec<Try> {
+/// Simulates the load until `end` or until no event is left, and returns all attempts.
+pub fn run(load: &[Request], callers: Callers, router: Router, end: Instant) -> Vec<Attempt> {
     let mut model = Model {
         load,
         callers,
@@ -137,7 +137,7 @@
         events: BinaryHeap::new(),
         sequence: 0,
         now: Instant::default(),
-        tries: Vec::new(),
+        attempts: Vec::new(),
         entries: HashMap::new(),
     };
     for (index, request) in load.iter().enumerate() {
@@ -154,9 +154,9 @@
         }
         model.now = now;
         model.handle(event);
-        model.start_what_can();
+        model.start_ready();
     }
-    model.tries
+    model.attempts
 }
 
 impl Model<'_> {
@@ -170,14 +170,14 @@
             Event::Arrive { request, number } => self.arrive(request, number),
             Event::Finish { index, pauses } => self.finish(index, pauses),
             Event::Paused { index } => self.paused(index),
-            Event::GiveUp { index } => self.give_up(index),
+            Event::Timeout { index } => self.time_out(index),
             Event::Tick => self.tick(),
         }
     }
 
     fn arrive(&mut self, request: usize, number: u32) {
-        let index = self.tries.len();
-        self.tries.push(Try {
+        let index = self.attempts.len();
+        self.attempts.push(Attempt {
             request,
             number,
             at: self.now,
@@ -189,7 +189,7 @@
             pauses: 0,
             is_pausing: false,
         });
-        self.schedule(self.now + self.callers.patience, Event::GiveUp { index });
+        self.schedule(self.now + self.callers.timeout, Event::Timeout { index });
         if let Err(refusal) = self.admit(index) {
             self.refuse(index, &refusal);
         }
@@ -197,130 +197,130 @@
 
     fn admit(&mut self, index: usize) -> Result<(), Refusal> {
         let now = self.now;
-        let crowded = !self.router.admission.is_empty();
+        let has_waiting = !self.router.queue.is_empty();
         if let Some(budget) = &mut self.router.budget {
-            if self.tries[index].number == 0 {
+            if self.attempts[index].number == 0 {
                 budget.record_request(now);
-            } else if crowded && !budget.try_retry(now) {
+            } else if has_waiting && !budget.try_retry(now) {
                 return Err(Refusal::new(Code::Overloaded).with_retry_after(Duration::from_secs(2)));
             }
         }
-        let request = self.load[self.tries[index].request];
-        let by = now + self.callers.patience;
-        let service =
-            (PER_TOKEN * request.expected.0 as u32).mul_f64(SERVICE_MARGIN) + TO_FIRST_TOKEN;
+        let request = self.load[self.attempts[index].request];
+        let by = now + self.callers.timeout;
+        let service = (TIME_PER_TOKEN * request.expected.0 as u32).mul_f64(SERVICE_MARGIN)
+            + TIME_TO_FIRST_TOKEN;
         let entry = Entry {
             ticket: index as u64,
-            group: if self.router.is_blind {
+            group: if self.router.ignores_kinds {
                 GroupKey(0)
             } else {
                 request.group
             },
-            kind: if self.router.is_blind {
+            kind: if self.router.ignores_kinds {
                 URGENT
             } else {
                 request.kind
             },
             pool: 0,
             cost: request.expected,
-            deadline: if self.router.keeps_deadlines {
+            deadline: if self.router.enforces_deadlines {
                 deadline::latest_start(by, service)
             } else {
                 now + Duration::from_secs(1_000_000)
             },
         };
-        self.router.admission.push(now, entry)?;
+        self.router.queue.push(now, entry)?;
         Ok(())
     }
 
     fn refuse(&mut self, index: usize, refusal: &Refusal) {
         self.end(index, End::Refused(refusal.code));
-        self.try_again(index, refusal.retry_after);
+        self.schedule_retry(index, refusal.retry_after);
     }
 
-    fn try_again(&mut self, index: usize, retry_after: Option<Duration>) {
-        let Try {
+    fn schedule_retry(&mut self, index: usize, retry_after: Option<Duration>) {
+        let Attempt {
             request, number, ..
-        } = self.tries[index];
-        if number + 1 >= self.callers.tries {
+        } = self.attempts[index];
+        if number + 1 >= self.callers.max_attempts {
             return;
         }
-        let pause = self.backoff.delay_for(number, retry_after);
+        let delay = self.backoff.delay_for(number, retry_after);
         let next = Event::Arrive {
             request,
             number: number + 1,
         };
-        self.schedule(self.now + pause, next);
+        self.schedule(self.now + delay, next);
     }
 
     fn end(&mut self, index: usize, end: End) {
-        let known = self.tries[index].ended.replace((self.now, end));
-        assert!(known.is_none(), "a try ended twice");
+        let previous = self.attempts[index].ended.replace((self.now, end));
+        assert!(previous.is_none(), "an attempt ended twice");
     }
 
-    fn give_up(&mut self, index: usize) {
-        if self.tries[index].ended.is_some() {
+    fn time_out(&mut self, index: usize) {
+        if self.attempts[index].ended.is_some() {
             return;
         }
-        if self.router.keeps_deadlines {
+        if self.router.enforces_deadlines {
             if self.entries.contains_key(&index) {
-                self.free(index, Outcome::Failed, None);
-                self.end(index, End::Cut);
+                self.release(index, Outcome::Failed, None);
+                self.end(index, End::Cancelled);
             } else {
-                let removed = self.router.admission.remove(self.now, index as u64);
-                assert!(removed.is_some(), "a queued request vanished");
-                self.end(index, End::Left);
+                let removed = self.router.queue.remove(self.now, index as u64);
+                assert!(removed.is_some(), "a queued request was lost");
+                self.end(index, End::Abandoned);
             }
         }
-        self.try_again(index, None);
+        self.schedule_retry(index, None);
     }
 
     fn finish(&mut self, index: usize, pauses: u32) {
-        let each = &self.tries[index];
-        if each.ended.is_some() || each.pauses != pauses {
+        let attempt = &self.attempts[index];
+        if attempt.ended.is_some() || attempt.pauses != pauses {
             return;
         }
-        let took = self.tries[index].started.map(|at| self.now.since(at));
+        let took = self.attempts[index].started.map(|at| self.now.since(at));
         let outcome = Outcome::Done {
-            per_token: Some(PER_TOKEN),
+            per_token: Some(TIME_PER_TOKEN),
         };
-        self.free(index, outcome, took);
-        self.end(index, End::Answered);
+        self.release(index, outcome, took);
+        self.end(index, End::Completed);
     }
 
-    fn free(&mut self, index: usize, outcome: Outcome, took: Option<Duration>) {
-        let request = self.load[self.tries[index].request];
-        let limit = &mut self.router.limits[self.tries[index].server];
+    fn release(&mut self, index: usize, outcome: Outcome, took: Option<Duration>) {
+        let request = self.load[self.attempts[index].request];
+        let limit = &mut self.router.limits[self.attempts[index].server];
         limit.finish(self.now, class_of(request.kind), outcome);
         if let Some(entry) = self.entries.remove(&index) {
-            self.router.admission.finish(&entry, took);
-            self.router.admission.correct_cost(&entry, request.actual);
+            self.router.queue.finish(&entry, took);
+            self.router.queue.correct_cost(&entry, request.actual);
         }
     }
 
     fn tick(&mut self) {
-        for entry in self.router.admission.expire(self.now) {
+        for entry in self.router.queue.expire(self.now) {
             let refusal = Refusal::new(Code::DeadlineTooNear);
             self.refuse(entry.ticket as usize, &refusal);
         }
-        self.schedule(self.now + TICK, Event::Tick);
+        self.schedule(self.now + TICK_INTERVAL, Event::Tick);
     }
 
-    fn start_what_can(&mut self) {
+    fn start_ready(&mut self) {
         while let Some((entry, server)) = self.pop() {
             let index = entry.ticket as usize;
             self.entries.insert(index, entry);
-            let each = &mut self.tries[index];
-            each.started.get_or_insert(self.now);
-            each.resumed = self.now;
-            each.server = server;
-            let left = self.load[each.request].actual.0 - each.written;
-            let tokens = left + each.written / READ_PER_WRITTEN;
-            let pauses = each.pauses;
-            let at = self.now + TO_FIRST_TOKEN + PER_TOKEN * tokens as u32;
+            let attempt = &mut self.attempts[index];
+            attempt.started.get_or_insert(self.now);
+            attempt.resumed = self.now;
+            attempt.server = server;
+            let left = self.load[attempt.request].actual.0 - attempt.written;
+            let tokens = left + attempt.written / READ_TOKENS_PER_WRITTEN;
+            let pauses = attempt.pauses;
+            let at = self.now + TIME_TO_FIRST_TOKEN + TIME_PER_TOKEN * tokens as u32;
             self.schedule(at, Event::Finish { index, pauses });
         }
-        if self.router.admission.depth(URGENT) == 0 {
+        if self.router.queue.depth(URGENT) == 0 {
             return;
         }
         for limit in &mut self.router.limits {
@@ -332,94 +332,97 @@
     fn pop(&mut self) -> Option<(Entry, usize)> {
         let now = self.now;
         let limits = &mut self.router.limits;
-        let (tries, load) = (&self.tries, self.load);
+        let (attempts, load) = (&self.attempts, self.load);
         let mut chosen = 0;
         let mut can_start = |entry: &Entry| {
-            let class = class_of(load[tries[entry.ticket as usize].request].kind);
-            let with_place = (0..limits.len()).filter(|&at| limits[at].can_start(now, class));
-            let Some(server) = with_place.min_by_key(|&at| limits[at].in_flight()) else {
+            let class = class_of(load[attempts[entry.ticket as usize].request].kind);
+            let available = (0..limits.len()).filter(|&at| limits[at].can_start(now, class));
+            let Some(server) = available.min_by_key(|&at| limits[at].in_flight()) else {
                 return false;
             };
             chosen = server;
             limits[server].try_start(now, class)
         };
-        let entry = self.router.admission.pop(now, &mut can_start)?;
+        let entry = self.router.queue.pop(now, &mut can_start)?;
         Some((entry, chosen))
     }
 
-    /// Pauses a bulk stream for each urgent request that waits.
+    /// Pauses a bulk stream for each waiting urgent request.
     fn preempt(&mut self) {
-        let Some(policy) = &self.router.preempt else {
+        let Some(policy) = &self.router.preemption else {
             return;
         };
-        let waiting = self.router.admission.depth(URGENT);
-        if waiting == 0 || !policy.should_preempt(self.router.admission.next_finish(0)) {
+        let waiting = self.router.queue.depth(URGENT);
+        if waiting == 0 || !policy.should_preempt(self.router.queue.next_finish(0)) {
             return;
         }
         let pausing = self
             .entries
             .keys()
-            .filter(|&&index| self.tries[index].is_pausing);
+            .filter(|&&index| self.attempts[index].is_pausing);
         let needed = waiting.saturating_sub(pausing.count());
         for _ in 0..needed {
             let streams = self.entries.keys().filter_map(|&index| self.stream(index));
-            let policy = self.router.preempt.as_ref();
+            let policy = self.router.preemption.as_ref();
             let Some(ticket) = policy.and_then(|policy| policy.choose(self.now, streams)) else {
                 return;
             };
             let index = ticket as usize;
-            self.tries[index].is_pausing = true;
-            self.schedule(self.now + TO_PAUSE, Event::Paused { index });
+            self.attempts[index].is_pausing = true;
+            self.schedule(self.now + PAUSE_TIME, Event::Paused { index });
         }
     }
 
     fn written(&self, index: usize) -> u64 {
-        let each = &self.tries[index];
-        let ran = self.now.since(each.resumed).saturating_sub(TO_FIRST_TOKEN);
-        let tokens = ran.as_micros() / PER_TOKEN.as_micros();
-        (each.written + tokens as u64).min(self.load[each.request].actual.0)
+        let attempt = &self.attempts[index];
+        let ran = self
+            .now
+            .since(attempt.resumed)
+            .saturating_sub(TIME_TO_FIRST_TOKEN);
+        let tokens = ran.as_micros() / TIME_PER_TOKEN.as_micros();
+        (attempt.written + tokens as u64).min(self.load[attempt.request].actual.0)
     }
 
     fn stream(&self, index: usize) -> Option<Stream> {
-        let each = &self.tries[index];
-        let is_bulk = self.load[each.request].kind != URGENT;
+        let attempt = &self.attempts[index];
+        let is_bulk = self.load[attempt.request].kind != URGENT;
         let pausing = self.entries.keys().filter(|&&other| {
-            self.tries[other].is_pausing && self.tries[other].server == each.server
+            self.attempts[other].is_pausing && self.attempts[other].server == attempt.server
         });
-        let surplus = self.router.limits[each.server].preemptible_bulk() as usize;
-        if !is_bulk || each.is_pausing || pausing.count() >= surplus {
+        let surplus = self.router.limits[attempt.server].preemptible_bulk() as usize;
+        if !is_bulk || attempt.is_pausing || pausing.count() >= surplus {
             return None;
         }
         Some(Stream {
             ticket: index as u64,
             produced: Tokens(self.written(index)),
-            pauses: each.pauses,
+            pauses: attempt.pauses,
             latest_resume: self.latest_resume(index),
         })
     }
 
     fn latest_resume(&self, index: usize) -> Instant {
-        let each = &self.tries[index];
-        let expected = self.load[each.request].expected.0;
+        let attempt = &self.attempts[index];
+        let expected = self.load[attempt.request].expected.0;
         let left = expected.saturating_sub(self.written(index));
-        let service = (PER_TOKEN * left as u32).mul_f64(SERVICE_MARGIN) + TO_FIRST_TOKEN;
-        deadline::latest_start(each.at + self.callers.patience, service)
+        let service = (TIME_PER_TOKEN * left as u32).mul_f64(SERVICE_MARGIN) + TIME_TO_FIRST_TOKEN;
+        deadline::latest_start(attempt.at + self.callers.timeout, service)
     }
 
     fn paused(&mut self, index: usize) {
-        self.tries[index].is_pausing = false;
-        if self.tries[index].ended.is_some() {
+        self.attempts[index].is_pausing = false;
+        if self.attempts[index].ended.is_some() {
             return;
         }
         let Some(mut entry) = self.entries.remove(&index) else {
             return;
         };
         entry.deadline = self.latest_resume(index);
-        self.tries[index].written = self.written(index);
-        self.tries[index].pauses += 1;
-        let limit = &mut self.router.limits[self.tries[index].server];
+        self.attempts[index].written = self.written(index);
+        self.attempts[index].pauses += 1;
+        let limit = &mut self.router.limits[self.attempts[index].server];
         limit.finish(self.now, Class::Bulk, Outcome::Failed);
-        self.router.admission.requeue(self.now, entry);
+        self.router.queue.requeue(self.now, entry);
     }
 }
 
--- a/crates/fescuewell_queue/examples/surge.rs
+++ b/crates/fescuewell_queue/examples/surge.rs
@@ -11,35 +11,35 @@
 use fescuewell_queue::admission::{KindPolicy, Queue, Settings};
 use fescuewell_queue::limit::{self, Limit};
 use fescuewell_queue::retry::{Budget, BudgetSettings};
-use model::{Callers, PER_TOKEN, Request, Router, TO_FIRST_TOKEN, Try, URGENT};
+use model::{Attempt, Callers, Request, Router, TIME_PER_TOKEN, TIME_TO_FIRST_TOKEN, URGENT};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
 const SERVERS: usize = 4;
-const PLACES: f64 = 16.0;
+const CONCURRENCY: f64 = 16.0;
 const MEAN_TOKENS: f64 = 100.0;
 const SURGE_FROM: u64 = 60;
 const SURGE_UNTIL: u64 = 90;
 const LENGTH: u64 = 300;
 const SURGE_LOAD: f64 = 3.0;
 const CALLERS: Callers = Callers {
-    patience: Duration::from_secs(10),
-    tries: 5,
+    timeout: Duration::from_secs(10),
+    max_attempts: 5,
 };
 
-/// Requests a second that keep all places busy.
+/// Requests per second that use the whole capacity.
 fn capacity() -> f64 {
-    let service = MEAN_TOKENS * PER_TOKEN.as_secs_f64() + TO_FIRST_TOKEN.as_secs_f64();
-    SERVERS as f64 * PLACES / service
+    let service = MEAN_TOKENS * TIME_PER_TOKEN.as_secs_f64() + TIME_TO_FIRST_TOKEN.as_secs_f64();
+    SERVERS as f64 * CONCURRENCY / service
 }
 
-fn load(usual: f64) -> Vec<Request> {
+fn load(base_load: f64) -> Vec<Request> {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut requests = Vec::new();
     let mut at = 0.0;
     while at < LENGTH as f64 {
-        let surges = (SURGE_FROM..SURGE_UNTIL).contains(&(at as u64));
-        let load = if surges { SURGE_LOAD } else { usual };
+        let is_surge = (SURGE_FROM..SURGE_UNTIL).contains(&(at as u64));
+        let load = if is_surge { SURGE_LOAD } else { base_load };
         at += -(1.0 - rng.random::<f64>()).ln() / (load * capacity());
         let expected = MEAN_TOKENS * rng.random_range(0.5..1.5);
         let actual = expected * rng.random_range(0.8..1.2);
@@ -54,11 +54,11 @@
     requests
 }
 
-/// What the compared routers do.
+/// Configuration of a simulated router.
 #[derive(Clone, Copy)]
 struct Policy {
     name: &'static str,
-    keeps_deadlines: bool,
+    enforces_deadlines: bool,
     has_budget: bool,
     max_queued: usize,
 }
@@ -68,31 +68,31 @@
 const POLICIES: [Policy; 5] = [
     Policy {
         name: "fescuewell",
-        keeps_deadlines: true,
+        enforces_deadlines: true,
         has_budget: true,
         max_queued: 2_000,
     },
     Policy {
         name: "without retry budget",
-        keeps_deadlines: true,
+        enforces_deadlines: true,
         has_budget: false,
         max_queued: 2_000,
     },
     Policy {
         name: "without deadlines",
-        keeps_deadlines: false,
+        enforces_deadlines: false,
         has_budget: true,
         max_queued: 2_000,
     },
     Policy {
         name: "bounded queue alone",
-        keeps_deadlines: false,
+        enforces_deadlines: false,
         has_budget: false,
         max_queued: 2_000,
     },
     Policy {
         name: "none of them",
-        keeps_deadlines: false,
+        enforces_deadlines: false,
         has_budget: false,
         max_queued: UNBOUNDED,
     },
@@ -104,69 +104,74 @@
         group_factor: 2,
         ..Settings::default()
     };
-    let mut admission = Queue::new(settings, 3);
-    admission.set_kinds(&[KindPolicy {
+    let mut queue = Queue::new(settings, 3);
+    queue.set_kinds(&[KindPolicy {
         key: URGENT,
         priority: 0,
         floor_percent: 0,
     }]);
     let settings = limit::Settings::default();
     Router {
-        admission,
-        limits: vec![Limit::new(settings, PLACES); SERVERS],
+        queue,
+        limits: vec![Limit::new(settings, CONCURRENCY); SERVERS],
         budget: policy
             .has_budget
             .then(|| Budget::new(BudgetSettings::default())),
-        keeps_deadlines: policy.keeps_deadlines,
-        preempt: None,
-        is_blind: false,
+        enforces_deadlines: policy.enforces_deadlines,
+        preemption: None,
+        ignores_kinds: false,
     }
 }
 
-/// Tokens of good answers that ended in each second, as a share of the capacity.
-fn goodput(requests: &[Request], tries: &[Try]) -> Vec<f64> {
+/// Returns the tokens of responses that completed in time in each second, as a fraction of the capacity.
+fn goodput(requests: &[Request], attempts: &[Attempt]) -> Vec<f64> {
     let mut tokens = vec![0.0; LENGTH as usize + 1];
-    let good = tries.iter().filter(|each| each.is_good(&CALLERS));
-    for each in good {
-        let Some((at, _)) = each.ended else {
+    let in_time = attempts
+        .iter()
+        .filter(|attempt| attempt.is_in_time(&CALLERS));
+    for attempt in in_time {
+        let Some((at, _)) = attempt.ended else {
             continue;
         };
         let second = (at.0 / 1_000_000) as usize;
         if let Some(sum) = tokens.get_mut(second) {
-            *sum += requests[each.request].actual.0 as f64;
+            *sum += requests[attempt.request].actual.0 as f64;
         }
     }
-    let whole = capacity() * MEAN_TOKENS;
-    tokens.into_iter().map(|sum| sum / whole).collect()
+    let full = capacity() * MEAN_TOKENS;
+    tokens.into_iter().map(|sum| sum / full).collect()
 }
 
-/// Share of first tries of each second that were answered in time.
-fn first_tries(tries: &[Try]) -> Vec<f64> {
+/// Returns the fraction of the first attempts of each second whose response was in time.
+fn first_attempts(attempts: &[Attempt]) -> Vec<f64> {
     let mut counts = vec![(0.0, 0.0); LENGTH as usize + 1];
-    for each in tries.iter().filter(|each| each.number == 0) {
-        let second = (each.at.0 / 1_000_000) as usize;
-        let (all, good) = &mut counts[second];
-        *all += 1.0;
-        *good += f64::from(u8::from(each.is_good(&CALLERS)));
+    for attempt in attempts.iter().filter(|attempt| attempt.number == 0) {
+        let second = (attempt.at.0 / 1_000_000) as usize;
+        let (total, in_time) = &mut counts[second];
+        *total += 1.0;
+        *in_time += f64::from(u8::from(attempt.is_in_time(&CALLERS)));
     }
-    counts.into_iter().map(|(all, good)| good / all).collect()
+    counts
+        .into_iter()
+        .map(|(total, in_time)| in_time / total)
+        .collect()
 }
 
 fn mean(values: &[f64]) -> f64 {
     values.iter().sum::<f64>() / values.len() as f64
 }
 
-/// Share of good first tries that counts as recovered, over [`STEADY_SECONDS`].
+/// Fraction of first attempts that must be in time, averaged over [`STEADY_SECONDS`], to count as recovered.
 const RECOVERED: f64 = 0.99;
 const STEADY_SECONDS: usize = 5;
 
-/// Seconds after the surge from which first tries are answered again, and stay so.
+/// Returns the seconds after the surge until first attempts succeed permanently, or `None` if they never do.
 fn recovery(first: &[f64]) -> Option<usize> {
     let after = &first[SURGE_UNTIL as usize..LENGTH as usize - 20];
-    let bad = after
+    let last_failure = after
         .windows(STEADY_SECONDS)
         .rposition(|window| mean(window) < RECOVERED);
-    match bad {
+    match last_failure {
         None => Some(0),
         Some(last) if last + STEADY_SECONDS >= after.len() => None,
         Some(last) => Some(last + 1),
@@ -178,35 +183,38 @@
         "{:<22} {:>6} {:>9} {:>10} {:>10} {:>8} {:>9} {:>8}",
         "policy", "usual", "in surge", "5-15 after", "offered", "back s", "answered", "tries"
     );
-    for usual in [0.5, 0.7, 0.9] {
+    for base_load in [0.5, 0.7, 0.9] {
         for policy in POLICIES {
-            print(policy, usual);
+            print(policy, base_load);
         }
     }
 }
 
-fn print(policy: Policy, usual: f64) {
-    let requests = load(usual);
+fn print(policy: Policy, base_load: f64) {
+    let requests = load(base_load);
     let end = Instant::default() + Duration::from_secs(LENGTH + 120);
-    let tries = model::run(&requests, CALLERS, router(policy), end);
-    let goodput = goodput(&requests, &tries);
+    let attempts = model::run(&requests, CALLERS, router(policy), end);
+    let goodput = goodput(&requests, &attempts);
     let (from, until) = (SURGE_FROM as usize, SURGE_UNTIL as usize);
-    let back = recovery(&first_tries(&tries));
+    let recovery_time = recovery(&first_attempts(&attempts));
     let mut answered = vec![false; requests.len()];
-    for each in tries.iter().filter(|each| each.is_good(&CALLERS)) {
-        answered[each.request] = true;
+    for attempt in attempts
+        .iter()
+        .filter(|attempt| attempt.is_in_time(&CALLERS))
+    {
+        answered[attempt.request] = true;
     }
-    let answered = answered.iter().filter(|&&good| good).count();
+    let answered = answered.iter().filter(|&&in_time| in_time).count();
     println!(
         "{:<22} {:>6.2} {:>8.1}% {:>9.1}% {:>9.1}% {:>8} {:>8.1}% {:>8.2}",
         policy.name,
-        usual,
-        // The first seconds only fill the places.
+        base_load,
+        // Skips the first 3 s, in which the servers fill up.
         100.0 * mean(&goodput[from + 3..until]),
         100.0 * mean(&goodput[until + 5..until + 15]),
-        100.0 * usual,
-        back.map_or("never".into(), |seconds| seconds.to_string()),
+        100.0 * base_load,
+        recovery_time.map_or("never".into(), |seconds| seconds.to_string()),
         100.0 * answered as f64 / requests.len() as f64,
-        tries.len() as f64 / requests.len() as f64,
+        attempts.len() as f64 / requests.len() as f64,
     );
 }
--- a/crates/fescuewell_queue/examples/waits.rs
+++ b/crates/fescuewell_queue/examples/waits.rs
@@ -1,4 +1,4 @@
-//! Waits of urgent work beside bulk work at three times the capacity, in virtual time.
+//! Waiting times of urgent requests next to bulk requests at three times the capacity, in virtual time.
 //!
 //! `cargo run --release -p fescuewell_queue --example waits`
 
@@ -11,31 +11,31 @@
 use fescuewell_queue::admission::{KindPolicy, Queue, Settings};
 use fescuewell_queue::limit::{self, Limit};
 use fescuewell_queue::preempt::{self, Policy};
-use model::{Callers, End, PER_TOKEN, Request, Router, TO_FIRST_TOKEN, Try, URGENT};
+use model::{Attempt, Callers, End, Request, Router, TIME_PER_TOKEN, TIME_TO_FIRST_TOKEN, URGENT};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
 const BULK: KindKey = KindKey(1);
 const SERVERS: usize = 4;
-const PLACES: f64 = 16.0;
+const CONCURRENCY: f64 = 16.0;
 const FLOOR_PERCENT: u8 = 10;
 const LENGTH: Duration = Duration::from_secs(1_200);
 const WARM_UP: Duration = Duration::from_secs(120);
 const URGENT_TOKENS: f64 = 100.0;
 const BULK_TOKENS: f64 = 600.0;
 const CALLERS: Callers = Callers {
-    patience: Duration::from_secs(120),
-    tries: 1,
+    timeout: Duration::from_secs(120),
+    max_attempts: 1,
 };
 
-/// Poisson arrivals of one kind at `load` times the capacity, with costs of exponential distribution.
+/// Returns Poisson arrivals of one kind at `load` times the capacity, with exponentially distributed costs.
 fn arrivals(rng: &mut SmallRng, kind: KindKey, load: f64, mean_tokens: f64) -> Vec<Request> {
     let mut requests = Vec::new();
     if load <= 0.0 {
         return requests;
     }
-    let service = mean_tokens * PER_TOKEN.as_secs_f64() + TO_FIRST_TOKEN.as_secs_f64();
-    let per_second = load * SERVERS as f64 * PLACES / service;
+    let service = mean_tokens * TIME_PER_TOKEN.as_secs_f64() + TIME_TO_FIRST_TOKEN.as_secs_f64();
+    let per_second = load * SERVERS as f64 * CONCURRENCY / service;
     let mut at = 0.0;
     while at < LENGTH.as_secs_f64() {
         at += -(1.0 - rng.random::<f64>()).ln() / per_second;
@@ -51,7 +51,7 @@
     requests
 }
 
-/// Urgent work comes all the time, or only in the first part of each cycle.
+/// Whether urgent requests arrive all the time or only in the first part of each cycle.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Shape {
     Steady,
@@ -62,7 +62,7 @@
 const BURST_SECONDS: u64 = 30;
 
 fn load(shape: Shape, urgent: f64, bulk: f64) -> Vec<Request> {
-    // Separate seeds: the urgent arrivals are the same with and without bulk work.
+    // Separate seeds, so that the urgent arrivals are the same with and without bulk requests.
     let mut rng = SmallRng::seed_from_u64(1);
     let mut requests = arrivals(&mut rng, URGENT, urgent, URGENT_TOKENS);
     if shape == Shape::Bursts {
@@ -73,11 +73,11 @@
     requests
 }
 
-/// What the compared routers do.
+/// Configuration of a simulated router.
 #[derive(Clone, Copy)]
 struct Variant {
     name: &'static str,
-    is_blind: bool,
+    ignores_kinds: bool,
     preempts: bool,
     limit: fn() -> limit::Settings,
 }
@@ -85,31 +85,31 @@
 const VARIANTS: [Variant; 5] = [
     Variant {
         name: "reserve, preemption",
-        is_blind: false,
+        ignores_kinds: false,
         preempts: true,
         limit: limit::Settings::default,
     },
     Variant {
         name: "mean reserve, preempt.",
-        is_blind: false,
+        ignores_kinds: false,
         preempts: true,
         limit: mean_reserve,
     },
     Variant {
         name: "reserve alone",
-        is_blind: false,
+        ignores_kinds: false,
         preempts: false,
         limit: limit::Settings::default,
     },
     Variant {
         name: "no reserve",
-        is_blind: false,
+        ignores_kinds: false,
         preempts: false,
         limit: no_reserve,
     },
     Variant {
         name: "first come, no kinds",
-        is_blind: true,
+        ignores_kinds: true,
         preempts: false,
         limit: no_reserve,
     },
@@ -131,8 +131,8 @@
 }
 
 fn router(variant: Variant) -> Router {
-    let mut admission = Queue::new(Settings::default(), 3);
-    admission.set_kinds(&[
+    let mut queue = Queue::new(Settings::default(), 3);
+    queue.set_kinds(&[
         KindPolicy {
             key: URGENT,
             priority: 0,
@@ -146,82 +146,86 @@
     ]);
     let policy = Policy::new(preempt::Settings::default());
     Router {
-        admission,
-        limits: vec![Limit::new((variant.limit)(), PLACES); SERVERS],
+        queue,
+        limits: vec![Limit::new((variant.limit)(), CONCURRENCY); SERVERS],
         budget: None,
-        keeps_deadlines: true,
-        preempt: variant.preempts.then_some(policy),
-        is_blind: variant.is_blind,
+        enforces_deadlines: true,
+        preemption: variant.preempts.then_some(policy),
+        ignores_kinds: variant.ignores_kinds,
     }
 }
 
-struct Figures {
+struct Measurements {
     wait: [Duration; 3],
     bulk_share: f64,
     urgent_refused: usize,
-    used: f64,
-    /// Pauses for each hundred bulk requests that started.
+    utilization: f64,
+    /// Pauses per hundred started bulk requests.
     pauses: f64,
-    cut: usize,
-    vanished: usize,
+    cancelled: usize,
+    unfinished: usize,
 }
 
-fn measure(requests: &[Request], router: Router) -> Figures {
+fn measure(requests: &[Request], router: Router) -> Measurements {
     let end = Instant::default() + LENGTH + Duration::from_secs(300);
-    let tries = model::run(requests, CALLERS, router, end);
+    let attempts = model::run(requests, CALLERS, router, end);
     let from = Instant::default() + WARM_UP;
     let until = Instant::default() + LENGTH;
-    let kind = |each: &Try| requests[each.request].kind;
-    let counted = tries
+    let kind = |attempt: &Attempt| requests[attempt.request].kind;
+    let counted = attempts
         .iter()
-        .filter(|each| each.at >= from && each.at < until);
+        .filter(|attempt| attempt.at >= from && attempt.at < until);
     let mut waits: Vec<Duration> = counted
-        .filter(|each| kind(each) == URGENT)
-        .filter_map(|each| Some(each.started?.since(each.at)))
+        .filter(|attempt| kind(attempt) == URGENT)
+        .filter_map(|attempt| Some(attempt.started?.since(attempt.at)))
         .collect();
     waits.sort();
     let quantile = |share: f64| waits[((waits.len() - 1) as f64 * share) as usize];
     let mut tokens = [0.0; 2];
-    for each in &tries {
-        if each.started.is_some_and(|at| at >= from && at < until) {
-            let request = requests[each.request];
+    for attempt in &attempts {
+        if attempt.started.is_some_and(|at| at >= from && at < until) {
+            let request = requests[attempt.request];
             tokens[request.kind.0 as usize] += request.actual.0 as f64;
         }
     }
     let window = until.since(from).as_secs_f64();
-    let capacity = SERVERS as f64 * PLACES * window / PER_TOKEN.as_secs_f64();
-    let bulk = tries.iter().filter(|each| kind(each) == BULK);
-    let started = bulk.filter(|each| each.started.is_some());
-    let pauses: Vec<u32> = started.map(|each| each.pauses).collect();
-    let is_cut = |each: &&Try| matches!(each.ended, Some((_, End::Cut)));
-    let is_refused = |each: &&Try| matches!(each.ended, Some((_, End::Refused(_))));
-    Figures {
+    let capacity = SERVERS as f64 * CONCURRENCY * window / TIME_PER_TOKEN.as_secs_f64();
+    let bulk = attempts.iter().filter(|attempt| kind(attempt) == BULK);
+    let started = bulk.filter(|attempt| attempt.started.is_some());
+    let pauses: Vec<u32> = started.map(|attempt| attempt.pauses).collect();
+    let is_cancelled = |attempt: &&Attempt| matches!(attempt.ended, Some((_, End::Cancelled)));
+    let is_refused = |attempt: &&Attempt| matches!(attempt.ended, Some((_, End::Refused(_))));
+    Measurements {
         wait: [quantile(0.5), quantile(0.95), quantile(0.99)],
         bulk_share: tokens[1] / (tokens[0] + tokens[1]),
-        urgent_refused: tries
+        urgent_refused: attempts
             .iter()
             .filter(is_refused)
-            .filter(|each| kind(each) == URGENT)
+            .filter(|attempt| kind(attempt) == URGENT)
             .count(),
-        used: (tokens[0] + tokens[1]) / capacity,
+        utilization: (tokens[0] + tokens[1]) / capacity,
         pauses: 100.0 * f64::from(pauses.iter().sum::<u32>()) / pauses.len().max(1) as f64,
-        cut: tries.iter().filter(is_cut).count(),
-        vanished: tries.iter().filter(|each| each.ended.is_none()).count(),
+        cancelled: attempts.iter().filter(is_cancelled).count(),
+        unfinished: attempts
+            .iter()
+            .filter(|attempt| attempt.ended.is_none())
+            .count(),
     }
 }
 
-fn print(name: &str, urgent: f64, figures: &Figures, alone: &Figures) {
-    let first = |figures: &Figures| (figures.wait[1] + TO_FIRST_TOKEN).as_secs_f64();
-    let [median, p95, p99] = figures.wait.map(|wait| wait.as_secs_f64() * 1e3);
+fn print(name: &str, urgent: f64, measurements: &Measurements, alone: &Measurements) {
+    let p95_to_first_token =
+        |measurements: &Measurements| (measurements.wait[1] + TIME_TO_FIRST_TOKEN).as_secs_f64();
+    let [median, p95, p99] = measurements.wait.map(|wait| wait.as_secs_f64() * 1e3);
     println!(
         "{name:<24} {urgent:>6.2} {median:>8.1} {p95:>8.1} {p99:>8.1} {:>9.2} {:>6.1}% {:>6.1}% {:>6} {:>6} {:>6.1} {:>8}",
-        first(figures) / first(alone),
-        figures.bulk_share * 100.0,
-        figures.used * 100.0,
-        figures.urgent_refused,
-        figures.cut,
-        figures.pauses,
-        figures.vanished,
+        p95_to_first_token(measurements) / p95_to_first_token(alone),
+        measurements.bulk_share * 100.0,
+        measurements.utilization * 100.0,
+        measurements.urgent_refused,
+        measurements.cancelled,
+        measurements.pauses,
+        measurements.unfinished,
     );
 }
 
@@ -248,8 +252,8 @@
             print("urgent alone", urgent, &alone, &alone);
             let both = load(shape, urgent, 3.0);
             for variant in VARIANTS {
-                let figures = measure(&both, router(variant));
-                print(variant.name, urgent, &figures, &alone);
+                let measurements = measure(&both, router(variant));
+                print(variant.name, urgent, &measurements, &alone);
             }
         }
     }
--- a/crates/fescuewell_queue/tests/limit.rs
+++ b/crates/fescuewell_queue/tests/limit.rs
@@ -1,4 +1,4 @@
-//! Adaptive limits, by short sequences.
+//! Tests of the adaptive concurrency limit.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
     }
 }
 
-/// Fills the limit and ends everything once a second, each time with the outcome.
+/// Once a second, starts as many urgent requests as the limit allows and ends all of them with the outcome.
 fn rounds(limit: &mut Limit, from_second: u64, count: u64, outcome: Outcome) {
     for second in from_second..from_second + count {
         let mut started = 0;
@@ -51,9 +51,8 @@
 
 #[test]
 fn slow_tokens_shrink_the_limit() {
-    // Symptom: a server that never answers "busy" took all its share while its streams crawled.
-    // Sequence: tokens take 20 ms, then 200 ms under a load from elsewhere.
-    // Cause: only explicit answers counted.
+    // Guards against overloading a server that never responds "busy": tokens take 20 ms, then 200 ms because of load from
+    // elsewhere. The limit must also follow the time per token.
     let mut limit = Limit::new(Settings::default(), 20.0);
     rounds(&mut limit, 0, 5, done(20));
 
@@ -64,9 +63,8 @@
 
 #[test]
 fn a_quiet_limit_returns_to_its_share() {
-    // Symptom: a server that was overloaded once got hardly any work for the rest of the day.
-    // Sequence: cuts down to one, then a few requests a minute.
-    // Cause: the limit grew by use only, and the low limit kept the use low.
+    // Guards against a limit that stays low after a single overload: it is reduced to one, then a few requests arrive per
+    // minute. A limit that only grows by use stays low, because the low limit keeps the use low.
     let mut limit = Limit::new(Settings::default(), 20.0);
     rounds(&mut limit, 0, 20, Outcome::Busy);
     let shrunk = limit.max_in_flight();
@@ -89,9 +87,8 @@
 
 #[test]
 fn the_reserve_follows_urgent_work_but_leaves_bulk_its_part() {
-    // Symptom: with much urgent work, each urgent request waited for a bulk stream to end.
-    // Sequence: urgent work needs 30 of 50 places for minutes, bulk work takes each place that comes free.
-    // Cause: a reserve of fixed size.
+    // Guards against urgent requests that each wait for a bulk stream to end: 30 of 50 running requests are urgent for
+    // minutes, and with a reserve of fixed size bulk requests take all capacity that becomes free.
     let mut limit = Limit::new(Settings::default(), 50.0);
     for _ in 0..30 {
         limit.try_start(at(0), Class::Urgent);
@@ -109,9 +106,8 @@
 
 #[test]
 fn bulk_work_takes_any_place_within_its_part() {
-    // Symptom: bulk work owed its floor could not start although it had fewer places than its part.
-    // Sequence: urgent work fills all places; one comes free.
-    // Cause: the bound on bulk counted urgent requests too.
+    // Guards against bulk requests that cannot start although fewer of them run than are guaranteed: urgent requests use
+    // the whole limit and one of them ends. The bound on bulk requests must not count urgent ones.
     let mut limit = Limit::new(Settings::default(), 10.0);
     for _ in 0..10 {
         assert!(limit.try_start(at(0), Class::Urgent));
@@ -147,9 +143,9 @@
 
 #[test]
 fn the_reserve_grows_at_once_when_urgent_work_finds_no_place() {
-    // Symptom: in the first half minute of a burst, urgent requests waited for one bulk stream after another.
-    // Sequence: bulk work fills its part, a burst of urgent work fills the rest, places come free one by one.
-    // Cause: the reserve followed a slow mean, so bulk work took back the places that came free.
+    // Guards against urgent requests that wait for bulk streams in the first 30 s of a burst: bulk requests use their part
+    // of the limit, a burst of urgent ones the rest, and requests end one by one. If the reserve only followed a slow
+    // mean, bulk requests would take the capacity that becomes free.
     let mut limit = Limit::new(Settings::default(), 50.0);
     while limit.try_start(at(0), Class::Bulk) {}
     while limit.try_start(at(0), Class::Urgent) {}
--- a/crates/fescuewell_queue/tests/preempt.rs
+++ b/crates/fescuewell_queue/tests/preempt.rs
@@ -1,4 +1,4 @@
-//! Preemption, by small sets of streams.
+//! Tests of preemption.
 
 use std::time::Duration;
 
@@ -32,9 +32,8 @@
 
 #[test]
 fn no_stream_is_paused_for_ever_or_beyond_its_deadline() {
-    // Symptom: a summary was paused by one burst after another until its deadline had passed.
-    // Sequence: it is the youngest stream each time.
-    // Cause: the choice looked only at what would be lost.
+    // Guards against a stream that successive bursts pause until its deadline has passed, because it has produced the
+    // fewest tokens each time. The choice must also consider pauses and the deadline.
     let policy = Policy::new(Settings::default());
     let often = stream(1, 20, 2);
     let long = stream(2, 5_000, 0);
--- a/crates/fescuewell_queue/tests/retry.rs
+++ b/crates/fescuewell_queue/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Retry budgets, pauses and the load guard.
+//! Tests of the retry budget, the backoff and the overload limiter.
 
 use std::time::Duration;
 
@@ -12,9 +12,8 @@
 
 #[test]
 fn retries_stay_a_share_of_first_tries() {
-    // Symptom: attempts were four times the requests for as long as a server failed, and it never recovered.
-    // Sequence: every attempt fails and is retried.
-    // Cause: each request could retry on its own, whatever the others did.
+    // Guards against four attempts per request while a server fails, which keep it from recovering: every attempt fails,
+    // and without a shared budget each request is retried regardless of the others.
     let mut budget = Budget::new(BudgetSettings::default());
     let mut retries = 0;
     for request in 0..6_000 {
@@ -63,35 +62,37 @@
     assert!((20..30).contains(&first.as_millis()), "{first:?}");
     assert!((320..480).contains(&fifth.as_millis()), "{fifth:?}");
     assert!((2_000..3_000).contains(&last.as_millis()), "{last:?}");
-    let told = Duration::from_secs(2);
-    assert!((0..100).all(|_| backoff.delay_for(0, Some(told)) >= told));
-    assert_eq!(backoff.delay_before(at(0), at(1_000), 0, Some(told)), None);
+    let retry_after = Duration::from_secs(2);
+    assert!((0..100).all(|_| backoff.delay_for(0, Some(retry_after)) >= retry_after));
+    assert_eq!(
+        backoff.delay_before(at(0), at(1_000), 0, Some(retry_after)),
+        None
+    );
 }
 
 #[test]
 fn the_guard_keeps_room_for_urgent_work_and_forgets_the_surge() {
-    // Symptom: an instance went on refusing for a minute after a surge although it stood empty.
-    // Sequence: a surge fills the instance, all streams end, one request arrives.
-    // Cause: a refusing state that was left only after a time.
+    // Guards against an instance that refuses requests for a minute after a surge although it has no open ones: a surge
+    // fills it, all streams end, one request arrives. There must be no refusing state that ends only after some time.
     let bounds = Bounds {
         streams: 100,
         bytes: 1_000_000,
     };
     let size = Size { bytes: 1_000 };
-    let mut guard = Limiter::new(bounds);
-    let bulk = (0..200).filter(|_| guard.admit(at(0), 1, 2, size).is_ok());
+    let mut limiter = Limiter::new(bounds);
+    let bulk = (0..200).filter(|_| limiter.admit(at(0), 1, 2, size).is_ok());
     let bulk = bulk.count();
-    let urgent = (0..200).filter(|_| guard.admit(at(0), 0, 2, size).is_ok());
+    let urgent = (0..200).filter(|_| limiter.admit(at(0), 0, 2, size).is_ok());
     let urgent = urgent.count();
-    let refusal = guard.admit(at(0), 0, 2, size).unwrap_err();
+    let refusal = limiter.admit(at(0), 0, 2, size).unwrap_err();
 
     for _ in 0..100 {
-        guard.release(at(1_000), size);
+        limiter.release(at(1_000), size);
     }
 
     assert_eq!((bulk, urgent), (80, 20));
     assert_eq!(refusal.code, Code::Overloaded);
-    assert!(guard.admit(at(1_000), 1, 2, size).is_ok());
+    assert!(limiter.admit(at(1_000), 1, 2, size).is_ok());
 }
 
 #[test]
@@ -100,11 +101,11 @@
         streams: 100,
         bytes: 10_000,
     };
-    let mut guard = Limiter::new(bounds);
+    let mut limiter = Limiter::new(bounds);
     let size = Size { bytes: 3_000 };
 
-    let accepted = (0..10).filter(|_| guard.admit(at(0), 0, 1, size).is_ok());
+    let accepted = (0..10).filter(|_| limiter.admit(at(0), 0, 1, size).is_ok());
 
     assert_eq!(accepted.count(), 3);
-    assert_eq!(guard.bytes(), 9_000);
+    assert_eq!(limiter.bytes(), 9_000);
 }
