--- a/crates/fescuewell_queue/src/deadline.rs
+++ b/crates/fescuewell_queue/src/deadline.rs
@@ -21,7 +21,7 @@
 
 use fescuewell_core::prelude::*;
 
-/// Maximum remaining time accepted from another process, so that an invalid value cannot keep a request queued for ever.
+/// Maximum remaining time accepted from another process, so that an invalid value cannot keep a request queued indefinitely.
 pub const MAX_REMAINING: Duration = Duration::from_secs(24 * 3_600);
 
 /// Returns the time until the deadline minus the `transit` allowance, or zero if the deadline has passed.
--- a/crates/fescuewell_queue/src/preempt.rs
+++ b/crates/fescuewell_queue/src/preempt.rs
@@ -30,7 +30,7 @@
 pub struct Settings {
     /// No stream is paused if a running request is expected to end within this time.
     pub min_wait: Duration,
-    /// Maximum number of pauses of one stream. Without it, successive bursts could pause the same stream for ever.
+    /// Maximum number of pauses of one stream. Without it, successive bursts could pause the same stream indefinitely.
     pub max_pauses: u32,
     /// A stream is paused only if it can wait at least this long and still meet its deadline.
     pub min_slack: Duration,
