--- a/crates/fescuewell_bench/src/capacity/rig.rs
+++ b/crates/fescuewell_bench/src/capacity/rig.rs
@@ -232,7 +232,7 @@
             running: self.rng.random_range(0..40),
             waiting: 0,
             cache_used: 0.5,
-            at_age: Duration::ZERO,
+            age: Duration::ZERO,
         };
         let loaded = (0..world::MODELS).map(world::model_name).collect();
         self.handle(NodeEvent::Reported {
--- a/crates/fescuewell_node/src/catalog.rs
+++ b/crates/fescuewell_node/src/catalog.rs
@@ -9,7 +9,7 @@
 use fescuewell_core::prelude::*;
 use fescuewell_document::model::{Document, Server, ServerRole};
 use fescuewell_queue::admission::{GroupPolicy, KindPolicy};
-use fescuewell_routing::server::Policy as ServerPolicy;
+use fescuewell_routing::server::Spec as ServerSpec;
 
 use crate::request::Work;
 
@@ -260,10 +260,10 @@
     }
 
     /// What routing needs to know of the backend servers.
-    pub fn server_policies(&self) -> Vec<ServerPolicy> {
+    pub fn server_policies(&self) -> Vec<ServerSpec> {
         let servers = self.document.servers.iter();
         let policies = servers.filter_map(|server| {
-            Some(ServerPolicy {
+            Some(ServerSpec {
                 key: self.servers.get(&server.name)?,
                 name: server.name.clone(),
                 zone: server.zone.clone(),
--- a/crates/fescuewell_node/src/event.rs
+++ b/crates/fescuewell_node/src/event.rs
@@ -7,7 +7,7 @@
 use fescuewell_core::platform::Listing;
 use fescuewell_core::prelude::*;
 use fescuewell_core::table;
-use fescuewell_placement::order::{Answer as OrderAnswer, Order};
+use fescuewell_placement::order::{Order, Response as OrderResponse};
 use fescuewell_routing::load::Report;
 
 use crate::message::Message;
@@ -140,7 +140,7 @@
             /// The order.
             order: Order,
             /// What became of it.
-            answer: OrderAnswer,
+            answer: OrderResponse,
         },
         /// A cache event of a backend server.
         Cache {
--- a/crates/fescuewell_node/src/limits.rs
+++ b/crates/fescuewell_node/src/limits.rs
@@ -5,7 +5,7 @@
 use fescuewell_core::prelude::*;
 use fescuewell_queue::limit::{Class, Limit, Outcome, Settings};
 use fescuewell_routing::router::Router;
-use fescuewell_routing::server::Room;
+use fescuewell_routing::server::Headroom;
 
 /// One limit for each backend server, and which of them leave no place.
 ///
@@ -151,15 +151,15 @@
             return;
         };
         let bulk_places = place.bulk_places(now, self.part);
-        let room = Room {
+        let headroom = Headroom {
             urgent: place.limit.has_place(now, Class::Urgent),
             bulk: place.bulk < bulk_places && place.limit.has_place(now, Class::Bulk),
         };
-        match room.urgent && room.bulk {
+        match headroom.urgent && headroom.bulk {
             true => self.closed.remove(&server),
             false => self.closed.insert(server),
         };
-        router.set_room(server, room);
+        router.set_headroom(server, headroom);
     }
 }
 
--- a/crates/fescuewell_node/src/node.rs
+++ b/crates/fescuewell_node/src/node.rs
@@ -164,7 +164,7 @@
                 loaded,
             } => {
                 if let Some(key) = self.catalog.server(&server) {
-                    self.router.load_report(now, key, report);
+                    self.router.record_load(now, key, report);
                     self.router.set_loaded(key, &loaded);
                     self.needs_dispatch = true;
                 }
@@ -177,7 +177,7 @@
                 event,
             } => {
                 if let Some(key) = self.catalog.server(&server) {
-                    self.router.cache_event(now, key, sequence, event);
+                    self.router.record_cache_event(now, key, sequence, event);
                 }
             }
             Happening::Leaving { server } => self.members.server_leaves(now, &server),
--- a/crates/fescuewell_node/src/placing.rs
+++ b/crates/fescuewell_node/src/placing.rs
@@ -6,9 +6,9 @@
 
 use fescuewell_core::prelude::*;
 use fescuewell_document::model::ServerRole;
-use fescuewell_placement::fleet::Seen;
-use fescuewell_placement::order::{Answer, Order};
-use fescuewell_placement::planner::{Duty as PlacementDuty, Notice, Planner};
+use fescuewell_placement::fleet::Observation;
+use fescuewell_placement::order::{Order, Response};
+use fescuewell_placement::planner::{Leadership, Notice, Planner};
 use fescuewell_placement::settings::Settings;
 
 use crate::event::{Action, ReadBack};
@@ -74,22 +74,24 @@
 
     /// Takes in what a backend server said of its models.
     pub(crate) fn read_back(&mut self, server: &str, said: ReadBack) {
-        let seen = Seen {
-            asked: said.asked,
+        let observation = Observation {
+            requested_at: said.asked,
             loaded: said.loaded.into_iter().collect(),
             loading: said.loading.into_iter().collect(),
             // An engine that knows no roles would otherwise be ordered to take one for ever.
             role: said.role.unwrap_or_else(|| self.placing.role.clone()),
         };
-        self.placing.planner.seen(self.now, server, seen);
+        self.placing.planner.observe(self.now, server, observation);
     }
 
     /// Takes in what became of an order.
-    pub(crate) fn order_answered(&mut self, order: &Order, answer: Answer) {
-        if matches!(answer, Answer::Stale | Answer::Refused) {
+    pub(crate) fn order_answered(&mut self, order: &Order, answer: Response) {
+        if matches!(answer, Response::Stale | Response::Refused) {
             self.log(Event::OrderRefused, format!("{order} answer={answer:?}"));
         }
-        self.placing.planner.answered(self.now, order, answer);
+        self.placing
+            .planner
+            .handle_response(self.now, order, answer);
     }
 
     /// Tells the planner what changed and lets it plan.
@@ -113,8 +115,8 @@
             }
         }
         let epoch = self.arbiter.epoch(PLACEMENT_SLOT);
-        let duty = epoch.map(|epoch| PlacementDuty { epoch });
-        self.placing.planner.set_duty(now, duty);
+        let leadership = epoch.map(|epoch| Leadership { epoch });
+        self.placing.planner.set_leadership(now, leadership);
         for notice in self.placing.planner.tick(now) {
             self.log_notice(notice);
         }
--- a/crates/fescuewell_node/src/pump.rs
+++ b/crates/fescuewell_node/src/pump.rs
@@ -394,7 +394,9 @@
     fn review_servers(&mut self) {
         for change in self.router.tick(self.now) {
             let (event, server, why) = match change {
-                Change::Ejected { server, why } => (Event::ServerEjected, server, why.to_string()),
+                Change::Ejected { server, cause } => {
+                    (Event::ServerEjected, server, cause.to_string())
+                }
                 Change::Returned { server } => {
                     (Event::ServerReturned, server, "why=progress".into())
                 }
--- a/crates/fescuewell_node/src/state.rs
+++ b/crates/fescuewell_node/src/state.rs
@@ -125,7 +125,7 @@
             .places()
             .map(|(key, place)| Server {
                 name: place.name.clone(),
-                health: self.router.health(key).unwrap_or("unknown").into(),
+                health: self.router.health_state(key).unwrap_or("unknown").into(),
                 in_flight: self.router.in_flight(key),
                 leaving: leaving.contains(&place.name),
             })
--- a/crates/fescuewell_node/tests/common/world.rs
+++ b/crates/fescuewell_node/tests/common/world.rs
@@ -311,7 +311,7 @@
                 running: self.backend.running(self.now, name) as u32,
                 waiting: 0,
                 cache_used: 0.5,
-                at_age: Duration::from_millis(50),
+                age: Duration::from_millis(50),
             };
             let event = NodeEvent::Reported {
                 server: name.into(),
--- a/crates/fescuewell_placement/examples/plan_cost.rs
+++ b/crates/fescuewell_placement/examples/plan_cost.rs
@@ -44,13 +44,13 @@
 
 fn read_back(planner: &mut Planner, now: Instant) {
     for index in 0..SERVERS {
-        let seen = Seen {
-            asked: now,
+        let seen = Observation {
+            requested_at: now,
             loaded: [name(index)].into(),
             loading: [].into(),
             role: "mixed".into(),
         };
-        planner.seen(now, &format!("engine-{index}"), seen);
+        planner.observe(now, &format!("engine-{index}"), seen);
     }
 }
 
@@ -59,7 +59,7 @@
     planner.set_document(&document());
     let start = Instant::from_millis(0);
     let epoch = Epoch(1);
-    planner.set_duty(start, Some(Duty { epoch }));
+    planner.set_leadership(start, Some(Leadership { epoch }));
     let watch = Stopwatch::now();
     let mut steps = 0;
     while let Some(step) = planner.next_step(start) {
--- a/crates/fescuewell_placement/src/fleet.rs
+++ b/crates/fescuewell_placement/src/fleet.rs
@@ -6,14 +6,14 @@
 
 use fescuewell_core::prelude::*;
 
-use crate::order::{Action, Late, Why};
+use crate::order::{Action, LateOrder, Reason};
 
 fescuewell_core::message! {
     /// What a backend server said of itself.
     #[derive(Eq)]
-    pub struct Seen {
+    pub struct Observation {
         /// When it was asked. An answer to a question from before an order says nothing about it.
-        pub asked: Instant,
+        pub requested_at: Instant,
         /// Models that it serves.
         pub loaded: BTreeSet<Arc<str>>,
         /// Models that it is loading.
@@ -26,7 +26,7 @@
 /// An order that may still arrive at a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Threat {
-    pub(crate) late: Late,
+    pub(crate) late: LateOrder,
     /// When it has died out; `None` for those of a holder that may sleep for any time.
     pub(crate) until: Option<Instant>,
 }
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Pending {
     pub(crate) action: Action,
-    pub(crate) why: Why,
+    pub(crate) reason: Reason,
     /// When it was handed out to be sent; none while its row is being written.
     pub(crate) sent: Option<Instant>,
 }
@@ -46,16 +46,16 @@
     pub(crate) listed: BTreeSet<Arc<str>>,
     pub(crate) checks: bool,
     pub(crate) leaving: bool,
-    pub(crate) seen: Option<Seen>,
+    pub(crate) seen: Option<Observation>,
     pub(crate) pending: Option<Pending>,
     pub(crate) threats: Vec<Threat>,
     pub(crate) fenced: bool,
 }
 
 impl Server {
-    pub(crate) fn fresh(&self, now: Instant, life: Duration) -> Option<&Seen> {
+    pub(crate) fn fresh(&self, now: Instant, life: Duration) -> Option<&Observation> {
         let seen = self.seen.as_ref()?;
-        (now.since(seen.asked) <= life).then_some(seen)
+        (now.since(seen.requested_at) <= life).then_some(seen)
     }
 
     /// Whether the server has the model, as far as is known, and is not about to lose it by us.
@@ -114,7 +114,7 @@
 }
 
 /// Whether a read-back shows that an action took effect.
-pub(crate) fn shows(seen: &Seen, action: &Action) -> bool {
+pub(crate) fn shows(seen: &Observation, action: &Action) -> bool {
     match action {
         Action::Load { model } => seen.loaded.contains(model),
         Action::Unload { model } => !seen.loaded.contains(model) && !seen.loading.contains(model),
@@ -139,7 +139,7 @@
     }
 
     /// What would undo the changes since `before` that this planner did not order.
-    pub(crate) fn unordered(&self, before: &Seen) -> Vec<Action> {
+    pub(crate) fn unordered(&self, before: &Observation) -> Vec<Action> {
         let Some(seen) = &self.seen else {
             return Vec::new();
         };
--- a/crates/fescuewell_placement/src/lib.rs
+++ b/crates/fescuewell_placement/src/lib.rs
@@ -23,8 +23,8 @@
 
 /// The names that callers of this crate use.
 pub mod prelude {
-    pub use crate::fleet::Seen;
-    pub use crate::order::{Action, Answer, Order, Why};
-    pub use crate::planner::{Duty, Notice, Planner};
+    pub use crate::fleet::Observation;
+    pub use crate::order::{Action, Order, Reason, Response};
+    pub use crate::planner::{Leadership, Notice, Planner};
     pub use crate::settings::Settings;
 }
--- a/crates/fescuewell_placement/src/order.rs
+++ b/crates/fescuewell_placement/src/order.rs
@@ -36,11 +36,11 @@
         /// The order; none once a new holder has taken the row over.
         pub action: Option<Action>,
         /// Earlier orders that may still arrive, those of earlier holders included.
-        pub late: Vec<Late>,
+        pub late: Vec<LateOrder>,
     }
 
     /// An order that may still arrive.
-    pub struct Late {
+    pub struct LateOrder {
         /// Epoch of the holder that gave it.
         pub epoch: Epoch,
         /// The order.
@@ -64,12 +64,12 @@
         /// What to do.
         pub action: Action,
         /// Why, for the log line.
-        pub why: Why,
+        pub reason: Reason,
     }
 
     /// Why an order is given.
     #[derive(Copy, Eq)]
-    pub enum Why {
+    pub enum Reason {
         /// The model needs more servers.
         Needed,
         /// The model gives room to one that needs it.
@@ -84,7 +84,7 @@
 
     /// What became of a sent order.
     #[derive(Copy, Eq)]
-    pub enum Answer {
+    pub enum Response {
         /// The server took it.
         Accepted,
         /// The server refused it for its fencing number.
@@ -113,22 +113,22 @@
             epoch,
             number,
             action,
-            why,
+            reason,
         } = self;
         write!(
             f,
-            "server={server} epoch={} number={number} why={why:?} action={action}",
+            "server={server} epoch={} number={number} why={reason:?} action={action}",
             epoch.0
         )
     }
 }
 
 /// Common start of the rows' keys.
-pub const PREFIX: &str = "order/";
+pub const KEY_PREFIX: &str = "order/";
 
 /// The key of a server's row.
 pub fn row_key(server: &str) -> Arc<str> {
-    format!("{PREFIX}{server}").into()
+    format!("{KEY_PREFIX}{server}").into()
 }
 
 impl Record {
--- a/crates/fescuewell_placement/src/plan.rs
+++ b/crates/fescuewell_placement/src/plan.rs
@@ -5,16 +5,16 @@
 
 use fescuewell_core::prelude::*;
 
-use crate::fleet::{Fleet, Seen, Server};
+use crate::fleet::{Fleet, Observation, Server};
 use crate::goal::Needs;
-use crate::order::{Action, Why};
+use crate::order::{Action, Reason};
 use crate::settings::{Settings, millis};
 
 /// An order to be.
 pub(crate) struct Idea {
     pub(crate) server: Arc<str>,
     pub(crate) action: Action,
-    pub(crate) why: Why,
+    pub(crate) reason: Reason,
 }
 
 /// What a plan is made from.
@@ -41,7 +41,7 @@
     }
 
     /// Servers that may be given an order now, with what they have.
-    fn orderable(&self) -> impl Iterator<Item = (&Arc<str>, &Server, &Seen)> {
+    fn orderable(&self) -> impl Iterator<Item = (&Arc<str>, &Server, &Observation)> {
         let life = millis(self.settings.seen_life_ms);
         self.fleet.iter().filter_map(move |(name, server)| {
             let free = server.pending.is_none() && (server.checks || self.settled);
@@ -50,11 +50,11 @@
         })
     }
 
-    fn idea(server: &Arc<str>, action: Action, why: Why) -> Idea {
+    fn idea(server: &Arc<str>, action: Action, reason: Reason) -> Idea {
         Idea {
             server: server.clone(),
             action,
-            why,
+            reason,
         }
     }
 
@@ -65,7 +65,7 @@
                 continue;
             }
             let role = seen.role.clone();
-            return Some(Self::idea(name, Action::Role { role }, Why::Fence));
+            return Some(Self::idea(name, Action::Role { role }, Reason::Fence));
         }
         None
     }
@@ -76,7 +76,7 @@
                 continue;
             }
             let role = self.settings.role.clone();
-            return Some(Self::idea(name, Action::Role { role }, Why::Role));
+            return Some(Self::idea(name, Action::Role { role }, Reason::Role));
         }
         None
     }
@@ -88,14 +88,14 @@
                     continue;
                 }
                 let model = model.clone();
-                return Some(Self::idea(name, Action::Unload { model }, Why::Unlisted));
+                return Some(Self::idea(name, Action::Unload { model }, Reason::Unlisted));
             }
         }
         None
     }
 
     /// Whether enough servers keep the model without this one, whatever late order arrives.
-    fn may_unload(&self, server: &Server, seen: &Seen, model: &str) -> bool {
+    fn may_unload(&self, server: &Server, seen: &Observation, model: &str) -> bool {
         let adapter = |other: &Arc<str>| {
             let need = self.needs.get(other);
             need.and_then(|need| need.base.as_deref()) == Some(model)
@@ -153,8 +153,8 @@
     }
 
     /// Servers that may load the model, least used first.
-    fn takers(&self, model: &Arc<str>) -> Vec<(&Arc<str>, &Server, &Seen)> {
-        let mut takers: Vec<(u64, &Arc<str>, &Server, &Seen)> = Vec::new();
+    fn takers(&self, model: &Arc<str>) -> Vec<(&Arc<str>, &Server, &Observation)> {
+        let mut takers: Vec<(u64, &Arc<str>, &Server, &Observation)> = Vec::new();
         for (name, server, seen) in self.orderable() {
             let has = seen.loaded.contains(model) || seen.loading.contains(model);
             if has || server.leaving || !server.listed.contains(model) {
@@ -170,7 +170,7 @@
     }
 
     /// Tokens per second that a server's models bring to it.
-    fn used(&self, seen: &Seen) -> u64 {
+    fn used(&self, seen: &Observation) -> u64 {
         let mut used = 0;
         for model in seen.loaded.union(&seen.loading) {
             let demand = self.needs.get(model).map_or(0, |need| need.demand());
@@ -191,13 +191,18 @@
             let Some(model) = self.first_load(model, server, seen) else {
                 continue;
             };
-            return Some(Self::idea(name, Action::Load { model }, Why::Needed));
+            return Some(Self::idea(name, Action::Load { model }, Reason::Needed));
         }
         None
     }
 
     /// What to load first: an adapter needs its base model on the same server.
-    fn first_load(&self, model: &Arc<str>, server: &Server, seen: &Seen) -> Option<Arc<str>> {
+    fn first_load(
+        &self,
+        model: &Arc<str>,
+        server: &Server,
+        seen: &Observation,
+    ) -> Option<Arc<str>> {
         let base = self.needs.get(model).and_then(|need| need.base.as_ref());
         let Some(base) = base.filter(|base| !seen.loaded.contains(*base)) else {
             return Some(model.clone());
@@ -227,7 +232,7 @@
                     continue;
                 }
                 let model = other.clone();
-                return Some(Self::idea(name, Action::Unload { model }, Why::Room));
+                return Some(Self::idea(name, Action::Unload { model }, Reason::Room));
             }
         }
         None
--- a/crates/fescuewell_placement/src/planner.rs
+++ b/crates/fescuewell_placement/src/planner.rs
@@ -14,19 +14,19 @@
 use fescuewell_core::prelude::*;
 use fescuewell_document::prelude::{Document, ServerRole};
 
-use crate::fleet::{Fleet, Pending, Seen, Threat, serving, shows};
+use crate::fleet::{Fleet, Observation, Pending, Threat, serving, shows};
 use crate::goal::Needs;
-use crate::order::{Action, Answer, Late, Order};
+use crate::order::{Action, LateOrder, Order, Response};
 use crate::plan::{Idea, View};
 use crate::settings::{Settings, millis};
 
-static DUTY: LazyLock<Chart> =
+static LEADERSHIP: LazyLock<Chart> =
     LazyLock::new(|| Chart::parse(include_str!("duty.json")).expect("duty.json is a state chart"));
 
 fescuewell_core::message! {
     /// The duty to place, as the holder of slot 0 has it.
     #[derive(Copy, Eq)]
-    pub struct Duty {
+    pub struct Leadership {
         /// The slot's epoch, which becomes the fencing number of the orders.
         pub epoch: Epoch,
     }
@@ -73,7 +73,7 @@
 /// planner.set_document(&Default::default());
 /// let now = Instant::from_millis(0);
 /// assert!(planner.next_step(now).is_none());
-/// planner.set_duty(now, Some(Duty { epoch: Epoch(1) }));
+/// planner.set_leadership(now, Some(Leadership { epoch: Epoch(1) }));
 /// assert!(planner.next_step(now).is_some());
 /// ```
 #[derive(Debug)]
@@ -103,7 +103,7 @@
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
-            state: DUTY.initial(),
+            state: LEADERSHIP.initial(),
             epoch: Epoch::default(),
             number: 0,
             fleet: Fleet::new(),
@@ -125,7 +125,7 @@
 
     /// The name of the duty's state in `duty.json`.
     pub fn state(&self) -> &'static str {
-        DUTY.name(self.state)
+        LEADERSHIP.name(self.state)
     }
 
     /// Takes over a document; what was seen of servers that stay is kept.
@@ -187,7 +187,7 @@
 
     /// Notes that this instance got the duty, with a new epoch, or lost it. A duty that was lost
     /// counts again only with a higher epoch, since what was under way is no longer known.
-    pub fn set_duty(&mut self, now: Instant, duty: Option<Duty>) {
+    pub fn set_leadership(&mut self, now: Instant, duty: Option<Leadership>) {
         match duty {
             None => self.lose(),
             Some(duty) if duty.epoch > self.epoch => self.gain(now, duty.epoch),
@@ -223,7 +223,7 @@
 
     fn signal(&mut self, signal: &str) {
         // A signal without a step, such as losing a duty that was not held, changes nothing.
-        let _ = DUTY.step(&mut self.state, signal);
+        let _ = LEADERSHIP.step(&mut self.state, signal);
     }
 
     fn is(&self, name: &str) -> bool {
@@ -239,19 +239,19 @@
     }
 
     /// Takes in what a server said of itself.
-    pub fn seen(&mut self, now: Instant, name: &str, seen: Seen) {
+    pub fn observe(&mut self, now: Instant, name: &str, seen: Observation) {
         let Some(server) = self.fleet.get_mut(name) else {
             return;
         };
         if server
             .seen
             .as_ref()
-            .is_some_and(|known| known.asked > seen.asked)
+            .is_some_and(|known| known.requested_at > seen.requested_at)
         {
             return;
         }
         let done = server.pending.as_ref().is_some_and(|pending| {
-            let after = pending.sent.is_some_and(|sent| seen.asked >= sent);
+            let after = pending.sent.is_some_and(|sent| seen.requested_at >= sent);
             after && shows(&seen, &pending.action)
         });
         let known = server.seen.replace(seen);
@@ -304,7 +304,7 @@
                 continue;
             }
             let action = pending.action.clone();
-            let late = Late {
+            let late = LateOrder {
                 epoch: self.epoch,
                 action: action.clone(),
                 single: false,
@@ -377,7 +377,7 @@
         }
         server.pending = Some(Pending {
             action: idea.action,
-            why: idea.why,
+            reason: idea.reason,
             sent: None,
         });
         self.ideas.push_back(idea.server);
@@ -405,11 +405,11 @@
     }
 
     /// Takes in a server's answer to an order.
-    pub fn answered(&mut self, now: Instant, order: &Order, answer: Answer) {
+    pub fn handle_response(&mut self, now: Instant, order: &Order, answer: Response) {
         if order.epoch != self.epoch || self.is("idle") {
             return;
         }
-        if answer == Answer::Stale {
+        if answer == Response::Stale {
             // Somebody gave this server a higher number; the rows will tell who.
             self.rescan(now);
         }
@@ -417,14 +417,14 @@
             return;
         };
         match answer {
-            Answer::Accepted if server.checks => {
+            Response::Accepted if server.checks => {
                 server.fenced = true;
                 server
                     .threats
                     .retain(|threat| threat.late.epoch == order.epoch);
             }
-            Answer::Refused | Answer::Stale => server.pending = None,
-            Answer::Accepted | Answer::Unknown => {}
+            Response::Refused | Response::Stale => server.pending = None,
+            Response::Accepted | Response::Unknown => {}
         }
     }
 }
--- a/crates/fescuewell_placement/src/planner/table.rs
+++ b/crates/fescuewell_placement/src/planner/table.rs
@@ -7,7 +7,7 @@
 
 use super::{Await, Notice, Planner};
 use crate::fleet::Threat;
-use crate::order::{Action, Late, Order, PREFIX, Record, row_key};
+use crate::order::{Action, KEY_PREFIX, LateOrder, Order, Record, row_key};
 use crate::settings::millis;
 
 /// Rows taken over in one transaction.
@@ -23,7 +23,7 @@
         }
         if !self.scanned {
             self.waiting = Some(Await::Scan);
-            return Some(Step::Scan(Range::prefix(PREFIX)));
+            return Some(Step::Scan(Range::prefix(KEY_PREFIX)));
         }
         if !self.unadopted.is_empty() {
             return Some(self.adopt());
@@ -115,7 +115,7 @@
         self.unadopted.clear();
         let mut own = Vec::new();
         for row in rows {
-            let Some(name) = row.key.strip_prefix(PREFIX) else {
+            let Some(name) = row.key.strip_prefix(KEY_PREFIX) else {
                 continue;
             };
             self.revisions.insert(name.into(), row.revision);
@@ -146,7 +146,7 @@
         let Some(server) = self.fleet.get_mut(name) else {
             return;
         };
-        let last = record.action.map(|action| Late {
+        let last = record.action.map(|action| LateOrder {
             epoch: record.epoch,
             action,
             single: true,
@@ -187,7 +187,7 @@
             epoch: self.epoch,
             number: self.number,
             action: pending.action.clone(),
-            why: pending.why,
+            reason: pending.reason,
         };
         self.ready.push_back((now, order));
     }
--- a/crates/fescuewell_placement/tests/common/mod.rs
+++ b/crates/fescuewell_placement/tests/common/mod.rs
@@ -72,9 +72,9 @@
 pub fn planner(document: &Document, epoch: u64) -> Planner {
     let mut planner = Planner::new(settings());
     planner.set_document(document);
-    planner.set_duty(
+    planner.set_leadership(
         at(0),
-        Some(Duty {
+        Some(Leadership {
             epoch: Epoch(epoch),
         }),
     );
@@ -136,7 +136,7 @@
     pub fn drive(&mut self, now: u64, planner: &mut Planner, delays: &[u64]) {
         for name in self.engines.keys().cloned().collect::<Vec<_>>() {
             let seen = self.seen(now, &name);
-            planner.seen(at(now), &name, seen);
+            planner.observe(at(now), &name, seen);
         }
         let notices = planner.tick(at(now));
         self.log
@@ -156,7 +156,7 @@
                 continue;
             }
             let answer = self.carry_out(now, &order);
-            planner.answered(at(now), &order, answer);
+            planner.handle_response(at(now), &order, answer);
         }
     }
 
@@ -187,29 +187,29 @@
         }
     }
 
-    pub fn seen(&self, now: u64, name: &str) -> Seen {
+    pub fn seen(&self, now: u64, name: &str) -> Observation {
         let engine = &self.engines[name];
-        Seen {
-            asked: at(now),
+        Observation {
+            requested_at: at(now),
             loaded: engine.loaded.clone(),
             loading: engine.loading.keys().cloned().collect(),
             role: "mixed".into(),
         }
     }
 
-    fn carry_out(&mut self, now: u64, order: &Order) -> Answer {
+    fn carry_out(&mut self, now: u64, order: &Order) -> Response {
         let Some(engine) = self.engines.get_mut(&order.server) else {
-            return Answer::Unknown;
+            return Response::Unknown;
         };
         if engine.checks && order.epoch.0 < engine.fence {
             self.log.push(format!("{now} refused {order}"));
-            return Answer::Stale;
+            return Response::Stale;
         }
         engine.fence = engine.fence.max(order.epoch.0);
         match &order.action {
             Action::Load { model } => {
                 if engine.loaded.len() + engine.loading.len() >= ROOM {
-                    return Answer::Refused;
+                    return Response::Refused;
                 }
                 engine.loading.insert(model.clone(), now + LOAD_MS);
                 self.loads.push((now, order.server.clone()));
@@ -221,7 +221,7 @@
             }
             Action::Role { .. } => {}
         }
-        Answer::Accepted
+        Response::Accepted
     }
 
     fn table(&mut self, step: &Step) -> Reply {
--- a/crates/fescuewell_placement/tests/planner.rs
+++ b/crates/fescuewell_placement/tests/planner.rs
@@ -186,7 +186,7 @@
     planner.next_step(at(0)).unwrap();
     planner.reply(at(0), Reply::Outcome(Outcome::Committed { revision }));
     for name in ["engine-0", "engine-1"] {
-        planner.seen(at(1), name, world.seen(1, name));
+        planner.observe(at(1), name, world.seen(1, name));
     }
     planner.tick(at(1));
     let step = planner.next_step(at(1)).unwrap();
--- a/crates/fescuewell_router/src/backends.rs
+++ b/crates/fescuewell_router/src/backends.rs
@@ -11,7 +11,7 @@
 use fescuewell_document::model::{Server, ServerRole};
 use fescuewell_http::upstream::{self, Client, Target, Timeouts};
 use fescuewell_node::event::{Event as NodeEvent, ReadBack, StreamRecord};
-use fescuewell_placement::order::{Action, Answer, Order};
+use fescuewell_placement::order::{Action, Order, Response};
 use fescuewell_routing::load::Report;
 use serde_json::{Value, json};
 
@@ -186,12 +186,12 @@
     /// instance took the duty over and waited for late orders to die out; on a server that ignores
     /// fencing numbers it would undo the new holder's. So it is looked at just before it is sent, and
     /// sending it is bounded.
-    async fn order(&self, address: SocketAddr, order: &Order, given: Instant) -> Answer {
+    async fn order(&self, address: SocketAddr, order: &Order, given: Instant) -> Response {
         if self.clock.now().since(given) > ORDER_LIFE {
-            return Answer::Refused;
+            return Response::Refused;
         }
         let Some(request) = order_request(order) else {
-            return Answer::Refused;
+            return Response::Refused;
         };
         let target = Target::new(address);
         let open = self.client.open(&target, request, TIMEOUTS);
@@ -201,8 +201,8 @@
                 let body = exchange.whole(LARGEST).await.unwrap_or_default();
                 read_answer(status, &body)
             }
-            Ok(Err(upstream::Error::NotSent { .. })) => Answer::Refused,
-            Ok(Err(_)) | Err(_) => Answer::Unknown,
+            Ok(Err(upstream::Error::NotSent { .. })) => Response::Refused,
+            Ok(Err(_)) | Err(_) => Response::Unknown,
         }
     }
 
@@ -258,17 +258,17 @@
 }
 
 /// Whether the server took the order, as its status and error code tell.
-fn read_answer(status: http::StatusCode, body: &[u8]) -> Answer {
+fn read_answer(status: http::StatusCode, body: &[u8]) -> Response {
     if status.is_success() {
-        return Answer::Accepted;
+        return Response::Accepted;
     }
     if !status.is_client_error() {
-        return Answer::Unknown;
+        return Response::Unknown;
     }
     let problem: Value = serde_json::from_slice(body).unwrap_or_default();
     match problem["error"]["code"].as_str() {
-        Some(STALE) => Answer::Stale,
-        _ => Answer::Refused,
+        Some(STALE) => Response::Stale,
+        _ => Response::Refused,
     }
 }
 
@@ -288,7 +288,7 @@
         running: value("engine_requests_running") as u32,
         waiting: value("engine_requests_waiting") as u32,
         cache_used: value("engine_prefix_cache_usage_ratio") as f32,
-        at_age: Duration::from_secs_f64(value("engine_report_age_seconds").max(0.0)),
+        age: Duration::from_secs_f64(value("engine_report_age_seconds").max(0.0)),
     }
 }
 
--- a/crates/fescuewell_router/src/brain.rs
+++ b/crates/fescuewell_router/src/brain.rs
@@ -10,7 +10,7 @@
 use fescuewell_node::event::{Action, Duty, Event as NodeEvent};
 use fescuewell_node::node::Node;
 use fescuewell_node::state::Summary;
-use fescuewell_placement::order::{Answer, Order};
+use fescuewell_placement::order::{Order, Response};
 
 use crate::adapters::{BackendWork, Rings};
 use crate::plane::{Plane, Published};
@@ -148,7 +148,7 @@
             return false;
         }
         // It was certainly not sent. Were that not said, the planner would wait ten minutes for a load.
-        let answer = Answer::Refused;
+        let answer = Response::Refused;
         self.take(NodeEvent::Ordered { order, answer })
     }
 
--- a/crates/fescuewell_routing/examples/engines/cost.rs
+++ b/crates/fescuewell_routing/examples/engines/cost.rs
@@ -17,10 +17,10 @@
     number.and_then(|text| text.parse().ok()).unwrap_or(0)
 }
 
-fn policies() -> Vec<Policy> {
+fn policies() -> Vec<Spec> {
     let mut policies = Vec::new();
     for index in 0..SERVERS {
-        policies.push(Policy {
+        policies.push(Spec {
             key: ServerKey(index),
             name: format!("engine-{index}").into(),
             zone: format!("zone-{}", index % 3).into(),
@@ -72,7 +72,7 @@
     println!(
         "memory: {} KB for {} blocks and {SERVERS} servers (test data {} KB)",
         resident() - own,
-        router.blocks(),
+        router.block_count(),
         own - before
     );
 }
@@ -83,9 +83,9 @@
             running: running + server % 3,
             waiting: 0,
             cache_used: 0.9,
-            at_age: std::time::Duration::ZERO,
+            age: std::time::Duration::ZERO,
         };
-        router.load_report(Instant(0), ServerKey(server), report);
+        router.record_load(Instant(0), ServerKey(server), report);
     }
 }
 
--- a/crates/fescuewell_routing/examples/engines/main.rs
+++ b/crates/fescuewell_routing/examples/engines/main.rs
@@ -113,11 +113,11 @@
         println!("{name:<16} mean {mean:.1} ms, p95 {p95:.1} ms, sent to it {sent}");
         let mut first = [None; ROUTERS];
         for (at, router, change) in &figures.changes {
-            let Change::Ejected { server, why } = change else {
+            let Change::Ejected { server, cause } = change else {
                 continue;
             };
             if *server != ServerKey(3) || *at < from {
-                println!("  also ejected: {server:?} by {router} at {at} us, {why}");
+                println!("  also ejected: {server:?} by {router} at {at} us, {cause}");
                 continue;
             }
             first[*router].get_or_insert((at - from) as f64 / 1e6);
--- a/crates/fescuewell_routing/examples/engines/policy.rs
+++ b/crates/fescuewell_routing/examples/engines/policy.rs
@@ -74,7 +74,7 @@
         let reach: Vec<ServerKey> = (0..engines as u32).map(ServerKey).collect();
         let mut policies = Vec::new();
         for &key in &reach {
-            policies.push(fescuewell_routing::prelude::Policy {
+            policies.push(Spec {
                 key,
                 name: format!("engine-{}", key.0).into(),
                 zone: "zone-a".into(),
@@ -116,11 +116,11 @@
     }
     fn report(&mut self, now: Instant, engine: usize, report: Report) {
         self.router
-            .load_report(now, ServerKey(engine as u32), report);
+            .record_load(now, ServerKey(engine as u32), report);
     }
     fn cached(&mut self, now: Instant, engine: usize, sequence: u64, event: CacheEvent) {
         self.router
-            .cache_event(now, ServerKey(engine as u32), sequence, event);
+            .record_cache_event(now, ServerKey(engine as u32), sequence, event);
     }
     fn tick(&mut self, now: Instant) -> Vec<Change> {
         self.router.tick(now)
--- a/crates/fescuewell_routing/examples/engines/world.rs
+++ b/crates/fescuewell_routing/examples/engines/world.rs
@@ -242,7 +242,7 @@
             running: state.running.len() as u32,
             waiting: state.waiting.len() as u32,
             cache_used: state.cache_used(),
-            at_age: Duration::from_micros(LAG_US),
+            age: Duration::from_micros(LAG_US),
         };
         for event in state.events.drain(..) {
             self.sequences[engine] += 1;
--- a/crates/fescuewell_routing/src/gather.rs
+++ b/crates/fescuewell_routing/src/gather.rs
@@ -7,7 +7,7 @@
 use crate::choice::{Basis, NoChoice, Query};
 use crate::pool::Pool;
 use crate::prefix::Hit;
-use crate::server::{Entry, Room};
+use crate::server::{Entry, Headroom};
 use crate::settings::{Settings, millis};
 
 /// Random draws per wanted sample, before the draw is given up.
@@ -54,7 +54,7 @@
         self.busy(entry, share).then_some(Closed::Busy)
     }
 
-    fn has_room(&self, room: Room) -> bool {
+    fn has_room(&self, room: Headroom) -> bool {
         match self.query.urgent {
             true => room.urgent,
             false => room.bulk,
--- a/crates/fescuewell_routing/src/health.rs
+++ b/crates/fescuewell_routing/src/health.rs
@@ -25,7 +25,7 @@
             /// Which server.
             server: ServerKey,
             /// On what evidence.
-            why: Why,
+            cause: Cause,
         },
         /// The server gets work again, a little at first.
         Returned {
@@ -41,7 +41,7 @@
 
     /// The evidence against a server.
     #[derive(Copy)]
-    pub enum Why {
+    pub enum Cause {
         /// Its tokens take this many times the median of its like.
         Slow {
             /// Time per token by the median.
@@ -62,7 +62,7 @@
     }
 }
 
-impl fmt::Display for Why {
+impl fmt::Display for Cause {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Slow { factor } => write!(f, "why=slow factor={factor:.1}"),
@@ -257,8 +257,8 @@
             continue;
         };
         let server = ServerKey(index as u32);
-        let why = evidence(now, entry, &medians, settings);
-        changes.extend(judge(now, server, entry, why, &mut quota, settings));
+        let cause = evidence(now, entry, &medians, settings);
+        changes.extend(judge(now, server, entry, cause, &mut quota, settings));
     }
     changes
 }
@@ -267,7 +267,7 @@
     now: Instant,
     server: ServerKey,
     entry: &mut Entry,
-    why: Option<Why>,
+    cause: Option<Cause>,
     quota: &mut Quota,
     settings: &Settings,
 ) -> Option<Change> {
@@ -275,7 +275,7 @@
     if state == STATES.ejected {
         return end_pause(now, server, &mut entry.health, settings);
     }
-    let Some(why) = why else {
+    let Some(cause) = cause else {
         return recover(now, server, &mut entry.health, settings);
     };
     if state == STATES.healthy {
@@ -293,7 +293,7 @@
         return None;
     }
     entry.health.eject(now, settings);
-    Some(Change::Ejected { server, why })
+    Some(Change::Ejected { server, cause })
 }
 
 fn end_pause(
@@ -340,7 +340,7 @@
     entry: &mut Entry,
     medians: &HashMap<Vec<ModelKey>, f32>,
     settings: &Settings,
-) -> Option<Why> {
+) -> Option<Cause> {
     let median = medians.get(entry.kind()).copied();
     let factor = match (entry.health.speed(now, settings), median) {
         (Some(gap), Some(median)) if median > 0.0 => gap / median,
@@ -351,17 +351,17 @@
     entry.health.slowness = if clearly { factor } else { 1.0 };
     if entry.health.failures >= settings.failures {
         let failures = entry.health.failures;
-        return Some(Why::Failing { failures });
+        return Some(Cause::Failing { failures });
     }
     let of = entry.streams.len() as u32;
     let silent = |stream: &&Stream| is_silent(now, stream, settings);
     let streams = entry.streams.iter().filter(silent).count() as u32;
     // One silent stream among many may be its own connection's fault.
     if streams > 0 && streams * 2 >= of {
-        return Some(Why::Stalled { streams, of });
+        return Some(Cause::Stalled { streams, of });
     }
     let slow = factor * 100.0 >= settings.slow_percent as f32;
-    slow.then_some(Why::Slow { factor })
+    slow.then_some(Cause::Slow { factor })
 }
 
 fn is_silent(now: Instant, stream: &Stream, settings: &Settings) -> bool {
--- a/crates/fescuewell_routing/src/lib.rs
+++ b/crates/fescuewell_routing/src/lib.rs
@@ -28,10 +28,10 @@
 /// The names that callers of this crate use.
 pub mod prelude {
     pub use crate::choice::{Basis, Choice, NoChoice, Query, Reason};
-    pub use crate::health::{Change, Why};
+    pub use crate::health::{Cause, Change};
     pub use crate::load::Report;
     pub use crate::prefix::Event as CacheEvent;
     pub use crate::router::Router;
-    pub use crate::server::{Outcome, Policy, Ticket};
+    pub use crate::server::{Outcome, Spec, Ticket};
     pub use crate::settings::Settings;
 }
--- a/crates/fescuewell_routing/src/load.rs
+++ b/crates/fescuewell_routing/src/load.rs
@@ -21,7 +21,7 @@
         /// Part of its cache memory that is used, from 0 to 1.
         pub cache_used: f32,
         /// Age of the figures when the report arrived.
-        pub at_age: Duration,
+        pub age: Duration,
     }
 }
 
@@ -85,7 +85,7 @@
     where
         Starts: Iterator<Item = Instant>,
     {
-        let at = now - report.at_age;
+        let at = now - report.age;
         // Reports overtake each other. An older one would bring back load that has gone since.
         if self.seen.is_some_and(|seen| seen.at > at) {
             return;
--- a/crates/fescuewell_routing/src/router.rs
+++ b/crates/fescuewell_routing/src/router.rs
@@ -13,7 +13,7 @@
 use crate::load::{self, Others, Report};
 use crate::pool::{ModelKey, Pools, ring_position};
 use crate::prefix::{Event, History, Hit};
-use crate::server::{Entry, Outcome, Policy, Room, Stream, Ticket};
+use crate::server::{Entry, Headroom, Outcome, Spec, Stream, Ticket};
 use crate::settings::{Settings, millis};
 use crate::speed::Speed;
 
@@ -25,7 +25,7 @@
 ///
 /// let mut router = Router::new(Settings::default(), "zone-a".into(), 1);
 /// let now = Instant::from_millis(0);
-/// router.set_servers(now, &[Policy {
+/// router.set_servers(now, &[Spec {
 ///     key: ServerKey(0),
 ///     name: "engine-1".into(),
 ///     zone: "zone-a".into(),
@@ -86,7 +86,7 @@
     }
 
     /// Takes over the backend servers of a document; what is known of those that stay is kept.
-    pub fn set_servers(&mut self, now: Instant, policies: &[Policy]) {
+    pub fn set_servers(&mut self, now: Instant, policies: &[Spec]) {
         let mut old = std::mem::take(&mut self.entries);
         for policy in policies {
             let index = policy.key.0 as usize;
@@ -103,7 +103,7 @@
         self.pools.clear();
     }
 
-    fn entry(&mut self, now: Instant, policy: &Policy, known: Option<Entry>) -> Entry {
+    fn entry(&mut self, now: Instant, policy: &Spec, known: Option<Entry>) -> Entry {
         let mut entry = known.unwrap_or_else(|| Entry {
             name: policy.name.clone(),
             local: true,
@@ -168,7 +168,7 @@
 
     /// Notes for which requests the own limit on a server leaves a place. Once it is set, it takes the place of
     /// [`Settings::urgent_reserve_percent`].
-    pub fn set_room(&mut self, server: ServerKey, room: Room) {
+    pub fn set_headroom(&mut self, server: ServerKey, room: Headroom) {
         if let Some(Some(entry)) = self.entries.get_mut(server.0 as usize) {
             entry.room = Some(room);
         }
@@ -346,7 +346,7 @@
     }
 
     /// Takes in a server's load report.
-    pub fn load_report(&mut self, now: Instant, server: ServerKey, report: Report) {
+    pub fn record_load(&mut self, now: Instant, server: ServerKey, report: Report) {
         let Some(Some(entry)) = self.entries.get_mut(server.0 as usize) else {
             return;
         };
@@ -356,7 +356,7 @@
     }
 
     /// Takes in a cache event. Returns whether its number revealed a gap.
-    pub fn cache_event(
+    pub fn record_cache_event(
         &mut self,
         _now: Instant,
         server: ServerKey,
@@ -376,7 +376,7 @@
     }
 
     /// The name of a server's health state.
-    pub fn health(&self, server: ServerKey) -> Option<&'static str> {
+    pub fn health_state(&self, server: ServerKey) -> Option<&'static str> {
         let entry = self.entries.get(server.0 as usize)?.as_ref()?;
         Some(entry.health.state())
     }
@@ -390,7 +390,7 @@
     }
 
     /// Prompt blocks that are remembered.
-    pub fn blocks(&self) -> usize {
+    pub fn block_count(&self) -> usize {
         self.history.len()
     }
 }
--- a/crates/fescuewell_routing/src/server.rs
+++ b/crates/fescuewell_routing/src/server.rs
@@ -15,7 +15,7 @@
 
 fescuewell_core::message! {
     /// What the configuration document says of a backend server.
-    pub struct Policy {
+    pub struct Spec {
         /// Its key in this process.
         pub key: ServerKey,
         /// Its name, the same on every instance.
@@ -46,7 +46,7 @@
 
 /// For which requests a server has a place within the own limit on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Room {
+pub struct Headroom {
     /// For urgent ones.
     pub urgent: bool,
     /// For all others.
@@ -75,7 +75,7 @@
     pub(crate) concurrency: u32,
     pub(crate) leaving: bool,
     pub(crate) busy_until: Instant,
-    pub(crate) room: Option<Room>,
+    pub(crate) room: Option<Headroom>,
     pub(crate) streams: Vec<Stream>,
     pub(crate) pending_tokens: u32,
     pub(crate) others: Others,
--- a/crates/fescuewell_routing/tests/common/mod.rs
+++ b/crates/fescuewell_routing/tests/common/mod.rs
@@ -13,8 +13,8 @@
     Instant::from_millis(millis)
 }
 
-pub fn policy(index: u32, zone: &str) -> Policy {
-    Policy {
+pub fn policy(index: u32, zone: &str) -> Spec {
+    Spec {
         key: ServerKey(index),
         name: format!("engine-{index}").into(),
         zone: zone.into(),
@@ -34,7 +34,7 @@
 
 pub fn router_with(settings: Settings, count: u32) -> Router {
     let mut router = Router::new(settings, "zone-a".into(), 7);
-    let policies: Vec<Policy> = (0..count).map(|index| policy(index, "zone-a")).collect();
+    let policies: Vec<Spec> = (0..count).map(|index| policy(index, "zone-a")).collect();
     router.set_servers(at(0), &policies);
     router
 }
@@ -61,7 +61,7 @@
         running,
         waiting,
         cache_used: 0.5,
-        at_age: Duration::from_millis(age_ms),
+        age: Duration::from_millis(age_ms),
     }
 }
 
--- a/crates/fescuewell_routing/tests/health.rs
+++ b/crates/fescuewell_routing/tests/health.rs
@@ -73,7 +73,7 @@
     fleet.run(6_000);
 
     assert_eq!(fleet.ejected(), [ServerKey(3)]);
-    assert_eq!(fleet.router.health(ServerKey(3)), Some("ejected"));
+    assert_eq!(fleet.router.health_state(ServerKey(3)), Some("ejected"));
     let reach = [ServerKey(3)];
     let refused = fleet.router.choose(at(fleet.now), &query(&reach, &[]));
     assert_eq!(refused, Err(NoChoice::AllEjected));
@@ -131,7 +131,7 @@
     // Nor while the first two come back and fail again.
     for _ in 0..80 {
         fleet.run(500);
-        let state = |server: &ServerKey| fleet.router.health(*server).unwrap();
+        let state = |server: &ServerKey| fleet.router.health_state(*server).unwrap();
         let out = |server: &ServerKey| ["ejected", "returning"].contains(&state(server));
         assert_eq!(keys(ENGINES).iter().filter(|server| out(server)).count(), 2);
     }
@@ -158,9 +158,9 @@
     router.tick(at(100));
     let changes = router.tick(at(2_000));
 
-    let why = Why::Failing { failures: 3 };
+    let cause = Cause::Failing { failures: 3 };
     let server = ServerKey(1);
-    assert_eq!(changes, [Change::Ejected { server, why }]);
+    assert_eq!(changes, [Change::Ejected { server, cause }]);
 }
 
 /// A router of five servers of which server 1 was ejected at two seconds.
@@ -172,7 +172,7 @@
     }
     router.tick(at(100));
     router.tick(at(2_000));
-    assert_eq!(router.health(ServerKey(1)), Some("ejected"));
+    assert_eq!(router.health_state(ServerKey(1)), Some("ejected"));
     router
 }
 
@@ -213,7 +213,7 @@
     assert_eq!(early, Err(NoChoice::AllEjected));
     assert!(taken[0] <= 2, "{taken:?}");
     assert!(taken[0] < taken[1] && taken[1] < taken[2], "{taken:?}");
-    assert_eq!(router.health(server), Some("healthy"));
+    assert_eq!(router.health_state(server), Some("healthy"));
 }
 
 #[test]
@@ -227,8 +227,8 @@
     }
     let again = router.tick(at(13_000));
 
-    let why = Why::Failing { failures: 3 };
-    assert_eq!(again, [Change::Ejected { server, why }]);
+    let cause = Cause::Failing { failures: 3 };
+    assert_eq!(again, [Change::Ejected { server, cause }]);
     assert_eq!(router.tick(at(32_000)), []);
     assert_eq!(router.tick(at(33_500)), [Change::Probe { server }]);
 }
--- a/crates/fescuewell_routing/tests/load.rs
+++ b/crates/fescuewell_routing/tests/load.rs
@@ -24,7 +24,7 @@
         router.set_instances(ROUTERS as u32);
         for &server in &reach {
             let load = if server == ServerKey(4) { 0 } else { 6 };
-            router.load_report(at(0), server, report(load, 0, 0));
+            router.record_load(at(0), server, report(load, 0, 0));
         }
         for ticket in 0..10 {
             let choice = router.choose(at(100), &query(&reach, &[])).unwrap();
@@ -51,11 +51,11 @@
         router.finished(at(900), ServerKey(0), Ticket(ticket), Outcome::Done);
     }
 
-    router.load_report(at(1_000), ServerKey(0), report(22, 0, 500));
+    router.record_load(at(1_000), ServerKey(0), report(22, 0, 500));
 
     // 15 own and 2 of others, of 32.
     assert!(router.choose(at(1_000), &query(&reach, &[])).is_ok());
-    router.load_report(at(1_100), ServerKey(0), report(32, 0, 0));
+    router.record_load(at(1_100), ServerKey(0), report(32, 0, 0));
     let full = router.choose(at(1_100), &query(&reach, &[]));
     assert_eq!(full, Err(NoChoice::AllBusy));
 }
@@ -67,8 +67,8 @@
     // Cause: reports were taken by the order of their arrival.
     let mut router = router(1);
     let reach = keys(1);
-    router.load_report(at(1_000), ServerKey(0), report(1, 0, 100));
-    router.load_report(at(1_010), ServerKey(0), report(40, 9, 800));
+    router.record_load(at(1_000), ServerKey(0), report(1, 0, 100));
+    router.record_load(at(1_010), ServerKey(0), report(40, 9, 800));
 
     assert!(router.choose(at(1_020), &query(&reach, &[])).is_ok());
 }
@@ -79,8 +79,8 @@
     router.set_instances(9);
     let reach = keys(2);
     for beat in 0..40 {
-        router.load_report(at(beat * 500), ServerKey(0), report(24, 8, 250));
-        router.load_report(at(beat * 500), ServerKey(1), report(3, 0, 250));
+        router.record_load(at(beat * 500), ServerKey(0), report(24, 8, 250));
+        router.record_load(at(beat * 500), ServerKey(1), report(3, 0, 250));
     }
 
     for _ in 0..20 {
--- a/crates/fescuewell_routing/tests/prefix.rs
+++ b/crates/fescuewell_routing/tests/prefix.rs
@@ -54,7 +54,7 @@
     let mut chosen = BTreeSet::new();
     for seed in 0..9 {
         let mut router = Router::new(Settings::default(), "zone-a".into(), seed);
-        let policies: Vec<Policy> = reach.iter().map(|key| policy(key.0, "zone-a")).collect();
+        let policies: Vec<Spec> = reach.iter().map(|key| policy(key.0, "zone-a")).collect();
         router.set_servers(at(0), &policies);
         let mut only_homes = query(&reach, &prefix);
         only_homes.prompt_tokens = 1_600;
@@ -109,13 +109,13 @@
     let mut router = router(ENGINES);
     let reach = keys(ENGINES);
     let prefix = prompt(1, 1);
-    router.cache_event(at(0), ServerKey(7), 1, CacheEvent::Stored(prefix[0]));
+    router.record_cache_event(at(0), ServerKey(7), 1, CacheEvent::Stored(prefix[0]));
     let before = router.choose(at(1), &query(&reach, &prefix)).unwrap();
 
     let other = prompt(2, 1)[0];
-    let gap = router.cache_event(at(2), ServerKey(9), 1, CacheEvent::Stored(other));
+    let gap = router.record_cache_event(at(2), ServerKey(9), 1, CacheEvent::Stored(other));
     assert!(!gap);
-    let gap = router.cache_event(at(2), ServerKey(7), 3, CacheEvent::Stored(other));
+    let gap = router.record_cache_event(at(2), ServerKey(7), 3, CacheEvent::Stored(other));
 
     assert!(gap);
     assert_eq!(before.server, ServerKey(7));
@@ -123,8 +123,8 @@
     // The choice above is an own send, which the gap leaves at half its worth; a router that
     // knew of the block by the event alone expects nothing any more.
     let mut fresh = common::router(ENGINES);
-    fresh.cache_event(at(0), ServerKey(7), 1, CacheEvent::Stored(prefix[0]));
-    fresh.cache_event(at(2), ServerKey(7), 3, CacheEvent::Stored(other));
+    fresh.record_cache_event(at(0), ServerKey(7), 1, CacheEvent::Stored(prefix[0]));
+    fresh.record_cache_event(at(2), ServerKey(7), 3, CacheEvent::Stored(other));
     let after = fresh.choose(at(3), &query(&reach, &prefix)).unwrap();
     assert_eq!(after.expected_hit_blocks, 0);
 }
@@ -142,10 +142,10 @@
     let mut sequence = 0;
     for block in prefix.iter().copied().chain(others) {
         sequence += 1;
-        router.cache_event(at(0), ServerKey(7), sequence, CacheEvent::Stored(block));
+        router.record_cache_event(at(0), ServerKey(7), sequence, CacheEvent::Stored(block));
     }
     let last = CacheEvent::Stored(Digest(999));
-    assert!(router.cache_event(at(1), ServerKey(7), sequence + 2, last));
+    assert!(router.record_cache_event(at(1), ServerKey(7), sequence + 2, last));
 
     let choice = router.choose(at(2), &query(&reach, &prefix)).unwrap();
 
@@ -165,12 +165,12 @@
     let home = run(&mut router, at(0), &reach, &prefix).server;
     let mut full = report(1, 0, 0);
     full.cache_used = 0.7;
-    router.load_report(at(10), home, full);
+    router.record_load(at(10), home, full);
     let held = router.choose(at(11), &query(&reach, &prefix)).unwrap();
     assert_eq!((held.server, held.expected_hit_blocks), (home, 16));
     let mut empty = report(1, 0, 0);
     empty.cache_used = 0.01;
-    router.load_report(at(500), home, empty);
+    router.record_load(at(500), home, empty);
 
     let choice = router.choose(at(501), &query(&reach, &prefix)).unwrap();
 
@@ -185,8 +185,8 @@
     let mut router = router(ENGINES);
     let reach = keys(ENGINES);
     let block = prompt(1, 1);
-    router.cache_event(at(0), ServerKey(7), 2, CacheEvent::Evicted(block[0]));
-    router.cache_event(at(1), ServerKey(7), 1, CacheEvent::Stored(block[0]));
+    router.record_cache_event(at(0), ServerKey(7), 2, CacheEvent::Evicted(block[0]));
+    router.record_cache_event(at(1), ServerKey(7), 1, CacheEvent::Stored(block[0]));
 
     let choice = router.choose(at(2), &query(&reach, &block)).unwrap();
 
@@ -202,8 +202,8 @@
     let reach = keys(ENGINES);
     let old = prompt(1, 1);
     let new = prompt(2, 1);
-    router.cache_event(at(0), ServerKey(3), 5_000, CacheEvent::Stored(old[0]));
-    let gap = router.cache_event(at(1), ServerKey(3), 1, CacheEvent::Stored(new[0]));
+    router.record_cache_event(at(0), ServerKey(3), 5_000, CacheEvent::Stored(old[0]));
+    let gap = router.record_cache_event(at(1), ServerKey(3), 1, CacheEvent::Stored(new[0]));
 
     let for_old = router.choose(at(2), &query(&reach, &old)).unwrap();
     let for_new = router.choose(at(2), &query(&reach, &new)).unwrap();
@@ -219,7 +219,7 @@
     let reach = keys(ENGINES);
     let prefix = prompt(1, 16);
     let home = run(&mut router, at(0), &reach, &prefix).server;
-    router.cache_event(at(1), home, 1, CacheEvent::Cleared);
+    router.record_cache_event(at(1), home, 1, CacheEvent::Cleared);
 
     let choice = router.choose(at(2), &query(&reach, &prefix)).unwrap();
 
@@ -242,12 +242,12 @@
     let home = run(&mut router, at(0), &reach, &prefix).server;
     for sequence in 1..=10_000 {
         let block = Digest(u128::from(sequence));
-        router.cache_event(at(1), ServerKey(0), sequence, CacheEvent::Stored(block));
+        router.record_cache_event(at(1), ServerKey(0), sequence, CacheEvent::Stored(block));
     }
 
     let choice = router.choose(at(2), &query(&reach, &prefix)).unwrap();
 
-    assert!(router.blocks() <= 64 + 128);
+    assert!(router.block_count() <= 64 + 128);
     assert_eq!(choice.server, home);
 }
 
--- a/examples/choice.rs
+++ b/examples/choice.rs
@@ -32,14 +32,14 @@
     }
 }
 
-fn policy(zone: &str) -> Policy {
+fn policy(zone: &str) -> Spec {
     let number = match zone {
         "bne-a" => 0,
         "bne-b" => 1,
         _ => 2,
     };
     let name: Arc<str> = format!("engine-{}", number + 1).into();
-    Policy {
+    Spec {
         key: ServerKey(number),
         name,
         zone: zone.into(),
