--- a/crates/fescuewell_routing/examples/engines/cost.rs
+++ b/crates/fescuewell_routing/examples/engines/cost.rs
@@ -1,4 +1,4 @@
-//! Time and memory of decisions at the largest size that the design is for.
+//! Time and memory per decision at the largest fleet size that the design supports.
 
 use std::time::Instant as Stopwatch;
 
@@ -10,17 +10,17 @@
 const CHOICES: u64 = 50_000;
 
 /// Resident memory of this process in kilobytes.
-fn resident() -> u64 {
+fn resident_kb() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
     let number = line.and_then(|line| line.split_whitespace().nth(1));
     number.and_then(|text| text.parse().ok()).unwrap_or(0)
 }
 
-fn policies() -> Vec<Spec> {
-    let mut policies = Vec::new();
+fn specs() -> Vec<Spec> {
+    let mut specs = Vec::new();
     for index in 0..SERVERS {
-        policies.push(Spec {
+        specs.push(Spec {
             key: ServerKey(index),
             name: format!("engine-{index}").into(),
             zone: format!("zone-{}", index % 3).into(),
@@ -28,7 +28,7 @@
             concurrency: 32,
         });
     }
-    policies
+    specs
 }
 
 fn prompt(family: u64) -> Vec<Digest> {
@@ -36,15 +36,15 @@
     (0..32).map(digest).collect()
 }
 
-/// Prints what choices cost with 12,000 servers in reach.
+/// Prints the cost of choices among 12,000 reachable servers.
 pub fn measure() {
     println!("\n{SERVERS} servers, {MODELS} models, all in reach, prompts of 32 blocks");
-    let before = resident();
-    let policies = policies();
+    let before = resident_kb();
+    let specs = specs();
     let prompts: Vec<Vec<Digest>> = (0..4_000).map(prompt).collect();
-    let own = resident();
+    let own = resident_kb();
     let mut router = Router::new(crate::settings(), "zone-0".into(), 1);
-    router.set_servers(Instant(0), &policies);
+    router.set_servers(Instant(0), &specs);
     router.set_instances(850);
     let reach: Vec<ServerKey> = (0..SERVERS).map(ServerKey).collect();
     report_all(&mut router, 4);
@@ -71,7 +71,7 @@
     );
     println!(
         "memory: {} KB for {} blocks and {SERVERS} servers (test data {} KB)",
-        resident() - own,
+        resident_kb() - own,
         router.block_count(),
         own - before
     );
--- a/crates/fescuewell_routing/examples/engines/engine.rs
+++ b/crates/fescuewell_routing/examples/engines/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine in virtual time: continuous batching, chunked prefill, a prefix cache of limited memory.
+//! Simulated model engine: continuous batching, chunked prefill, and a bounded prefix cache.
 
 use std::collections::VecDeque;
 
@@ -6,13 +6,13 @@
 use fescuewell_routing::prelude::*;
 use lru::LruCache;
 
-/// Tokens of one cache block.
+/// Tokens per cache block.
 pub const BLOCK: u32 = 64;
-/// Requests in one batch.
+/// Maximum number of requests in a batch.
 pub const BATCH: usize = 32;
-/// Blocks of cache memory, shared by running requests and cached prefixes.
+/// Cache memory in blocks, shared by running requests and cached prefixes.
 pub const MEMORY: usize = 3_000;
-/// Prompt tokens computed in one step at most.
+/// Maximum number of prompt tokens computed in one step.
 const CHUNK: u32 = 1_024;
 /// Fixed time of a step, in microseconds.
 const STEP_US: f64 = 8_000.0;
@@ -27,11 +27,11 @@
     pub prefix: Vec<Digest>,
     pub prompt: u32,
     pub output: u32,
-    pub to_compute: u32,
+    pub remaining_prompt: u32,
     pub produced: u32,
 }
 
-/// What happened in a step.
+/// Event during a step.
 pub enum Effect {
     Token(usize),
     Done(usize),
@@ -45,7 +45,7 @@
     pub slowdown: f64,
     pub events: Vec<CacheEvent>,
     cache: LruCache<Digest, u32>,
-    private: usize,
+    output_blocks: usize,
 }
 
 impl Engine {
@@ -57,15 +57,16 @@
             slowdown: 1.0,
             events: Vec::new(),
             cache: LruCache::unbounded(),
-            private: 0,
+            output_blocks: 0,
         }
     }
 
     pub fn cache_used(&self) -> f32 {
-        (self.cache.len() + self.private) as f32 / MEMORY as f32
+        (self.cache.len() + self.output_blocks) as f32 / MEMORY as f32
     }
 
-    /// Admits what fits and returns the length of the step that begins, or `None` when idle.
+    /// Admits waiting requests that fit and begins a step. Returns its duration in microseconds, or
+    /// `None` when idle.
     pub fn begin(&mut self, effects: &mut Vec<Effect>) -> Option<u64> {
         while self.running.len() < BATCH {
             let Some(job) = self.waiting.pop_front() else {
@@ -81,9 +82,9 @@
         let decoding = self
             .running
             .iter()
-            .filter(|job| job.to_compute == 0)
+            .filter(|job| job.remaining_prompt == 0)
             .count();
-        let wanted: u32 = self.running.iter().map(|job| job.to_compute).sum();
+        let wanted: u32 = self.running.iter().map(|job| job.remaining_prompt).sum();
         let time =
             STEP_US + DECODE_US * decoding as f64 + PREFILL_US * f64::from(wanted.min(CHUNK));
         Some((time * self.slowdown) as u64)
@@ -99,27 +100,27 @@
                 .get_mut(&block)
                 .expect("the block was found above") += 1;
         }
-        if !self.make_room(needed) {
+        if !self.evict(needed) {
             self.unpin(&job.prefix[..hit]);
             self.waiting.push_front(job);
             return false;
         }
         for &block in &job.prefix[hit..] {
-            // Reserved now, published when the prompt is computed.
+            // The block is reserved now and published once the prompt is computed.
             let pins = self.cache.get_or_insert_mut(block, || 0);
             *pins += 1;
         }
-        self.private += job.output.div_ceil(BLOCK) as usize;
+        self.output_blocks += job.output.div_ceil(BLOCK) as usize;
         let hit_tokens = (hit as u32 * BLOCK).min(job.prompt - 1);
         effects.push(Effect::Hit(hit_tokens));
-        job.to_compute = job.prompt - hit_tokens;
+        job.remaining_prompt = job.prompt - hit_tokens;
         self.running.push(job);
         true
     }
 
-    fn make_room(&mut self, needed: usize) -> bool {
+    fn evict(&mut self, needed: usize) -> bool {
         let mut pinned = 0;
-        while self.cache.len() + self.private + needed > MEMORY {
+        while self.cache.len() + self.output_blocks + needed > MEMORY {
             let Some((block, pins)) = self.cache.pop_lru() else {
                 return false;
             };
@@ -144,16 +145,16 @@
         }
     }
 
-    /// Ends a step: prompts advance by a chunk, decoding streams by a token.
+    /// Ends a step, which advances prompts by a chunk and decoding streams by a token.
     pub fn end(&mut self, effects: &mut Vec<Effect>) {
         let mut budget = CHUNK;
         let mut ended = Vec::new();
         for (index, job) in self.running.iter_mut().enumerate() {
-            if job.to_compute > 0 {
-                let part = job.to_compute.min(budget);
+            if job.remaining_prompt > 0 {
+                let part = job.remaining_prompt.min(budget);
                 budget -= part;
-                job.to_compute -= part;
-                if job.to_compute > 0 {
+                job.remaining_prompt -= part;
+                if job.remaining_prompt > 0 {
                     continue;
                 }
                 for &block in &job.prefix {
@@ -168,9 +169,9 @@
         }
         for index in ended.into_iter().rev() {
             let job = self.running.remove(index);
-            self.private -= job.output.div_ceil(BLOCK) as usize;
+            self.output_blocks -= job.output.div_ceil(BLOCK) as usize;
             self.unpin(&job.prefix);
-            // Deepest first: the shared start of the prompt stays longest.
+            // From the deepest block up, so that the shared start of the prompt is evicted last.
             for block in job.prefix.iter().rev() {
                 self.cache.promote(block);
             }
--- a/crates/fescuewell_routing/examples/engines/main.rs
+++ b/crates/fescuewell_routing/examples/engines/main.rs
@@ -1,7 +1,7 @@
-//! Measures the routing decisions against baselines on a small model of engines in virtual time.
+//! Benchmark of the router against baseline policies in a simple simulation in virtual time.
 //!
-//! `cargo run --release -p fescuewell_routing --example engines [-- SEEDS]`. No cluster simulator:
-//! engines are a step-time formula and an LRU cache, instances share them, and that is all.
+//! `cargo run --release -p fescuewell_routing --example engines [-- SEEDS]`. The simulation covers
+//! engines with a formula for the step time and an LRU cache, and the instances that share them.
 
 mod cost;
 mod engine;
@@ -11,23 +11,28 @@
 
 use fescuewell_core::prelude::*;
 use fescuewell_routing::prelude::*;
-use world::{Figures, Plan};
+use world::{Results, Scenario};
 
 const ENGINES: usize = 12;
 const ROUTERS: usize = 9;
 const WARM_US: u64 = 30_000_000;
 const END_US: u64 = 120_000_000;
 
-/// Settings under test; `ROUTING_SETTINGS` may hold other ones as JSON for trials.
+/// Settings under test. `ROUTING_SETTINGS` overrides the defaults with JSON.
 pub fn settings() -> Settings {
     let text = std::env::var("ROUTING_SETTINGS").unwrap_or_else(|_| "{}".into());
     serde_json::from_str(&text).expect("ROUTING_SETTINGS holds settings")
 }
 
-fn plan(policy: &'static str, shape: load::Shape, seed: u64, rate: Option<f64>) -> Plan {
-    Plan {
+fn scenario(
+    policy: &'static str,
+    workload: load::Workload,
+    seed: u64,
+    rate: Option<f64>,
+) -> Scenario {
+    Scenario {
         policy,
-        shape,
+        workload,
         seed,
         engines: ENGINES,
         routers: ROUTERS,
@@ -39,10 +44,10 @@
     }
 }
 
-/// Requests a second that the engines serve when always full, under the least-in-flight baseline.
-fn capacity(shape: load::Shape, seed: u64) -> f64 {
-    let figures = world::run(plan("least in flight", shape, seed, None));
-    figures.done as f64 * 1e6 / (END_US - WARM_US) as f64
+/// Requests per second that full engines serve with the least-in-flight baseline.
+fn capacity(workload: load::Workload, seed: u64) -> f64 {
+    let results = world::run(scenario("least in flight", workload, seed, None));
+    results.done as f64 * 1e6 / (END_US - WARM_US) as f64
 }
 
 fn percentile(sorted: &[u64], share: f64) -> f64 {
@@ -53,19 +58,19 @@
     sorted[index] as f64 / 1e3
 }
 
-/// Mean and 95th percentile of the time to first token in milliseconds, and the cache hit share.
-fn summary(figures: &mut Figures) -> (f64, f64, f64) {
-    figures.waits.sort_unstable();
-    let sum: u64 = figures.waits.iter().sum();
-    let mean = sum as f64 / figures.waits.len().max(1) as f64 / 1e3;
-    let hit = figures.hit as f64 / figures.prompt.max(1) as f64;
-    (mean, percentile(&figures.waits, 0.95), hit)
+/// Mean and 95th percentile of the time to first token in milliseconds, and the cache hit rate.
+fn summary(results: &mut Results) -> (f64, f64, f64) {
+    results.waits.sort_unstable();
+    let sum: u64 = results.waits.iter().sum();
+    let mean = sum as f64 / results.waits.len().max(1) as f64 / 1e3;
+    let hit = results.hit as f64 / results.prompt.max(1) as f64;
+    (mean, percentile(&results.waits, 0.95), hit)
 }
 
-fn compare(shape: load::Shape, seeds: u64, events: bool) {
+fn compare(workload: load::Workload, seeds: u64, events: bool) {
     let share = 0.7;
-    let words = if events { "with" } else { "without" };
-    println!("\n{}, {words} cache events, {seeds} seeds", shape.name);
+    let word = if events { "with" } else { "without" };
+    println!("\n{}, {word} cache events, {seeds} seeds", workload.name);
     println!(
         "{:<16} {:>9} {:>9} {:>7}",
         "policy", "mean ms", "p95 ms", "hit"
@@ -74,10 +79,10 @@
     for name in policy::NAMES {
         let mut total = (0.0, 0.0, 0.0);
         for seed in 1..=seeds {
-            let rate = capacity(shape, seed) * share;
-            let mut plan = plan(name, shape, seed, Some(rate));
-            plan.events = events;
-            let (mean, p95, hit) = summary(&mut world::run(plan));
+            let rate = capacity(workload, seed) * share;
+            let mut scenario = scenario(name, workload, seed, Some(rate));
+            scenario.events = events;
+            let (mean, p95, hit) = summary(&mut world::run(scenario));
             total = (total.0 + mean, total.1 + p95, total.2 + hit);
         }
         let n = seeds as f64;
@@ -96,23 +101,23 @@
     }
 }
 
-fn slow_engine(shape: load::Shape, seed: u64) {
+fn slow_engine(workload: load::Workload, seed: u64) {
     let from = 60_000_000;
     println!(
         "\none of {ENGINES} engines five times slower from 60 s on, {}, seed {seed}",
-        shape.name
+        workload.name
     );
-    let rate = capacity(shape, seed) * 0.7;
+    let rate = capacity(workload, seed) * 0.7;
     for name in policy::NAMES {
-        let mut plan = plan(name, shape, seed, Some(rate));
-        plan.warm_us = from;
-        plan.slow = Some((3, from));
-        let mut figures = world::run(plan);
-        let (mean, p95, _) = summary(&mut figures);
-        let sent = figures.to_slow;
+        let mut scenario = scenario(name, workload, seed, Some(rate));
+        scenario.warm_us = from;
+        scenario.slow = Some((3, from));
+        let mut results = world::run(scenario);
+        let (mean, p95, _) = summary(&mut results);
+        let sent = results.to_slow;
         println!("{name:<16} mean {mean:.1} ms, p95 {p95:.1} ms, sent to it {sent}");
         let mut first = [None; ROUTERS];
-        for (at, router, change) in &figures.changes {
+        for (at, router, change) in &results.changes {
             let Change::Ejected { server, cause } = change else {
                 continue;
             };
@@ -132,11 +137,11 @@
     cost::measure();
     let seeds = std::env::args().nth(1).and_then(|text| text.parse().ok());
     let seeds = seeds.unwrap_or(3);
-    for shape in load::SHAPES {
-        compare(shape, seeds, true);
+    for workload in load::WORKLOADS {
+        compare(workload, seeds, true);
     }
-    compare(load::SHAPES[0], seeds, false);
+    compare(load::WORKLOADS[0], seeds, false);
     for seed in 1..=seeds {
-        slow_engine(load::SHAPES[0], seed);
+        slow_engine(load::WORKLOADS[0], seed);
     }
 }
--- a/crates/fescuewell_routing/examples/engines/policy.rs
+++ b/crates/fescuewell_routing/examples/engines/policy.rs
@@ -1,4 +1,4 @@
-//! What is compared: the router under test and the baselines, behind one border.
+//! The router under test and the baseline policies, behind one trait.
 
 use fescuewell_core::prelude::*;
 use fescuewell_routing::prelude::*;
@@ -7,7 +7,7 @@
 
 use crate::load::Request;
 
-/// One instance's way to choose an engine.
+/// Load balancing policy of one instance.
 pub trait Policy {
     fn choose(&mut self, now: Instant, id: usize, request: &Request) -> Option<usize>;
     fn token(&mut self, _now: Instant, _engine: usize, _id: usize) {}
@@ -20,13 +20,13 @@
 }
 
 pub struct Random {
-    pub random: SmallRng,
+    pub rng: SmallRng,
     pub engines: usize,
 }
 
 impl Policy for Random {
     fn choose(&mut self, _: Instant, _: usize, _: &Request) -> Option<usize> {
-        Some(self.random.random_range(0..self.engines))
+        Some(self.rng.random_range(0..self.engines))
     }
 }
 
@@ -42,9 +42,9 @@
     }
 }
 
-/// Least in flight by this instance's own count, ties at random.
+/// Fewest requests in flight from this instance; ties are broken at random.
 pub struct LeastInFlight {
-    pub random: SmallRng,
+    pub rng: SmallRng,
     pub counts: Vec<u32>,
 }
 
@@ -54,7 +54,7 @@
         let ties: Vec<usize> = (0..self.counts.len())
             .filter(|&engine| self.counts[engine] == least)
             .collect();
-        let engine = ties[self.random.random_range(0..ties.len())];
+        let engine = ties[self.rng.random_range(0..ties.len())];
         self.counts[engine] += 1;
         Some(engine)
     }
@@ -72,9 +72,9 @@
     pub fn new(seed: u64, engines: usize, routers: usize, settings: Settings) -> Self {
         let mut router = Router::new(settings, "zone-a".into(), seed);
         let reach: Vec<ServerKey> = (0..engines as u32).map(ServerKey).collect();
-        let mut policies = Vec::new();
+        let mut specs = Vec::new();
         for &key in &reach {
-            policies.push(Spec {
+            specs.push(Spec {
                 key,
                 name: format!("engine-{}", key.0).into(),
                 zone: "zone-a".into(),
@@ -82,7 +82,7 @@
                 concurrency: 64,
             });
         }
-        router.set_servers(Instant(0), &policies);
+        router.set_servers(Instant(0), &specs);
         router.set_instances(routers as u32);
         Self { router, reach }
     }
@@ -127,11 +127,11 @@
     }
 }
 
-/// The policies by name, in the order of the report.
+/// Names of the policies, in the order of the output.
 pub const NAMES: [&str; 4] = ["random", "round robin", "least in flight", "fescuewell"];
 
-/// One instance's policy of that name.
-pub fn make(
+/// Creates the policy `name` for one instance.
+pub fn create(
     name: &str,
     index: usize,
     seed: u64,
@@ -139,15 +139,15 @@
     routers: usize,
 ) -> Box<dyn Policy> {
     let seed = seed * 1_000 + index as u64;
-    let random = SmallRng::seed_from_u64(seed);
+    let rng = SmallRng::seed_from_u64(seed);
     match name {
-        "random" => Box::new(Random { random, engines }),
+        "random" => Box::new(Random { rng, engines }),
         "round robin" => Box::new(RoundRobin {
             next: index * 5 % engines,
             engines,
         }),
         "least in flight" => Box::new(LeastInFlight {
-            random,
+            rng,
             counts: vec![0; engines],
         }),
         _ => Box::new(Fescuewell::new(seed, engines, routers, crate::settings())),
--- a/crates/fescuewell_routing/examples/engines/world.rs
+++ b/crates/fescuewell_routing/examples/engines/world.rs
@@ -1,4 +1,4 @@
-//! Virtual time: engines, instances, lagging reports, late cache events with gaps.
+//! Simulation in virtual time: engines, instances, delayed load reports, late and lost cache events.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -10,39 +10,39 @@
 use rand::{Rng, SeedableRng};
 
 use crate::engine::{Effect, Engine, Job};
-use crate::load::{Load, Request, Shape};
+use crate::load::{Generator, Request, Workload};
 use crate::policy::{self, Policy};
 
 /// Time between two load reports of an engine, in microseconds.
 const REPORT_US: u64 = 500_000;
-/// Time that a report or a cache event is under way, in microseconds.
+/// Delivery delay of a report or a cache event, in microseconds.
 const LAG_US: u64 = 250_000;
 /// Share of cache events that are lost.
 const LOST: f64 = 0.001;
 /// Time between two ticks of an instance, in microseconds.
 const TICK_US: u64 = 250_000;
-/// Time after which an instance asks again when it found every engine busy, in microseconds.
-const AGAIN_US: u64 = 20_000;
+/// Time after which an instance retries when every engine is busy, in microseconds.
+const RETRY_US: u64 = 20_000;
 
-/// One run.
-pub struct Plan {
+/// Parameters of one run.
+pub struct Scenario {
     pub policy: &'static str,
-    pub shape: Shape,
+    pub workload: Workload,
     pub seed: u64,
     pub engines: usize,
     pub routers: usize,
-    /// Requests a second, or `None` to keep all engines full.
+    /// Requests per second, or `None` to keep all engines full.
     pub rate: Option<f64>,
     pub warm_us: u64,
     pub end_us: u64,
-    /// Engine that becomes five times slower, and when.
+    /// Engine that becomes five times slower, and the time at which it does.
     pub slow: Option<(usize, u64)>,
     pub events: bool,
 }
 
-/// What a run showed.
+/// Measurements of a run.
 #[derive(Default)]
-pub struct Figures {
+pub struct Results {
     pub waits: Vec<u64>,
     pub hit: u64,
     pub prompt: u64,
@@ -52,105 +52,113 @@
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum What {
+enum Event {
     Arrive,
-    Again(usize),
+    Retry(usize),
     Step(usize),
     Report(usize),
-    Heard(usize),
+    Deliver(usize),
     Tick(usize),
 }
 
-enum Note {
+enum Message {
     Load(Report),
     Cache(u64, CacheEvent),
 }
 
 struct World {
-    plan: Plan,
-    load: Load,
-    random: SmallRng,
-    queue: BinaryHeap<Reverse<(u64, u64, What)>>,
+    scenario: Scenario,
+    generator: Generator,
+    rng: SmallRng,
+    queue: BinaryHeap<Reverse<(u64, u64, Event)>>,
     order: u64,
     engines: Vec<Engine>,
     sequences: Vec<u64>,
-    notes: Vec<VecDeque<Note>>,
+    messages: Vec<VecDeque<Message>>,
     routers: Vec<Box<dyn Policy>>,
     requests: Vec<(Request, usize)>,
     effects: Vec<Effect>,
-    figures: Figures,
+    results: Results,
 }
 
-pub fn run(plan: Plan) -> Figures {
-    let routers = (0..plan.routers)
-        .map(|index| policy::make(plan.policy, index, plan.seed, plan.engines, plan.routers))
+pub fn run(scenario: Scenario) -> Results {
+    let routers = (0..scenario.routers)
+        .map(|index| {
+            policy::create(
+                scenario.policy,
+                index,
+                scenario.seed,
+                scenario.engines,
+                scenario.routers,
+            )
+        })
         .collect();
     let mut world = World {
-        load: Load::new(plan.seed, plan.shape, plan.routers),
-        random: SmallRng::seed_from_u64(plan.seed ^ 0xC0FFEE),
+        generator: Generator::new(scenario.seed, scenario.workload, scenario.routers),
+        rng: SmallRng::seed_from_u64(scenario.seed ^ 0xC0FFEE),
         queue: BinaryHeap::new(),
         order: 0,
-        engines: (0..plan.engines).map(|_| Engine::new()).collect(),
-        sequences: vec![0; plan.engines],
-        notes: (0..plan.engines).map(|_| VecDeque::new()).collect(),
+        engines: (0..scenario.engines).map(|_| Engine::new()).collect(),
+        sequences: vec![0; scenario.engines],
+        messages: (0..scenario.engines).map(|_| VecDeque::new()).collect(),
         routers,
         requests: Vec::new(),
         effects: Vec::new(),
-        figures: Figures::default(),
-        plan,
+        results: Results::default(),
+        scenario,
     };
     world.start();
-    while let Some(Reverse((at, _, what))) = world.queue.pop() {
-        if at > world.plan.end_us {
+    while let Some(Reverse((at, _, event))) = world.queue.pop() {
+        if at > world.scenario.end_us {
             break;
         }
-        world.handle(at, what);
+        world.handle(at, event);
     }
-    world.figures
+    world.results
 }
 
 impl World {
     fn start(&mut self) {
         for engine in 0..self.engines.len() {
-            self.at(engine as u64 * 37_000, What::Report(engine));
+            self.at(engine as u64 * 37_000, Event::Report(engine));
         }
         for router in 0..self.routers.len() {
-            self.at(router as u64 * 11_000, What::Tick(router));
+            self.at(router as u64 * 11_000, Event::Tick(router));
         }
-        let first = match self.plan.rate {
+        let first = match self.scenario.rate {
             Some(_) => 1,
             None => self.engines.len() * 48,
         };
         for _ in 0..first {
-            self.at(0, What::Arrive);
+            self.at(0, Event::Arrive);
         }
     }
 
-    fn at(&mut self, at: u64, what: What) {
+    fn at(&mut self, at: u64, event: Event) {
         self.order += 1;
-        self.queue.push(Reverse((at, self.order, what)));
+        self.queue.push(Reverse((at, self.order, event)));
     }
 
-    fn handle(&mut self, at: u64, what: What) {
-        match what {
-            What::Arrive => {
-                let request = self.load.request(at);
+    fn handle(&mut self, at: u64, event: Event) {
+        match event {
+            Event::Arrive => {
+                let request = self.generator.request(at);
                 self.requests.push((request, usize::MAX));
-                if let Some(rate) = self.plan.rate {
-                    let gap = self.load.gap(rate);
-                    self.at(at + gap, What::Arrive);
+                if let Some(rate) = self.scenario.rate {
+                    let gap = self.generator.gap(rate);
+                    self.at(at + gap, Event::Arrive);
                 }
                 self.dispatch(at, self.requests.len() - 1);
             }
-            What::Again(id) => self.dispatch(at, id),
-            What::Step(engine) => self.step(at, engine),
-            What::Report(engine) => self.report(at, engine),
-            What::Heard(engine) => self.heard(at, engine),
-            What::Tick(router) => {
+            Event::Retry(id) => self.dispatch(at, id),
+            Event::Step(engine) => self.step(at, engine),
+            Event::Report(engine) => self.report(at, engine),
+            Event::Deliver(engine) => self.deliver(at, engine),
+            Event::Tick(router) => {
                 for change in self.routers[router].tick(Instant(at)) {
-                    self.figures.changes.push((at, router, change));
+                    self.results.changes.push((at, router, change));
                 }
-                self.at(at + TICK_US, What::Tick(router));
+                self.at(at + TICK_US, Event::Tick(router));
             }
         }
     }
@@ -158,19 +166,19 @@
     fn dispatch(&mut self, at: u64, id: usize) {
         let (request, chosen) = &mut self.requests[id];
         let Some(engine) = self.routers[request.router].choose(Instant(at), id, request) else {
-            self.at(at + AGAIN_US, What::Again(id));
+            self.at(at + RETRY_US, Event::Retry(id));
             return;
         };
         *chosen = engine;
-        if let Some((slow, from)) = self.plan.slow {
-            self.figures.to_slow += u64::from(slow == engine && at >= from);
+        if let Some((slow, from)) = self.scenario.slow {
+            self.results.to_slow += u64::from(slow == engine && at >= from);
         }
         self.engines[engine].waiting.push_back(Job {
             id,
             prefix: request.prefix.clone(),
             prompt: request.prompt,
             output: request.output,
-            to_compute: 0,
+            remaining_prompt: 0,
             produced: 0,
         });
         if !self.engines[engine].stepping {
@@ -179,7 +187,7 @@
     }
 
     fn begin(&mut self, at: u64, engine: usize) {
-        if let Some((slow, from)) = self.plan.slow
+        if let Some((slow, from)) = self.scenario.slow
             && slow == engine
             && at >= from
         {
@@ -189,15 +197,15 @@
         let step = self.engines[engine].begin(&mut effects);
         for effect in effects.drain(..) {
             if let Effect::Hit(tokens) = effect
-                && at >= self.plan.warm_us
+                && at >= self.scenario.warm_us
             {
-                self.figures.hit += u64::from(tokens);
+                self.results.hit += u64::from(tokens);
             }
         }
         self.effects = effects;
         self.engines[engine].stepping = step.is_some();
         if let Some(step) = step {
-            self.at(at + step, What::Step(engine));
+            self.at(at + step, Event::Step(engine));
         }
     }
 
@@ -211,9 +219,9 @@
                 Effect::Done(id) => {
                     let router = self.requests[id].0.router;
                     self.routers[router].done(now, engine, id);
-                    self.figures.done += u64::from(at >= self.plan.warm_us);
-                    if self.plan.rate.is_none() {
-                        self.at(at, What::Arrive);
+                    self.results.done += u64::from(at >= self.scenario.warm_us);
+                    if self.scenario.rate.is_none() {
+                        self.at(at, Event::Arrive);
                     }
                 }
                 Effect::Hit(_) => {}
@@ -226,11 +234,11 @@
     fn token(&mut self, now: Instant, engine: usize, id: usize) {
         let request = &mut self.requests[id].0;
         self.routers[request.router].token(now, engine, id);
-        // The arrival time is taken away with the first token.
+        // The first token clears the arrival time.
         if request.at != u64::MAX {
-            if request.at >= self.plan.warm_us {
-                self.figures.waits.push(now.0 - request.at);
-                self.figures.prompt += u64::from(request.prompt);
+            if request.at >= self.scenario.warm_us {
+                self.results.waits.push(now.0 - request.at);
+                self.results.prompt += u64::from(request.prompt);
             }
             request.at = u64::MAX;
         }
@@ -246,22 +254,22 @@
         };
         for event in state.events.drain(..) {
             self.sequences[engine] += 1;
-            if self.plan.events && !self.random.random_bool(LOST) {
+            if self.scenario.events && !self.rng.random_bool(LOST) {
                 let sequence = self.sequences[engine];
-                self.notes[engine].push_back(Note::Cache(sequence, event));
+                self.messages[engine].push_back(Message::Cache(sequence, event));
             }
         }
-        self.notes[engine].push_back(Note::Load(report));
-        self.at(at + LAG_US, What::Heard(engine));
-        self.at(at + REPORT_US, What::Report(engine));
+        self.messages[engine].push_back(Message::Load(report));
+        self.at(at + LAG_US, Event::Deliver(engine));
+        self.at(at + REPORT_US, Event::Report(engine));
     }
 
-    fn heard(&mut self, at: u64, engine: usize) {
-        while let Some(note) = self.notes[engine].pop_front() {
+    fn deliver(&mut self, at: u64, engine: usize) {
+        while let Some(message) = self.messages[engine].pop_front() {
             for router in &mut self.routers {
-                match &note {
-                    Note::Load(report) => router.report(Instant(at), engine, *report),
-                    Note::Cache(sequence, event) => {
+                match &message {
+                    Message::Load(report) => router.report(Instant(at), engine, *report),
+                    Message::Cache(sequence, event) => {
                         router.cached(Instant(at), engine, *sequence, *event);
                     }
                 }
--- a/crates/fescuewell_routing/src/choice.rs
+++ b/crates/fescuewell_routing/src/choice.rs
@@ -1,4 +1,4 @@
-//! Questions to the router and its answers.
+//! Queries to the router and the choices that it returns.
 
 use std::fmt;
 use std::sync::Arc;
@@ -10,62 +10,63 @@
 /// A request that needs a backend server.
 #[derive(Debug, Clone)]
 pub struct Query<'a> {
-    /// Model wanted; `None` for a call of a plain service.
+    /// Requested model; `None` for a call to a plain service.
     pub model: Option<Arc<str>>,
-    /// Backend servers that the group may reach (for a service: those that run it).
+    /// Backend servers that the request's group may use; for a service, those that run it.
     pub reach: &'a [ServerKey],
-    /// Digests of the prompt's successive blocks, each covering the prompt from its start to the
-    /// end of the block. They must be salted per group: two groups with the same prompt must not
-    /// have the same digests, or timing through a shared cache tells one about the other.
+    /// Digests of the prompt's consecutive blocks, each over the prompt from its start to the end of
+    /// the block. They must be salted per group: with equal digests, response times through a shared
+    /// cache would reveal to one group that another one sent the same prompt.
     pub prefix: &'a [Digest],
-    /// Tokens of the whole prompt.
+    /// Length of the whole prompt in tokens.
     pub prompt_tokens: u32,
-    /// Whether the request may use the part of the concurrency kept for urgent work.
+    /// Whether the request may use the concurrency reserved for urgent requests.
     pub urgent: bool,
-    /// Backend servers that must not be chosen, such as those that failed an earlier attempt.
+    /// Backend servers that must not be chosen, such as those where an earlier attempt failed.
     pub exclude: &'a [ServerKey],
 }
 
 fescuewell_core::message! {
     /// A chosen backend server.
     pub struct Choice {
-        /// Where to send the request.
+        /// Backend server to send the request to.
         pub server: ServerKey,
-        /// Why, for the log line.
+        /// Reason for the choice, for the log line.
         pub reason: Reason,
-        /// Prompt blocks that the server's cache probably holds.
+        /// Prompt blocks expected in the server's cache.
         pub expected_hit_blocks: u32,
-        /// Prompt tokens that the server probably has to compute; to be passed to `started`.
+        /// Prompt tokens that the server is expected to compute; to be passed to `Router::started`.
         pub expected_tokens: u32,
     }
 
-    /// What decided a choice.
+    /// Rule that decided a choice.
     #[derive(Copy, Eq)]
     pub enum Basis {
-        /// The server holds a part of the prompt and waiting for it costs less than that saves.
+        /// The server caches a part of the prompt, which saves more time than its queue costs.
         PrefixHit,
-        /// The server is one that all instances agree on for this prompt's first block.
+        /// The server is a home of the prompt's first block on the hash ring, which all instances
+        /// compute alike.
         PrefixHome,
-        /// The server has the least predicted wait among the candidates.
+        /// The server has the lowest predicted time to first token of the candidates.
         LeastLoad,
-        /// No other server could take the request.
+        /// There was no other candidate.
         OnlyOne,
     }
 
-    /// Why a backend server was chosen; its `Display` goes into the log line.
+    /// Reason for the choice of a backend server. Its `Display` output is part of the log line.
     #[derive(Copy)]
     pub struct Reason {
-        /// What decided.
+        /// Rule that decided.
         pub basis: Basis,
-        /// How many candidates were compared.
+        /// Number of candidates compared.
         pub compared: u16,
         /// Prompt blocks expected in the cache, out of [`Reason::blocks`].
         pub hit_blocks: u32,
         /// Prompt blocks of the request.
         pub blocks: u32,
-        /// Requests expected to be on the server already, from all instances.
+        /// Estimated requests in flight on the server, from all instances.
         pub outstanding: f32,
-        /// Predicted time to the first token.
+        /// Predicted time to first token.
         pub predicted: Duration,
     }
 }
@@ -96,22 +97,22 @@
     }
 }
 
-/// Why no backend server was chosen.
+/// Reason why no backend server was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum NoChoice {
-    /// No backend server in reach has the model, nor may be ordered to load it.
+    /// No reachable backend server has the model or may load it.
     #[snafu(display("no backend server in reach serves the model"))]
     UnknownModel,
-    /// Backend servers in reach may load the model, but none has it now.
+    /// Some reachable backend servers may load the model, but none has it loaded.
     #[snafu(display("no backend server in reach has the model loaded"))]
     NotLoaded,
-    /// Every backend server that could take it runs as much as it may.
+    /// Every eligible backend server is at its concurrency limit.
     #[snafu(display("every backend server in reach is busy"))]
     AllBusy,
-    /// Every backend server that could take it is ejected.
+    /// Every eligible backend server is ejected.
     #[snafu(display("every backend server in reach is ejected"))]
     AllEjected,
-    /// Every backend server that could take it is leaving or excluded.
+    /// Every eligible backend server is draining or excluded.
     #[snafu(display("every backend server in reach is leaving or excluded"))]
     NoneLeft,
 }
--- a/crates/fescuewell_routing/src/gather.rs
+++ b/crates/fescuewell_routing/src/gather.rs
@@ -1,4 +1,4 @@
-//! Collection of the candidates for one choice, and who may be one.
+//! Collection and admission of the candidates for one choice.
 
 use fescuewell_core::prelude::*;
 use rand::Rng;
@@ -10,15 +10,15 @@
 use crate::server::{Entry, Headroom};
 use crate::settings::{Settings, millis};
 
-/// Random draws per wanted sample, before the draw is given up.
+/// Random draws per requested sample before sampling stops.
 const DRAWS_PER_SAMPLE: usize = 3;
-/// Fewest own streams that a returning server may have.
-const SHARE_LEAST: f32 = 1.0;
+/// Lowest limit on this instance's streams to a returning server.
+const MIN_STREAM_LIMIT: f32 = 1.0;
 
-/// Why a server cannot take a request.
+/// Reason why a server cannot take a request, from the least to the most temporary.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Closed {
-    Gone,
+enum Unavailable {
+    Excluded,
     Ejected,
     Busy,
 }
@@ -30,7 +30,7 @@
     pub(crate) hit: Option<Hit>,
 }
 
-/// Decides whether a server can take the request.
+/// Check whether a server can take the request.
 pub(crate) struct Admission<'a> {
     pub(crate) now: Instant,
     pub(crate) query: &'a Query<'a>,
@@ -40,38 +40,38 @@
 }
 
 impl Admission<'_> {
-    fn closed(&self, server: ServerKey) -> Option<Closed> {
+    fn unavailable(&self, server: ServerKey) -> Option<Unavailable> {
         let Some(Some(entry)) = self.entries.get(server.0 as usize) else {
-            return Some(Closed::Gone);
+            return Some(Unavailable::Excluded);
         };
         if entry.leaving || self.query.exclude.contains(&server) {
-            return Some(Closed::Gone);
+            return Some(Unavailable::Excluded);
         }
         let share = entry.health.share(self.now, &self.settings.health);
         if share <= 0.0 {
-            return Some(Closed::Ejected);
+            return Some(Unavailable::Ejected);
         }
-        self.busy(entry, share).then_some(Closed::Busy)
+        self.is_busy(entry, share).then_some(Unavailable::Busy)
     }
 
-    fn has_room(&self, room: Headroom) -> bool {
+    fn admits(&self, headroom: Headroom) -> bool {
         match self.query.urgent {
-            true => room.urgent,
-            false => room.bulk,
+            true => headroom.urgent,
+            false => headroom.bulk,
         }
     }
 
-    fn busy(&self, entry: &Entry, share: f32) -> bool {
+    fn is_busy(&self, entry: &Entry, share: f32) -> bool {
         if self.now < entry.busy_until {
             return true;
         }
         let own = entry.streams.len() as f32;
         let mut limit = entry.concurrency as f32;
-        let keeps_reserve = match entry.room {
-            Some(room) if !self.has_room(room) => return true,
-            // The caller's limit keeps a reserve, and counts bulk work alone against it. A reserve taken from
-            // all streams here would leave bulk work that is owed its floor no place on a server
-            // that urgent work fills.
+        let keeps_reserve = match entry.headroom {
+            Some(headroom) if !self.admits(headroom) => return true,
+            // The caller's limit keeps a reserve and counts only bulk requests against it. A reserve
+            // computed from all streams here would deny bulk requests their guaranteed minimum on a
+            // server that is full of urgent requests.
             Some(_) => false,
             None => true,
         };
@@ -79,95 +79,97 @@
             limit -= limit * f32::from(self.settings.urgent_reserve_percent) / 100.0;
         }
         if share < 1.0 {
-            // Each instance lets the server back in by itself, so each takes its own part only.
+            // Every instance ramps the server up independently, so each uses only its part.
             limit = (limit * share / self.instances as f32)
                 .floor()
-                .max(SHARE_LEAST);
+                .max(MIN_STREAM_LIMIT);
             return own >= limit;
         }
-        // What others are expected to send counts in the comparison, not in a refusal: a guess
-        // must not turn a request away.
+        // Reported load of other instances counts here, estimated load only in the comparison: an
+        // estimate must not reject a request.
         let others = entry
-            .others
+            .peer_load
             .reported(self.now, millis(self.settings.report_life_ms));
         own + others + 1.0 > limit.max(1.0)
     }
 }
 
-/// Collects candidates from one pool.
-pub(crate) struct Gathering<'a> {
+/// Collector of candidates from one pool.
+pub(crate) struct Collector<'a> {
     pub(crate) admission: Admission<'a>,
     pub(crate) pool: &'a Pool,
     pub(crate) hits: &'a [Hit],
     pub(crate) candidates: &'a mut Vec<Candidate>,
 }
 
-impl Gathering<'_> {
-    /// Servers that probably hold a part of the prompt.
-    pub(crate) fn holders(&mut self, most: usize) {
+impl Collector<'_> {
+    /// Adds servers that probably cache a part of the prompt, until there are `max` candidates.
+    pub(crate) fn holders(&mut self, max: usize) {
         for index in 0..self.hits.len() {
-            if self.candidates.len() >= most {
+            if self.candidates.len() >= max {
                 return;
             }
             let server = self.hits[index].server;
             let Some(Some(entry)) = self.admission.entries.get(server.0 as usize) else {
                 continue;
             };
-            if !self.pool.holds(server, entry.ring) {
+            if !self.pool.contains(server, entry.ring_position) {
                 continue;
             }
             self.add(server, Basis::PrefixHit);
         }
     }
 
-    /// The first servers after the prompt's first block on the ring of names. All instances see
-    /// the same ones without talking to each other, so a prefix gathers there. When the first home
-    /// is loaded, the next one costs less and a large account spreads to it.
-    pub(crate) fn homes(&mut self, most: usize) {
+    /// Adds the first servers after the prompt's first block on the consistent hash ring. All
+    /// instances compute the same servers without communication, so a prefix is cached there. When
+    /// the first home is loaded, the next one costs less, so a large account spreads to it.
+    pub(crate) fn homes(&mut self, max: usize) {
         let Some(first) = self.admission.query.prefix.first() else {
             return;
         };
         let pool = self.pool;
-        for server in pool.after(first.0 as u64).take(most) {
+        for server in pool.clockwise_from(first.0 as u64).take(max) {
             self.add(server, Basis::PrefixHome);
         }
     }
 
-    /// A random few. More would not help: all instances would agree on the seemingly best one.
-    pub(crate) fn samples(&mut self, most: usize, random: &mut SmallRng) {
+    /// Adds a random sample. A larger sample would not help: all instances would choose the same
+    /// apparently best server.
+    pub(crate) fn samples(&mut self, max: usize, rng: &mut SmallRng) {
         let mut found = 0;
-        for _ in 0..most * DRAWS_PER_SAMPLE {
-            if found == most {
+        for _ in 0..max * DRAWS_PER_SAMPLE {
+            if found == max {
                 return;
             }
-            let index = random.random_range(0..self.pool.loaded.len());
+            let index = rng.random_range(0..self.pool.loaded.len());
             found += usize::from(self.add(self.pool.loaded[index].server, Basis::LeastLoad));
         }
     }
 
-    /// Looks at the whole pool, from a random place on, after the draws found nobody.
-    pub(crate) fn anyone(&mut self, random: &mut SmallRng) -> Result<(), NoChoice> {
+    /// Adds the first admissible server of the whole pool from a random position on. Used when
+    /// sampling found none.
+    pub(crate) fn scan(&mut self, rng: &mut SmallRng) -> Result<(), NoChoice> {
         let len = self.pool.loaded.len();
-        let start = random.random_range(0..len);
-        let mut worst = Closed::Gone;
+        let start = rng.random_range(0..len);
+        let mut worst = Unavailable::Excluded;
         for step in 0..len {
             let server = self.pool.loaded[(start + step) % len].server;
-            let Some(closed) = self.admission.closed(server) else {
+            let Some(reason) = self.admission.unavailable(server) else {
                 self.add(server, Basis::LeastLoad);
                 return Ok(());
             };
-            worst = worst.max(closed);
+            worst = worst.max(reason);
         }
         Err(match worst {
-            Closed::Gone => NoChoice::NoneLeft,
-            Closed::Ejected => NoChoice::AllEjected,
-            Closed::Busy => NoChoice::AllBusy,
+            Unavailable::Excluded => NoChoice::NoneLeft,
+            Unavailable::Ejected => NoChoice::AllEjected,
+            Unavailable::Busy => NoChoice::AllBusy,
         })
     }
 
     fn add(&mut self, server: ServerKey, source: Basis) -> bool {
         let known = |candidate: &Candidate| candidate.server == server;
-        if self.candidates.iter().any(known) || self.admission.closed(server).is_some() {
+        if self.candidates.iter().any(known) || self.admission.unavailable(server).is_some() {
             return false;
         }
         let hit = self.hits.iter().find(|hit| hit.server == server).copied();
--- a/crates/fescuewell_routing/src/health.rs
+++ b/crates/fescuewell_routing/src/health.rs
@@ -1,8 +1,9 @@
-//! Ejection of servers that make no progress, and their gradual return.
+//! Outlier ejection of servers that make no progress, and their slow start afterwards.
 //!
-//! A slow server answers health checks and stalls streams, so only the progress of own streams is
-//! judged: the time between tokens against the median of the servers of the same models, streams
-//! that went silent, and failures in a row. The steps are in `health.json`.
+//! A slow server passes health checks while its streams stall, so health is derived from the
+//! progress of this instance's streams: the time per token compared with the median of the servers
+//! of the same models, stalled streams, and consecutive failures. The state chart is in
+//! `health.json`.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -17,46 +18,46 @@
 use crate::settings::{Health as Settings, millis};
 
 fescuewell_core::message! {
-    /// What the caller should log or do after a tick.
+    /// A change that the caller has to log or act on after a tick.
     #[derive(Copy)]
     pub enum Change {
-        /// The server gets no more work for a while.
+        /// The server gets no more requests for some time.
         Ejected {
-            /// Which server.
+            /// The server.
             server: ServerKey,
-            /// On what evidence.
+            /// Cause of the ejection.
             cause: Cause,
         },
-        /// The server gets work again, a little at first.
+        /// The server gets requests again and starts to ramp up.
         Returned {
-            /// Which server.
+            /// The server.
             server: ServerKey,
         },
-        /// A small request of our own should be sent to the server and reported like any other.
+        /// The caller should send a small probe request to the server and report it like any other.
         Probe {
-            /// Which server.
+            /// The server.
             server: ServerKey,
         },
     }
 
-    /// The evidence against a server.
+    /// Cause of an ejection.
     #[derive(Copy)]
     pub enum Cause {
-        /// Its tokens take this many times the median of its like.
+        /// Its time per token is a multiple of the median of the servers with the same models.
         Slow {
-            /// Time per token by the median.
+            /// Time per token divided by the median.
             factor: f32,
         },
-        /// Streams that went silent.
+        /// Its streams stalled.
         Stalled {
-            /// Silent own streams.
+            /// Stalled streams of this instance.
             streams: u32,
-            /// All own streams.
+            /// All streams of this instance.
             of: u32,
         },
-        /// Attempts that failed, without a success between.
+        /// Attempts failed without a success in between.
         Failing {
-            /// How many.
+            /// Number of consecutive failures.
             failures: u32,
         },
     }
@@ -72,7 +73,7 @@
     }
 }
 
-/// The states of `health.json`, resolved once.
+/// The chart of `health.json` with its states resolved by name.
 struct States {
     chart: Chart,
     healthy: State,
@@ -93,63 +94,63 @@
     }
 });
 
-/// Step by which the tracked time per token follows a longer one; a shorter one counts three times
-/// as much, so that the tracked time settles at the lower quartile.
-const GAP_STEP: f32 = 0.025;
-/// Servers of one kind that must have been measured before a median means anything.
-const PEERS_LEAST: usize = 3;
-/// Measured speeds older than this say nothing about now.
-const SPEED_LIFE: Duration = Duration::from_secs(10);
-/// Least share of its load that a returning server gets.
-const RAMP_LEAST: f32 = 0.05;
-/// After this many first pauses without a relapse the next pause is short again.
-const FORGIVEN_AFTER: u32 = 10;
-/// Time per token, as a multiple of the median, from which on it raises the predicted cost.
-const SLOWNESS_FROM: f32 = 2.0;
-/// Cost factor of a suspect server.
+/// Relative step by which the tracked time per token rises on a longer sample. It falls by three
+/// times this step on a shorter one, so it converges to the lower quartile.
+const TOKEN_TIME_STEP: f32 = 0.025;
+/// Minimum number of measured servers of the same models for a meaningful median.
+const MIN_PEERS: usize = 3;
+/// Measurements of the time per token are discarded after this time.
+const MEASUREMENT_TTL: Duration = Duration::from_secs(10);
+/// Minimum share of its full load that a returning server gets.
+const MIN_RAMP_SHARE: f32 = 0.05;
+/// The ejection time is reset after this many initial ejection times without an ejection.
+const BACKOFF_RESET_PAUSES: u32 = 10;
+/// Time per token, as a multiple of the median, from which it raises the predicted cost.
+const MIN_SLOWNESS: f32 = 2.0;
+/// Factor on the predicted cost of a suspect server.
 const SUSPECT_COST: f32 = 2.0;
 
-/// The health of one server as this instance sees it.
+/// Health of one server as observed by this instance.
 #[derive(Debug, Clone)]
 pub(crate) struct Health {
     state: State,
     since: Instant,
-    gap: f32,
-    tokens: u32,
-    measured: Instant,
+    token_time: f32,
+    measured_tokens: u32,
+    measured_at: Instant,
     failures: u32,
     ejections: u32,
-    proved: Option<Instant>,
+    probed_at: Option<Instant>,
     slowness: f32,
 }
 
 impl Health {
-    /// The health of a server that is first heard of now.
+    /// Creates the health of a new server.
     pub(crate) fn new(now: Instant) -> Self {
         Self {
             state: STATES.chart.initial(),
             since: now,
-            gap: 0.0,
-            tokens: 0,
-            measured: Instant::default(),
+            token_time: 0.0,
+            measured_tokens: 0,
+            measured_at: Instant::default(),
             failures: 0,
             ejections: 0,
-            proved: None,
+            probed_at: None,
             slowness: 1.0,
         }
     }
 
-    /// The name of its state in `health.json`.
+    /// Returns the name of the state in `health.json`.
     pub(crate) fn state(&self) -> &'static str {
         STATES.chart.name(self.state)
     }
 
-    /// Whether the server gets less than its full share of the work.
-    fn out(&self) -> bool {
+    /// Whether the server gets less than its full load.
+    fn is_reduced(&self) -> bool {
         self.state == STATES.ejected || self.state == STATES.returning
     }
 
-    /// Share of its full load that the server may get now.
+    /// Returns the share of its full load that the server may get now.
     pub(crate) fn share(&self, now: Instant, settings: &Settings) -> f32 {
         if self.state == STATES.ejected {
             return 0.0;
@@ -157,19 +158,19 @@
         if self.state != STATES.returning {
             return 1.0;
         }
-        let Some(proved) = self.proved else {
-            // No probe has come back. Should the caller send none, the server must not stay out
-            // for ever: after a while one ordinary request at a time is let through.
+        let Some(probed_at) = self.probed_at else {
+            // No probe has succeeded. The caller may not send probes at all, so after `probe_ms` one
+            // regular request at a time is let through; the server would stay ejected otherwise.
             let waited = now.since(self.since) >= millis(settings.probe_ms);
-            return if waited { RAMP_LEAST } else { 0.0 };
+            return if waited { MIN_RAMP_SHARE } else { 0.0 };
         };
-        let ramp = now.since(proved).as_secs_f32() / millis(settings.ramp_ms).as_secs_f32();
-        ramp.clamp(RAMP_LEAST, 1.0)
+        let ramp = now.since(probed_at).as_secs_f32() / millis(settings.ramp_ms).as_secs_f32();
+        ramp.clamp(MIN_RAMP_SHARE, 1.0)
     }
 
-    /// Factor on the server's predicted cost.
+    /// Returns the factor on the server's predicted cost.
     pub(crate) fn cost(&self, now: Instant, settings: &Settings) -> f32 {
-        let share = self.share(now, settings).max(RAMP_LEAST);
+        let share = self.share(now, settings).max(MIN_RAMP_SHARE);
         let suspect = if self.state == STATES.suspect {
             SUSPECT_COST
         } else {
@@ -178,32 +179,31 @@
         suspect * self.slowness / share
     }
 
-    /// Takes in the time that `tokens` tokens took.
-    pub(crate) fn progressed(&mut self, now: Instant, took: Duration, tokens: u32) {
-        let gap = took.as_secs_f32() / tokens.max(1) as f32;
-        let fresh = self.tokens == 0 || now.since(self.measured) > SPEED_LIFE;
+    /// Records that `tokens` tokens took the time `took`.
+    pub(crate) fn record_progress(&mut self, now: Instant, took: Duration, tokens: u32) {
+        let token_time = took.as_secs_f32() / tokens.max(1) as f32;
+        let fresh = self.measured_tokens == 0 || now.since(self.measured_at) > MEASUREMENT_TTL;
         if fresh {
-            self.tokens = 0;
-            self.gap = gap;
+            self.measured_tokens = 0;
+            self.token_time = token_time;
         }
-        // The mean would not do: an engine that computes long prompts for a second or two is as slow
-        // in the mean as a broken one, and one would see healthy engines ejected in turn. Between
-        // prompts it is fast, though, and a broken one never is.
-        self.gap *= if gap > self.gap {
-            1.0 + GAP_STEP
+        // A mean would eject healthy engines: an engine that computes long prompts for a second or
+        // two has the same mean as a faulty one. Unlike a faulty one, it is fast between prompts.
+        self.token_time *= if token_time > self.token_time {
+            1.0 + TOKEN_TIME_STEP
         } else {
-            1.0 - 3.0 * GAP_STEP
+            1.0 - 3.0 * TOKEN_TIME_STEP
         };
-        self.tokens = self.tokens.saturating_add(tokens);
-        self.measured = now;
+        self.measured_tokens = self.measured_tokens.saturating_add(tokens);
+        self.measured_at = now;
     }
 
-    pub(crate) fn finished(&mut self, now: Instant, outcome: Outcome) {
+    pub(crate) fn record_outcome(&mut self, now: Instant, outcome: Outcome) {
         match outcome {
             Outcome::Done => {
                 self.failures = 0;
                 if self.state == STATES.returning {
-                    self.proved = self.proved.or(Some(now));
+                    self.probed_at = self.probed_at.or(Some(now));
                 }
             }
             Outcome::Failed | Outcome::Stalled => self.failures += 1,
@@ -211,9 +211,10 @@
         }
     }
 
-    fn speed(&self, now: Instant, settings: &Settings) -> Option<f32> {
-        let known = self.tokens >= settings.least_tokens && now.since(self.measured) <= SPEED_LIFE;
-        known.then_some(self.gap)
+    fn measured_token_time(&self, now: Instant, settings: &Settings) -> Option<f32> {
+        let known = self.measured_tokens >= settings.least_tokens
+            && now.since(self.measured_at) <= MEASUREMENT_TTL;
+        known.then_some(self.token_time)
     }
 
     fn step(&mut self, now: Instant, signal: &str) {
@@ -230,50 +231,50 @@
     }
 
     fn eject(&mut self, now: Instant, settings: &Settings) {
-        let quiet = millis(settings.eject_ms.saturating_mul(FORGIVEN_AFTER));
-        if self.state != STATES.returning && now.since(self.since) > quiet {
+        let reset_after = millis(settings.eject_ms.saturating_mul(BACKOFF_RESET_PAUSES));
+        if self.state != STATES.returning && now.since(self.since) > reset_after {
             self.ejections = 0;
         }
         self.ejections += 1;
         self.step(now, "eject");
-        self.proved = None;
+        self.probed_at = None;
         self.failures = 0;
-        self.tokens = 0;
+        self.measured_tokens = 0;
         self.slowness = 1.0;
     }
 }
 
-/// Judges all servers once.
-pub(crate) fn review(
+/// Updates the health of all servers.
+pub(crate) fn update_all(
     now: Instant,
     entries: &mut [Option<Entry>],
     settings: &Settings,
 ) -> Vec<Change> {
     let medians = medians(now, entries, settings);
-    let mut quota = Quota::count(entries, settings.share_percent);
+    let mut budget = EjectionBudget::count(entries, settings.share_percent);
     let mut changes = Vec::new();
     for (index, slot) in entries.iter_mut().enumerate() {
         let Some(entry) = slot else {
             continue;
         };
         let server = ServerKey(index as u32);
-        let cause = evidence(now, entry, &medians, settings);
-        changes.extend(judge(now, server, entry, cause, &mut quota, settings));
+        let cause = diagnose(now, entry, &medians, settings);
+        changes.extend(update(now, server, entry, cause, &mut budget, settings));
     }
     changes
 }
 
-fn judge(
+fn update(
     now: Instant,
     server: ServerKey,
     entry: &mut Entry,
     cause: Option<Cause>,
-    quota: &mut Quota,
+    budget: &mut EjectionBudget,
     settings: &Settings,
 ) -> Option<Change> {
     let state = entry.health.state;
     if state == STATES.ejected {
-        return end_pause(now, server, &mut entry.health, settings);
+        return probe_if_due(now, server, &mut entry.health, settings);
     }
     let Some(cause) = cause else {
         return recover(now, server, &mut entry.health, settings);
@@ -286,17 +287,17 @@
     if state == STATES.suspect && !waited {
         return None;
     }
-    // When many servers look bad at once, the fault is likely to be on our side or common to all;
-    // ejecting them would put the whole load on the few that are left. A suspect server that
-    // finds no room in the quota goes on at a higher cost.
-    if state != STATES.returning && !quota.take(entry) {
+    // When many servers look bad at once, the fault is probably local or common to all, and ejecting
+    // them would put the whole load on the few that remain. A suspect server beyond the budget stays
+    // in use at a higher cost.
+    if state != STATES.returning && !budget.take(entry) {
         return None;
     }
     entry.health.eject(now, settings);
     Some(Change::Ejected { server, cause })
 }
 
-fn end_pause(
+fn probe_if_due(
     now: Instant,
     server: ServerKey,
     health: &mut Health,
@@ -322,33 +323,33 @@
     if health.state != STATES.returning {
         return None;
     }
-    let proved = health.proved?;
-    if now.since(proved) >= millis(settings.ramp_ms) {
+    let probed_at = health.probed_at?;
+    if now.since(probed_at) >= millis(settings.ramp_ms) {
         health.step(now, "ramped");
         return None;
     }
-    // `since` moves to the proof, so that the return is told once.
-    if health.since >= proved {
+    // `since` is set to the time of the successful probe, so that the return is reported once.
+    if health.since >= probed_at {
         return None;
     }
-    health.since = proved;
+    health.since = probed_at;
     Some(Change::Returned { server })
 }
 
-fn evidence(
+fn diagnose(
     now: Instant,
     entry: &mut Entry,
     medians: &HashMap<Vec<ModelKey>, f32>,
     settings: &Settings,
 ) -> Option<Cause> {
-    let median = medians.get(entry.kind()).copied();
-    let factor = match (entry.health.speed(now, settings), median) {
-        (Some(gap), Some(median)) if median > 0.0 => gap / median,
+    let median = medians.get(entry.model_set()).copied();
+    let factor = match (entry.health.measured_token_time(now, settings), median) {
+        (Some(token_time), Some(median)) if median > 0.0 => token_time / median,
         _ => 1.0,
     };
-    // Smaller differences are those of the load, and to follow them makes the load swing.
-    let clearly = factor >= SLOWNESS_FROM;
-    entry.health.slowness = if clearly { factor } else { 1.0 };
+    // Smaller differences come from the load itself, and following them makes the load oscillate.
+    let is_slow = factor >= MIN_SLOWNESS;
+    entry.health.slowness = if is_slow { factor } else { 1.0 };
     if entry.health.failures >= settings.failures {
         let failures = entry.health.failures;
         return Some(Cause::Failing { failures });
@@ -356,7 +357,7 @@
     let of = entry.streams.len() as u32;
     let silent = |stream: &&Stream| is_silent(now, stream, settings);
     let streams = entry.streams.iter().filter(silent).count() as u32;
-    // One silent stream among many may be its own connection's fault.
+    // A single stalled stream among many may be caused by its connection.
     if streams > 0 && streams * 2 >= of {
         return Some(Cause::Stalled { streams, of });
     }
@@ -373,7 +374,7 @@
     now.since(stream.last) >= millis(limit)
 }
 
-/// The median time per token of the servers of each set of models.
+/// Computes the median time per token of the servers of each set of models.
 fn medians(
     now: Instant,
     entries: &[Option<Entry>],
@@ -381,35 +382,38 @@
 ) -> HashMap<Vec<ModelKey>, f32> {
     let mut speeds: HashMap<&[ModelKey], Vec<f32>> = HashMap::new();
     for entry in entries.iter().flatten() {
-        let Some(gap) = entry.health.speed(now, settings) else {
+        let Some(token_time) = entry.health.measured_token_time(now, settings) else {
             continue;
         };
-        speeds.entry(entry.kind()).or_default().push(gap);
+        speeds
+            .entry(entry.model_set())
+            .or_default()
+            .push(token_time);
     }
     let mut medians = HashMap::new();
-    for (kind, mut gaps) in speeds {
-        if gaps.len() < PEERS_LEAST {
+    for (model_set, mut token_times) in speeds {
+        if token_times.len() < MIN_PEERS {
             continue;
         }
-        let middle = gaps.len() / 2;
-        let (_, median, _) = gaps.select_nth_unstable_by(middle, f32::total_cmp);
-        medians.insert(kind.to_vec(), *median);
+        let middle = token_times.len() / 2;
+        let (_, median, _) = token_times.select_nth_unstable_by(middle, f32::total_cmp);
+        medians.insert(model_set.to_vec(), *median);
     }
     medians
 }
 
-/// How many servers of each model may still be ejected.
-struct Quota {
+/// Number of servers of each model that may still be ejected.
+struct EjectionBudget {
     left: HashMap<Option<ModelKey>, i64>,
 }
 
-impl Quota {
+impl EjectionBudget {
     fn count(entries: &[Option<Entry>], share_percent: u32) -> Self {
         let mut counts: HashMap<Option<ModelKey>, (i64, i64)> = HashMap::new();
         for entry in entries.iter().flatten() {
-            // A returning server carries little yet. Were it not counted, others could be ejected
-            // while it comes back, and the rest would be fewer than the share allows.
-            let missing = i64::from(entry.health.out());
+            // A returning server carries little load yet, so it counts as ejected. Otherwise others
+            // could be ejected during its slow start, beyond the allowed share.
+            let missing = i64::from(entry.health.is_reduced());
             for model in models(entry) {
                 let (all, out) = counts.entry(model).or_default();
                 *all += 1;
@@ -418,18 +422,18 @@
         }
         let mut left = HashMap::new();
         for (model, (all, out)) in counts {
-            // Of three servers a share of 20 % would be none; one may go where two remain.
-            let least = i64::from(all >= PEERS_LEAST as i64);
-            let most = (all * i64::from(share_percent) / 100).max(least);
-            left.insert(model, most - out);
+            // 20 % of three servers rounds down to none; one may be ejected if two remain.
+            let min = i64::from(all >= MIN_PEERS as i64);
+            let max = (all * i64::from(share_percent) / 100).max(min);
+            left.insert(model, max - out);
         }
         Self { left }
     }
 
-    /// Takes a place in the quota of each of the server's models, or none.
+    /// Takes one ejection from the budget of each of the server's models, or from none.
     fn take(&mut self, entry: &Entry) -> bool {
-        let room = |model| self.left.get(&model).is_some_and(|left| *left > 0);
-        if !models(entry).all(room) {
+        let has_budget = |model| self.left.get(&model).is_some_and(|left| *left > 0);
+        if !models(entry).all(has_budget) {
             return false;
         }
         for model in models(entry) {
@@ -439,8 +443,8 @@
     }
 }
 
-/// The models of a server; one without any counts among the others without any.
+/// Iterates over the models of a server. Servers without models share the key `None`.
 fn models(entry: &Entry) -> impl Iterator<Item = Option<ModelKey>> + '_ {
-    let none = entry.kind().is_empty().then_some(None);
-    entry.kind().iter().copied().map(Some).chain(none)
+    let none = entry.model_set().is_empty().then_some(None);
+    entry.model_set().iter().copied().map(Some).chain(none)
 }
--- a/crates/fescuewell_routing/src/lib.rs
+++ b/crates/fescuewell_routing/src/lib.rs
@@ -1,18 +1,20 @@
-//! Choice of a backend server: load, prefix affinity, ejection, as a pure state machine.
+//! Load balancing over backend servers by load, prefix affinity and outlier ejection, as a pure
+//! state machine.
 //!
-//! [`router::Router`] is the entry point. It is told what this instance sends and receives, what
-//! backend servers report, and what their caches publish; it answers which backend server a
-//! request should go to. Time is an argument, randomness is seeded, and nothing here does I/O.
+//! [`router::Router`] is the entry point. Its inputs are the requests and responses of this
+//! instance, the load reports of the backend servers and their cache events; its output is the
+//! backend server for a request. Time is an argument, the random generator is seeded, and the crate
+//! does no I/O.
 //!
-//! | module | job |
+//! | module | contents |
 //! | --- | --- |
-//! | [`router`] | puts the parts together and compares candidates |
-//! | [`choice`] | questions and answers |
-//! | [`server`] | what is known of one backend server |
-//! | [`load`] | corrects lagging load reports |
-//! | [`prefix`] | which server holds which prompt prefix |
-//! | [`pool`] | which servers may take a model, indexed |
-//! | [`health`] | ejection on lack of progress, gradual return |
+//! | [`router`] | the router, which compares candidates |
+//! | [`choice`] | queries and the choices made for them |
+//! | [`server`] | configuration and state of one backend server |
+//! | [`load`] | correction of delayed load reports |
+//! | [`prefix`] | index of cached prompt prefixes by server |
+//! | [`pool`] | index of the servers of each model |
+//! | [`health`] | ejection of servers without progress, and their slow start |
 
 pub mod choice;
 mod gather;
@@ -25,7 +27,7 @@
 pub mod settings;
 mod speed;
 
-/// The names that callers of this crate use.
+/// Re-exports of the types that most users of this crate need.
 pub mod prelude {
     pub use crate::choice::{Basis, Choice, NoChoice, Query, Reason};
     pub use crate::health::{Cause, Change};
--- a/crates/fescuewell_routing/src/pool.rs
+++ b/crates/fescuewell_routing/src/pool.rs
@@ -1,4 +1,4 @@
-//! Which servers may take a model within a reach, indexed so that no choice scans the fleet.
+//! Index of the servers per model and reach set, so that a choice does not scan all servers.
 
 use std::collections::HashMap;
 use std::num::NonZeroUsize;
@@ -11,9 +11,9 @@
 use crate::server::Entry;
 
 fescuewell_core::key! {
-    /// A model, as an index into the router's arena.
+    /// Index of an interned model name.
     pub struct ModelKey(pub u32);
-    /// An interned reach set.
+    /// Index of an interned reach set.
     pub struct ReachKey(pub u32);
 }
 
@@ -26,23 +26,23 @@
     }
 }
 
-/// Servers of one model within one reach, each list sorted by ring position.
+/// Servers of one model within one reach set. Each list is sorted by ring position.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Pool {
-    /// Those that have the model, as far as is known.
+    /// Servers that have the model loaded, as far as is known.
     pub(crate) loaded: Vec<Member>,
-    /// Those that may be ordered to load it.
+    /// Servers that may be ordered to load it.
     pub(crate) orderable: Vec<Member>,
 }
 
-/// A server at its place on the ring.
+/// A server and its position on the hash ring.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Member {
-    ring: u64,
+    position: u64,
     pub(crate) server: ServerKey,
 }
 
-/// The place in the ring of a server of that name, the same on every instance.
+/// Returns the ring position of a server name, which is the same on every instance.
 pub(crate) fn ring_position(name: &str) -> u64 {
     Digest::of(name.as_bytes()).0 as u64
 }
@@ -55,7 +55,7 @@
                 continue;
             };
             let member = Member {
-                ring: entry.ring,
+                position: entry.ring_position,
                 server,
             };
             match model {
@@ -72,14 +72,18 @@
         pool
     }
 
-    /// Whether the server has the model and is in reach.
-    pub(crate) fn holds(&self, server: ServerKey, ring: u64) -> bool {
-        self.loaded.binary_search(&Member { ring, server }).is_ok()
+    /// Whether the server has the model loaded and is in the reach set.
+    pub(crate) fn contains(&self, server: ServerKey, position: u64) -> bool {
+        self.loaded
+            .binary_search(&Member { position, server })
+            .is_ok()
     }
 
-    /// The servers after `point` on the ring, once round.
-    pub(crate) fn after(&self, point: u64) -> impl Iterator<Item = ServerKey> + '_ {
-        let split = self.loaded.partition_point(|member| member.ring < point);
+    /// Iterates once around the ring, starting at the first server at or after `point`.
+    pub(crate) fn clockwise_from(&self, point: u64) -> impl Iterator<Item = ServerKey> + '_ {
+        let split = self
+            .loaded
+            .partition_point(|member| member.position < point);
         let (before, behind) = self.loaded.split_at(split);
         behind.iter().chain(before).map(|member| member.server)
     }
@@ -104,18 +108,18 @@
     }
 }
 
-type Name = (Option<ModelKey>, ReachKey);
+type PoolKey = (Option<ModelKey>, ReachKey);
 
-/// All pools in use, bounded by the number of their members.
+/// Cache of pools, bounded by their total number of members.
 #[derive(Debug)]
 pub(crate) struct Pools {
     reaches: Reaches,
-    pools: LruCache<Name, Pool>,
+    pools: LruCache<PoolKey, Pool>,
     members: usize,
 }
 
-/// Most members of all pools together; at 16 bytes each, 8 MB.
-const MEMBERS_MOST: usize = 512 * 1024;
+/// Maximum number of members of all pools; at 16 bytes each, 8 MB.
+const MAX_MEMBERS: usize = 512 * 1024;
 
 impl Default for Pools {
     fn default() -> Self {
@@ -128,48 +132,48 @@
 }
 
 impl Pools {
-    /// Forgets all pools, after the set of servers changed.
+    /// Removes all pools, as after a change of the set of servers.
     pub(crate) fn clear(&mut self) {
         *self = Self::default();
     }
 
-    /// The pool of a model within a reach, built when it is asked for the first time.
+    /// Returns the pool of a model and reach set, and builds it on first use.
     pub(crate) fn find(
         &mut self,
         model: Option<ModelKey>,
         reach: &[ServerKey],
         entries: &[Option<Entry>],
     ) -> &Pool {
-        if self.reaches.len > MEMBERS_MOST {
+        if self.reaches.len > MAX_MEMBERS {
             self.clear();
         }
-        let name = (model, self.reaches.intern(reach));
-        if !self.pools.contains(&name) {
+        let key = (model, self.reaches.intern(reach));
+        if !self.pools.contains(&key) {
             let pool = Pool::build(model, reach, entries);
-            self.make_room(pool.len());
+            self.evict(pool.len());
             self.members += pool.len();
-            self.pools.put(name, pool);
+            self.pools.put(key, pool);
         }
         self.pools
-            .get_or_insert(name, || unreachable!("the pool was put in above"))
+            .get_or_insert(key, || unreachable!("the pool was inserted above"))
     }
 
-    /// Moves a server between the lists of the pools of `model`.
+    /// Moves a server between the `loaded` and `orderable` lists of all pools of `model`.
     pub(crate) fn relocate(&mut self, model: ModelKey, server: ServerKey, entry: &Entry) {
         let member = Member {
-            ring: entry.ring,
+            position: entry.ring_position,
             server,
         };
         let loaded = entry.has_loaded(model);
-        for (name, pool) in &mut self.pools {
-            if name.0 == Some(model) {
+        for (key, pool) in &mut self.pools {
+            if key.0 == Some(model) {
                 pool.relocate(member, loaded);
             }
         }
     }
 
-    fn make_room(&mut self, needed: usize) {
-        while self.members + needed > MEMBERS_MOST {
+    fn evict(&mut self, needed: usize) {
+        while self.members + needed > MAX_MEMBERS {
             let Some((_, pool)) = self.pools.pop_lru() else {
                 return;
             };
@@ -178,7 +182,7 @@
     }
 }
 
-/// Interned reach sets, so that groups of the same reach share their pools.
+/// Interned reach sets. Groups with the same reach set share their pools.
 #[derive(Debug, Default)]
 struct Reaches {
     sets: Vec<Arc<[ServerKey]>>,
@@ -190,8 +194,8 @@
     fn intern(&mut self, reach: &[ServerKey]) -> ReachKey {
         let mut hash = fingerprint(reach);
         while let Some(&key) = self.index.get(&hash) {
-            // Two sets of one fingerprint would give a group the servers of another, so the
-            // content is compared and a clash moves on to the next free place.
+            // On a hash collision a group would get the servers of another one, so the sets are
+            // compared and a collision probes the next slot.
             if *self.sets[key.0 as usize] == *reach {
                 return key;
             }
@@ -205,13 +209,13 @@
     }
 }
 
-/// Odd multiplier of the fingerprint (2^64 divided by the golden ratio).
-const SPREAD: u64 = 0x9E37_79B9_7F4A_7C15;
-/// Independent hash chains of the fingerprint.
+/// Odd multiplier of the hash: 2^64 divided by the golden ratio.
+const MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
+/// Number of independent hash lanes.
 const LANES: usize = 8;
 
 fn fingerprint(reach: &[ServerKey]) -> u64 {
-    // Independent lanes: one chain of multiplications over 12,000 keys would take 20 us.
+    // A single dependent chain of multiplications over 12,000 keys takes 20 us.
     let mut lanes = [reach.len() as u64; LANES];
     let chunks = reach.chunks_exact(LANES);
     for (lane, server) in lanes.iter_mut().zip(chunks.remainder()) {
@@ -223,15 +227,15 @@
         }
     }
     lanes.iter().fold(0, |hash: u64, lane| {
-        (hash.rotate_left(5) ^ lane).wrapping_mul(SPREAD)
+        (hash.rotate_left(5) ^ lane).wrapping_mul(MULTIPLIER)
     })
 }
 
 fn mix(lane: u64, server: u32) -> u64 {
-    (lane.rotate_left(5) ^ u64::from(server)).wrapping_mul(SPREAD)
+    (lane.rotate_left(5) ^ u64::from(server)).wrapping_mul(MULTIPLIER)
 }
 
-/// The capacity of a cache, at least one.
+/// Converts a count to a cache capacity of at least one.
 pub(crate) fn capacity(count: u32) -> NonZeroUsize {
     NonZeroUsize::new(count as usize).unwrap_or(NonZeroUsize::MIN)
 }
--- a/crates/fescuewell_routing/src/router.rs
+++ b/crates/fescuewell_routing/src/router.rs
@@ -1,4 +1,4 @@
-//! The router: compares a few candidates by the predicted time to the first token.
+//! The router, which compares a few candidates by their predicted time to first token.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,9 +8,9 @@
 use rand::{Rng, SeedableRng};
 
 use crate::choice::{Basis, Choice, NoChoice, Query, Reason};
-use crate::gather::{Admission, Candidate, Gathering};
+use crate::gather::{Admission, Candidate, Collector};
 use crate::health::{self, Change, Health};
-use crate::load::{self, Others, Report};
+use crate::load::{self, PeerLoad, Report};
 use crate::pool::{ModelKey, Pools, ring_position};
 use crate::prefix::{Event, History, Hit};
 use crate::server::{Entry, Headroom, Outcome, Spec, Stream, Ticket};
@@ -48,7 +48,7 @@
 pub struct Router {
     settings: Settings,
     zone: Arc<str>,
-    random: SmallRng,
+    rng: SmallRng,
     instances: u32,
     entries: Vec<Option<Entry>>,
     models: Interner<ModelKey>,
@@ -68,11 +68,11 @@
 }
 
 impl Router {
-    /// A router of an instance in `zone`; `seed` fixes its random draws.
+    /// Creates the router of an instance in `zone`. `seed` seeds its random generator.
     pub fn new(settings: Settings, zone: Arc<str>, seed: u64) -> Self {
         Self {
             zone,
-            random: SmallRng::seed_from_u64(seed),
+            rng: SmallRng::seed_from_u64(seed),
             instances: 1,
             entries: Vec::new(),
             models: Interner::default(),
@@ -85,43 +85,43 @@
         }
     }
 
-    /// Takes over the backend servers of a document; what is known of those that stay is kept.
-    pub fn set_servers(&mut self, now: Instant, policies: &[Spec]) {
+    /// Applies the backend servers of a configuration document. Remaining servers keep their state.
+    pub fn set_servers(&mut self, now: Instant, specs: &[Spec]) {
         let mut old = std::mem::take(&mut self.entries);
-        for policy in policies {
-            let index = policy.key.0 as usize;
+        for spec in specs {
+            let index = spec.key.0 as usize;
             if index >= self.entries.len() {
                 self.entries.resize(index + 1, None);
             }
             let known = old.get_mut(index).and_then(Option::take);
-            let known = known.filter(|entry| entry.name == policy.name);
+            let known = known.filter(|entry| entry.name == spec.name);
             if known.is_none() {
-                self.history.forget(policy.key);
+                self.history.forget(spec.key);
             }
-            self.entries[index] = Some(self.entry(now, policy, known));
+            self.entries[index] = Some(self.entry(now, spec, known));
         }
         self.pools.clear();
     }
 
-    fn entry(&mut self, now: Instant, policy: &Spec, known: Option<Entry>) -> Entry {
+    fn entry(&mut self, now: Instant, spec: &Spec, known: Option<Entry>) -> Entry {
         let mut entry = known.unwrap_or_else(|| Entry {
-            name: policy.name.clone(),
+            name: spec.name.clone(),
             local: true,
-            ring: ring_position(&policy.name),
+            ring_position: ring_position(&spec.name),
             models: Vec::new(),
             loaded: None,
             concurrency: 0,
             leaving: false,
             busy_until: Instant::default(),
-            room: None,
+            headroom: None,
             streams: Vec::new(),
             pending_tokens: 0,
-            others: Others::default(),
+            peer_load: PeerLoad::default(),
             health: Health::new(now),
         });
-        entry.local = policy.zone == self.zone;
-        entry.concurrency = policy.concurrency;
-        entry.models = self.intern(&policy.models);
+        entry.local = spec.zone == self.zone;
+        entry.concurrency = spec.concurrency;
+        entry.models = self.intern(&spec.models);
         entry
     }
 
@@ -132,7 +132,7 @@
         keys
     }
 
-    /// Notes which models a server has loaded.
+    /// Sets the models that a server has loaded.
     pub fn set_loaded(&mut self, server: ServerKey, models: &[Arc<str>]) {
         let keys = self.intern(models);
         let Some(Some(entry)) = self.entries.get_mut(server.0 as usize) else {
@@ -145,7 +145,7 @@
         let before = entry.loaded.replace(keys.clone());
         let before = before.unwrap_or_else(|| entry.models.clone());
         if unlisted {
-            // A model that the document does not list makes the server a member of new pools.
+            // With a model that the document does not list, the server joins further pools.
             self.pools.clear();
             return;
         }
@@ -154,27 +154,27 @@
         }
     }
 
-    /// Notes how many entry instances send to the same backend servers.
+    /// Sets how many instances send to the same backend servers.
     pub fn set_instances(&mut self, instances: u32) {
         self.instances = instances.max(1);
     }
 
-    /// Notes whether a server is leaving; a leaving one gets no new work.
+    /// Sets whether a server is draining. A draining server gets no new requests.
     pub fn set_leaving(&mut self, server: ServerKey, leaving: bool) {
         if let Some(Some(entry)) = self.entries.get_mut(server.0 as usize) {
             entry.leaving = leaving;
         }
     }
 
-    /// Notes for which requests the own limit on a server leaves a place. Once it is set, it takes the place of
-    /// [`Settings::urgent_reserve_percent`].
-    pub fn set_headroom(&mut self, server: ServerKey, room: Headroom) {
+    /// Sets which requests this instance's concurrency limit for a server still admits. Once set, it
+    /// replaces [`Settings::urgent_reserve_percent`].
+    pub fn set_headroom(&mut self, server: ServerKey, headroom: Headroom) {
         if let Some(Some(entry)) = self.entries.get_mut(server.0 as usize) {
-            entry.room = Some(room);
+            entry.headroom = Some(headroom);
         }
     }
 
-    /// Chooses a backend server. Nothing is counted as sent until [`Router::started`] is called.
+    /// Chooses a backend server. The request counts as in flight once [`Router::started`] is called.
     ///
     /// # Errors
     ///
@@ -186,9 +186,9 @@
         };
         self.gather(now, query, model)?;
         let mut best: Option<Scored> = None;
-        // Equals are common, and always taking the first of them would load that one.
+        // Ties are common. A random start keeps them from all going to the first candidate.
         let len = self.candidates.len();
-        let first = self.random.random_range(0..len.max(1));
+        let first = self.rng.random_range(0..len.max(1));
         for step in 0..len {
             let candidate = self.candidates[(first + step) % len];
             let scored = self.score(now, query, candidate);
@@ -198,7 +198,7 @@
         }
         let best = best.ok_or(NoChoice::NoneLeft)?;
         let server = best.candidate.server;
-        self.history.sent(now, query.prefix, server);
+        self.history.record_send(now, query.prefix, server);
         Ok(self.answer(query, &best))
     }
 
@@ -224,7 +224,8 @@
         }
     }
 
-    /// Collects candidates: known holders of the prefix, its agreed homes, and a random few.
+    /// Collects candidates: servers that cache the prefix, its home servers on the hash ring, and a
+    /// random sample.
     fn gather(
         &mut self,
         now: Instant,
@@ -241,7 +242,7 @@
                 NoChoice::NotLoaded
             });
         }
-        let mut gathering = Gathering {
+        let mut collector = Collector {
             admission: Admission {
                 now,
                 query,
@@ -253,36 +254,36 @@
             hits: &self.hits,
             candidates: &mut self.candidates,
         };
-        gathering.holders(self.settings.holders as usize);
-        gathering.homes(self.settings.homes as usize);
-        gathering.samples(self.settings.samples as usize, &mut self.random);
-        if !gathering.candidates.is_empty() {
+        collector.holders(self.settings.holders as usize);
+        collector.homes(self.settings.homes as usize);
+        collector.samples(self.settings.samples as usize, &mut self.rng);
+        if !collector.candidates.is_empty() {
             return Ok(());
         }
-        gathering.anyone(&mut self.random)
+        collector.scan(&mut self.rng)
     }
 
     fn score(&self, now: Instant, query: &Query<'_>, candidate: Candidate) -> Scored {
         let entry = self.entries[candidate.server.0 as usize]
             .as_ref()
-            .expect("candidates are known servers");
+            .expect("every candidate has an entry");
         let own = entry.streams.len() as f32;
-        let basis = basis(&self.settings, self.instances);
-        let estimate = entry.others.estimate(now, own, &basis);
-        let held = candidate.hit.map_or(0.0, |hit| {
+        let parameters = load_parameters(&self.settings, self.instances);
+        let estimate = entry.peer_load.estimate(now, own, &parameters);
+        let cached_share = candidate.hit.map_or(0.0, |hit| {
             let share = hit.blocks as f32 / query.prefix.len().max(1) as f32;
-            share.min(1.0) * hit.trust
+            share.min(1.0) * hit.confidence
         });
-        let expected_tokens = query.prompt_tokens as f32 * (1.0 - held);
+        let expected_tokens = query.prompt_tokens as f32 * (1.0 - cached_share);
         let outstanding = own + estimate.others;
-        let ahead = Ahead {
+        let backlog = Backlog {
             prompt_tokens: entry.pending_tokens as f32 + expected_tokens,
             outstanding,
             waiting: estimate.waiting,
             running: estimate.running,
             stream_tokens: self.settings.stream_tokens as f32,
         };
-        let mut cost = self.speed.predict(&ahead) * entry.health.cost(now, &self.settings.health);
+        let mut cost = self.speed.predict(&backlog) * entry.health.cost(now, &self.settings.health);
         if !entry.local {
             cost += self.settings.zone_penalty_us as f32 * 1e-6;
         }
@@ -294,7 +295,7 @@
         }
     }
 
-    /// Notes that an attempt was sent; `tokens` is [`Choice::expected_tokens`].
+    /// Records that an attempt was sent; `tokens` is [`Choice::expected_tokens`].
     pub fn started(&mut self, now: Instant, server: ServerKey, ticket: Ticket, tokens: u32) {
         let Some(Some(entry)) = self.entries.get_mut(server.0 as usize) else {
             return;
@@ -309,7 +310,7 @@
         });
     }
 
-    /// Notes that `tokens` more tokens of an attempt arrived.
+    /// Records that `tokens` more tokens of an attempt arrived.
     pub fn progressed(&mut self, now: Instant, server: ServerKey, ticket: Ticket, tokens: u32) {
         let Some(Some(entry)) = self.entries.get_mut(server.0 as usize) else {
             return;
@@ -321,15 +322,17 @@
         stream.last = now;
         stream.first_token = true;
         if before.first_token {
-            entry.health.progressed(now, now.since(before.last), tokens);
+            entry
+                .health
+                .record_progress(now, now.since(before.last), tokens);
             return;
         }
         entry.pending_tokens = entry.pending_tokens.saturating_sub(before.tokens);
         self.speed
-            .first_token(now.since(before.start), before.queued_tokens);
+            .record_first_token(now.since(before.start), before.queued_tokens);
     }
 
-    /// Notes the end of an attempt.
+    /// Records the end of an attempt.
     pub fn finished(&mut self, now: Instant, server: ServerKey, ticket: Ticket, outcome: Outcome) {
         let Some(Some(entry)) = self.entries.get_mut(server.0 as usize) else {
             return;
@@ -337,25 +340,27 @@
         let Some(stream) = entry.close(now, ticket) else {
             return;
         };
-        entry.health.finished(now, outcome);
+        entry.health.record_outcome(now, outcome);
         match outcome {
             Outcome::Busy => entry.busy_until = now + millis(self.settings.busy_pause_ms),
-            Outcome::Done => self.speed.finished(now.since(stream.start), stream.tokens),
+            Outcome::Done => self
+                .speed
+                .record_completion(now.since(stream.start), stream.tokens),
             Outcome::Failed | Outcome::Stalled | Outcome::Cancelled => {}
         }
     }
 
-    /// Takes in a server's load report.
+    /// Records a server's load report.
     pub fn record_load(&mut self, now: Instant, server: ServerKey, report: Report) {
         let Some(Some(entry)) = self.entries.get_mut(server.0 as usize) else {
             return;
         };
         let open = entry.streams.iter().map(|stream| stream.start);
-        entry.others.report(now, report, open);
-        self.history.cache_used(server, report.cache_used);
+        entry.peer_load.record_report(now, report, open);
+        self.history.record_usage(server, report.cache_used);
     }
 
-    /// Takes in a cache event. Returns whether its number revealed a gap.
+    /// Records a cache event. Returns whether its sequence number shows that events were lost.
     pub fn record_cache_event(
         &mut self,
         _now: Instant,
@@ -367,21 +372,21 @@
             .entries
             .get(server.0 as usize)
             .is_some_and(Option::is_some);
-        known && self.history.event(server, sequence, event)
+        known && self.history.record_event(server, sequence, event)
     }
 
-    /// Judges the servers' progress; to be called a few times a second.
+    /// Updates the health of all servers; to be called a few times a second.
     pub fn tick(&mut self, now: Instant) -> Vec<Change> {
-        health::review(now, &mut self.entries, &self.settings.health)
+        health::update_all(now, &mut self.entries, &self.settings.health)
     }
 
-    /// The name of a server's health state.
+    /// Returns the name of a server's health state in `health.json`.
     pub fn health_state(&self, server: ServerKey) -> Option<&'static str> {
         let entry = self.entries.get(server.0 as usize)?.as_ref()?;
         Some(entry.health.state())
     }
 
-    /// Own open attempts on a server.
+    /// Returns the number of this instance's attempts in flight on a server.
     pub fn in_flight(&self, server: ServerKey) -> usize {
         let entry = self.entries.get(server.0 as usize);
         entry
@@ -389,31 +394,31 @@
             .map_or(0, |entry| entry.streams.len())
     }
 
-    /// Prompt blocks that are remembered.
+    /// Returns the number of prompt blocks in the prefix index.
     pub fn block_count(&self) -> usize {
         self.history.len()
     }
 }
 
-/// What stands before a request on one server.
+/// Work that a server has to do before a request's first token.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Ahead {
-    /// Own prompt tokens that are not computed yet, this request's included.
+pub(crate) struct Backlog {
+    /// Prompt tokens of this instance that are not computed yet, including this request's.
     pub(crate) prompt_tokens: f32,
-    /// Requests on the server.
+    /// Requests on the server, from all instances.
     pub(crate) outstanding: f32,
     /// Requests in the server's queue.
     pub(crate) waiting: f32,
-    /// Requests in its batch.
+    /// Requests in the server's batch.
     pub(crate) running: f32,
-    /// Prompt tokens that delay a first token as much as one running stream does.
+    /// Delay of a first token by one running stream, as a number of prompt tokens.
     pub(crate) stream_tokens: f32,
 }
 
-fn basis(settings: &Settings, instances: u32) -> load::Basis {
-    load::Basis {
-        life: millis(settings.report_life_ms),
-        report_share: f32::from(settings.report_percent.min(100)) / 100.0,
+fn load_parameters(settings: &Settings, instances: u32) -> load::Parameters {
+    load::Parameters {
+        max_age: millis(settings.report_life_ms),
+        report_weight: f32::from(settings.report_percent.min(100)) / 100.0,
         peers: (instances - 1) as f32,
     }
 }
--- a/crates/fescuewell_routing/src/server.rs
+++ b/crates/fescuewell_routing/src/server.rs
@@ -1,20 +1,20 @@
-//! What is known of one backend server.
+//! Configuration and state of one backend server.
 
 use std::sync::Arc;
 
 use fescuewell_core::prelude::*;
 
 use crate::health::Health;
-use crate::load::{Others, Span};
+use crate::load::{PeerLoad, Span};
 use crate::pool::ModelKey;
 
 fescuewell_core::key! {
-    /// Names one attempt at a request, unique within this instance.
+    /// Identifier of one attempt at a request, unique within this instance.
     pub struct Ticket(pub u64);
 }
 
 fescuewell_core::message! {
-    /// What the configuration document says of a backend server.
+    /// A backend server as specified in the configuration document.
     pub struct Spec {
         /// Its key in this process.
         pub key: ServerKey,
@@ -22,38 +22,38 @@
         pub name: Arc<str>,
         /// Its availability zone.
         pub zone: Arc<str>,
-        /// Models that it has or may be ordered to load; for a plain service, the names of its services.
+        /// Models that it has or may be ordered to load; for a plain service, its service names.
         pub models: Vec<Arc<str>>,
-        /// Most requests that the whole fleet keeps on it at once.
+        /// Maximum number of concurrent requests from all instances.
         pub concurrency: u32,
     }
 
-    /// How an attempt ended.
+    /// Outcome of an attempt.
     #[derive(Copy, Eq)]
     pub enum Outcome {
-        /// The whole answer arrived.
+        /// The response is complete.
         Done,
-        /// The server failed or the connection broke.
+        /// The server returned an error or the connection failed.
         Failed,
-        /// The stream went silent and was given up.
+        /// The stream stopped sending and was aborted.
         Stalled,
-        /// The server took no more work.
+        /// The server rejected the request because it is busy.
         Busy,
-        /// The caller went away; that says nothing about the server.
+        /// The caller disconnected, which is no evidence about the server.
         Cancelled,
     }
 }
 
-/// For which requests a server has a place within the own limit on it.
+/// Which requests this instance's concurrency limit for a server still admits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Headroom {
-    /// For urgent ones.
+    /// Whether an urgent request is admitted.
     pub urgent: bool,
-    /// For all others.
+    /// Whether any other request is admitted.
     pub bulk: bool,
 }
 
-/// One own attempt that is open.
+/// An attempt of this instance that is in flight.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Stream {
     pub(crate) ticket: Ticket,
@@ -64,21 +64,21 @@
     pub(crate) queued_tokens: f32,
 }
 
-/// The state kept for one backend server.
+/// Routing state of one backend server.
 #[derive(Debug, Clone)]
 pub(crate) struct Entry {
     pub(crate) name: Arc<str>,
     pub(crate) local: bool,
-    pub(crate) ring: u64,
+    pub(crate) ring_position: u64,
     pub(crate) models: Vec<ModelKey>,
     pub(crate) loaded: Option<Vec<ModelKey>>,
     pub(crate) concurrency: u32,
     pub(crate) leaving: bool,
     pub(crate) busy_until: Instant,
-    pub(crate) room: Option<Headroom>,
+    pub(crate) headroom: Option<Headroom>,
     pub(crate) streams: Vec<Stream>,
     pub(crate) pending_tokens: u32,
-    pub(crate) others: Others,
+    pub(crate) peer_load: PeerLoad,
     pub(crate) health: Health,
 }
 
@@ -94,8 +94,8 @@
         self.models.contains(&model) || self.has_loaded(model)
     }
 
-    /// What it is compared with: servers of the same models.
-    pub(crate) fn kind(&self) -> &[ModelKey] {
+    /// The models by which servers are grouped for comparison.
+    pub(crate) fn model_set(&self) -> &[ModelKey] {
         self.loaded.as_deref().unwrap_or(&self.models)
     }
 
@@ -116,7 +116,7 @@
         if !stream.first_token {
             self.pending_tokens = self.pending_tokens.saturating_sub(stream.tokens);
         }
-        self.others.ended(Span {
+        self.peer_load.record_end(Span {
             start: stream.start,
             end: now,
         });
--- a/crates/fescuewell_routing/src/settings.rs
+++ b/crates/fescuewell_routing/src/settings.rs
@@ -1,68 +1,69 @@
-//! Settings of the routing decisions.
+//! Settings of the router.
 
 use std::time::Duration;
 
 fescuewell_core::data! {
-    /// What an operator may tune; the defaults suit fleets from ten to ten thousand servers.
+    /// Settings of the router. The defaults suit fleets from ten to ten thousand servers.
     #[derive(Copy)]
     #[serde(default, deny_unknown_fields)]
     pub struct Settings {
-        /// How many backend servers are drawn at random for each choice.
+        /// Number of backend servers sampled at random for each choice.
         pub samples: u8,
-        /// How many agreed homes of a prompt prefix are compared besides.
+        /// Number of home servers of a prompt prefix on the hash ring that are compared as well.
         pub homes: u8,
-        /// How many known holders of a prompt prefix are compared besides.
+        /// Maximum number of servers known to cache a prompt prefix that are compared as well.
         pub holders: u8,
-        /// Added round-trip time of a server in another availability zone, in microseconds.
+        /// Additional round-trip time of a server in another availability zone, in microseconds.
         pub zone_penalty_us: u32,
         /// Load reports older than this are ignored, in milliseconds.
         pub report_life_ms: u32,
-        /// Prompt tokens per second that an engine computes, until it has been measured.
+        /// Initial estimate of the prompt tokens per second that an engine computes.
         pub prefill_tokens_per_second: u32,
-        /// Delay that one running stream adds to a first token, as a number of prompt tokens.
+        /// Delay of a first token by one running stream, as a number of prompt tokens.
         pub stream_tokens: u32,
-        /// Weight of load reports in the estimate of what other instances have on a server, in
-        /// percent; the rest is inferred from the own load.
+        /// Weight of load reports in the estimated load by other instances, in percent; the rest is
+        /// inferred from this instance's load.
         pub report_percent: u8,
-        /// Prompt blocks remembered from this instance's own sends.
+        /// Maximum number of indexed prompt blocks from this instance's requests.
         pub history_blocks: u32,
-        /// Prompt blocks remembered from cache events alone.
+        /// Maximum number of indexed prompt blocks that are known from cache events alone.
         pub hint_blocks: u32,
-        /// Time after which an unconfirmed prefix counts half, in milliseconds.
+        /// Half-life of the confidence in an unconfirmed prefix, in milliseconds.
         pub history_half_life_ms: u32,
-        /// Part of a server's concurrency that only urgent requests may use, in percent.
+        /// Share of a server's concurrency reserved for urgent requests, in percent.
         pub urgent_reserve_percent: u8,
-        /// Pause after a server answered that it is busy, in milliseconds.
+        /// Pause after a server rejected a request as busy, in milliseconds.
         pub busy_pause_ms: u32,
-        /// Ejection and return.
+        /// Ejection of servers and their return.
         pub health: Health,
     }
 
-    /// When a backend server is ejected and how it returns.
+    /// Settings of outlier ejection and slow start.
     #[derive(Copy)]
     #[serde(default, deny_unknown_fields)]
     pub struct Health {
-        /// A server is slow when its time per token exceeds the median of its like by this factor, in percent.
+        /// Time per token from which a server counts as slow, in percent of the median of the
+        /// servers with the same models.
         pub slow_percent: u32,
-        /// Tokens that must have been seen before a server is judged by its speed.
+        /// Minimum number of measured tokens before a server's speed is evaluated.
         pub least_tokens: u32,
-        /// A stream without a token for this long has stalled, in milliseconds.
+        /// Time without a token after which a stream counts as stalled, in milliseconds.
         pub stall_ms: u32,
-        /// A stream without its first token for this long has stalled, in milliseconds.
+        /// Time without a first token after which a stream counts as stalled, in milliseconds.
         pub first_token_ms: u32,
-        /// Failures in a row, without a success between, that make a server suspect.
+        /// Consecutive failures that make a server suspect.
         pub failures: u32,
-        /// How long a server stays suspect before it is ejected, in milliseconds.
+        /// Time for which a server stays suspect before it is ejected, in milliseconds.
         pub suspect_ms: u32,
-        /// First pause of an ejected server, in milliseconds; doubles with each relapse.
+        /// Initial ejection time, in milliseconds; doubles with each further ejection.
         pub eject_ms: u32,
-        /// Longest pause of an ejected server, in milliseconds.
+        /// Maximum ejection time, in milliseconds.
         pub eject_most_ms: u32,
-        /// Most servers of a model that may be ejected at once, in percent.
+        /// Maximum share of a model's servers that may be ejected at once, in percent.
         pub share_percent: u32,
-        /// Time over which a returned server comes back to its full share, in milliseconds.
+        /// Time over which a returned server ramps up to its full load, in milliseconds.
         pub ramp_ms: u32,
-        /// How long a probe is waited for before one ordinary request is tried, in milliseconds.
+        /// Time to wait for a probe before one regular request is let through, in milliseconds.
         pub probe_ms: u32,
     }
 }
@@ -106,7 +107,7 @@
     }
 }
 
-/// A setting in milliseconds as a duration.
+/// Converts a setting in milliseconds to a duration.
 pub(crate) fn millis(value: u32) -> Duration {
     Duration::from_millis(u64::from(value))
 }
--- a/crates/fescuewell_routing/src/speed.rs
+++ b/crates/fescuewell_routing/src/speed.rs
@@ -1,24 +1,24 @@
-//! How fast engines compute prompts, learned from the first tokens of own streams.
+//! Estimate of the engines' prompt processing speed from this instance's streams.
 
 use std::time::Duration;
 
-use crate::router::Ahead;
+use crate::router::Backlog;
 
-/// Weight of a new observation.
+/// Weight of a new sample in the moving averages.
 const WEIGHT: f32 = 0.02;
-/// The learned rate stays within this factor of the configured one.
-const RANGE: f32 = 20.0;
-/// Tokens below this say little about the rate.
-const TOKENS_LEAST: f32 = 16.0;
+/// Maximum factor between the measured and the configured rate.
+const MAX_DEVIATION: f32 = 20.0;
+/// Lower bound of a sample's tokens; shorter prompts say little about the rate.
+const MIN_TOKENS: f32 = 16.0;
 
-/// Learned means over all own streams.
+/// Moving averages over all streams of this instance.
 #[derive(Debug, Clone)]
 pub(crate) struct Speed {
-    initial: f32,
-    wait: f32,
-    tokens: f32,
-    residence: f32,
-    prompt: f32,
+    initial_seconds_per_token: f32,
+    mean_wait: f32,
+    mean_tokens: f32,
+    mean_duration: f32,
+    mean_prompt: f32,
 }
 
 impl Speed {
@@ -26,42 +26,45 @@
         let prompt = 1_000.0;
         let initial = 1.0 / tokens_per_second.max(1) as f32;
         Self {
-            initial,
-            wait: prompt * initial,
-            tokens: prompt,
-            residence: 5.0,
-            prompt,
+            initial_seconds_per_token: initial,
+            mean_wait: prompt * initial,
+            mean_tokens: prompt,
+            mean_duration: 5.0,
+            mean_prompt: prompt,
         }
     }
 
-    /// A first token came after `took`, with so many prompt tokens to compute before it.
-    pub(crate) fn first_token(&mut self, took: Duration, tokens: f32) {
-        // A ratio of means, not a mean of ratios: short prompts would dominate the latter.
-        self.wait += (took.as_secs_f32() - self.wait) * WEIGHT;
-        self.tokens += (tokens.max(TOKENS_LEAST) - self.tokens) * WEIGHT;
+    /// Records that a first token arrived after `took`, with `tokens` prompt tokens before it.
+    pub(crate) fn record_first_token(&mut self, took: Duration, tokens: f32) {
+        // The rate is a ratio of means; in a mean of ratios short prompts would dominate.
+        self.mean_wait += (took.as_secs_f32() - self.mean_wait) * WEIGHT;
+        self.mean_tokens += (tokens.max(MIN_TOKENS) - self.mean_tokens) * WEIGHT;
     }
 
-    /// A stream ended after `took`; its prompt had `tokens` tokens to compute.
-    pub(crate) fn finished(&mut self, took: Duration, tokens: u32) {
-        self.residence += (took.as_secs_f32() - self.residence) * WEIGHT;
-        self.prompt += (tokens as f32 - self.prompt) * WEIGHT;
+    /// Records that a stream ended after `took`, with `tokens` prompt tokens to compute.
+    pub(crate) fn record_completion(&mut self, took: Duration, tokens: u32) {
+        self.mean_duration += (took.as_secs_f32() - self.mean_duration) * WEIGHT;
+        self.mean_prompt += (tokens as f32 - self.mean_prompt) * WEIGHT;
     }
 
-    /// Predicted seconds to the first token.
-    pub(crate) fn predict(&self, ahead: &Ahead) -> f32 {
+    /// Predicts the seconds to the first token.
+    pub(crate) fn predict(&self, backlog: &Backlog) -> f32 {
         let per_token = self.seconds_per_token();
-        let tokens = ahead.prompt_tokens + ahead.outstanding * ahead.stream_tokens;
-        tokens * per_token + ahead.waiting * self.turn(per_token, ahead.running)
+        let tokens = backlog.prompt_tokens + backlog.outstanding * backlog.stream_tokens;
+        tokens * per_token + backlog.waiting * self.dequeue_interval(per_token, backlog.running)
     }
 
-    /// Seconds until the engine takes one more request from its queue.
-    fn turn(&self, per_token: f32, running: f32) -> f32 {
-        let leaves = self.residence / running.max(1.0);
-        leaves.max(self.prompt * per_token)
+    /// Seconds between two requests that the engine takes from its queue.
+    fn dequeue_interval(&self, per_token: f32, running: f32) -> f32 {
+        let completion_interval = self.mean_duration / running.max(1.0);
+        completion_interval.max(self.mean_prompt * per_token)
     }
 
     fn seconds_per_token(&self) -> f32 {
-        let learned = self.wait / self.tokens;
-        learned.clamp(self.initial / RANGE, self.initial * RANGE)
+        let learned = self.mean_wait / self.mean_tokens;
+        learned.clamp(
+            self.initial_seconds_per_token / MAX_DEVIATION,
+            self.initial_seconds_per_token * MAX_DEVIATION,
+        )
     }
 }
--- a/crates/fescuewell_routing/tests/choice.rs
+++ b/crates/fescuewell_routing/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Who may be chosen at all, and who is preferred.
+//! Which servers are eligible, and which one is preferred.
 
 mod common;
 
@@ -48,9 +48,8 @@
 
 #[test]
 fn excluded_and_leaving_servers_get_nothing() {
-    // Symptom: a backend server that shuts down is given a request and cuts it off.
-    // Events: the instance list says that it is leaving, and a new request arrives at once.
-    // Cause: the mark has to act on the next choice, not on the next document.
+    // Draining must take effect on the next choice. If it waited for the next document, a server that
+    // shuts down would get a new request and abort it.
     let mut router = router(2);
     let reach = keys(2);
     router.set_leaving(ServerKey(0), true);
@@ -99,7 +98,7 @@
 #[test]
 fn the_own_zone_wins_between_equals_and_loses_to_load() {
     let mut router = Router::new(Settings::default(), "zone-a".into(), 7);
-    router.set_servers(at(0), &[policy(0, "zone-a"), policy(1, "zone-b")]);
+    router.set_servers(at(0), &[spec(0, "zone-a"), spec(1, "zone-b")]);
     let reach = keys(2);
 
     let equal = router.choose(at(0), &query(&reach, &[])).unwrap();
@@ -115,7 +114,7 @@
     let mut router = router(2);
     send(&mut router, at(0), ServerKey(0), 0, 4);
 
-    router.set_servers(at(1), &[policy(0, "zone-a")]);
+    router.set_servers(at(1), &[spec(0, "zone-a")]);
 
     assert_eq!(router.in_flight(ServerKey(0)), 4);
     assert_eq!(router.in_flight(ServerKey(1)), 0);
--- a/crates/fescuewell_routing/tests/health.rs
+++ b/crates/fescuewell_routing/tests/health.rs
@@ -1,4 +1,4 @@
-//! Ejection on lack of progress and gradual return.
+//! Ejection of servers without progress, and slow start.
 
 mod common;
 
@@ -9,7 +9,7 @@
 const ENGINES: u32 = 10;
 const STREAMS: u64 = 4;
 
-/// Streams that run on every engine, one token per gap.
+/// Engines with a constant number of streams, each with one token per `gaps[engine]` milliseconds.
 struct Fleet {
     router: Router,
     gaps: Vec<u64>,
@@ -64,9 +64,8 @@
 
 #[test]
 fn a_slow_server_is_ejected_though_it_makes_progress() {
-    // Symptom: streams on one engine crawl while its health checks pass.
-    // Events: one engine needs five times as long per token as the others.
-    // Cause: nothing compared the progress of streams.
+    // One engine needs five times as long per token as the others while its health checks pass. Only a
+    // comparison of stream progress detects it.
     let mut fleet = fleet(20);
     fleet.run(2_000);
     fleet.gaps[3] = 100;
@@ -91,10 +90,9 @@
 
 #[test]
 fn a_burst_of_long_prompts_does_not_eject_a_healthy_server() {
-    // Symptom: healthy engines are ejected in turn, a few a minute.
-    // Events: an engine computes long prompts for most of a second, with every token of its other
-    // streams delayed fivefold, then goes on as before; again and again.
-    // Cause: its mean time per token was compared, which such a burst moves as a fault does.
+    // An engine repeatedly computes long prompts for most of a second, which delays the tokens of its
+    // other streams fivefold. A comparison of mean times per token takes such bursts for a fault and
+    // ejects a few healthy engines per minute.
     let mut fleet = fleet(20);
     fleet.run(2_000);
     for _ in 0..10 {
@@ -119,16 +117,15 @@
 
 #[test]
 fn never_more_than_a_share_is_ejected_at_once() {
-    // Symptom: after a network fault near this instance the few engines left fall over.
-    // Events: streams on all ten engines go silent at once.
-    // Cause: each engine was judged without regard to how many were out already.
+    // A network fault near this instance stalls the streams on all ten engines at once. Ejecting each
+    // one independently would overload the few that remain.
     let mut fleet = fleet(20);
     fleet.run(1_000);
     fleet.gaps.fill(0);
     fleet.run(9_000);
     assert_eq!(fleet.ejected().len(), 2);
 
-    // Nor while the first two come back and fail again.
+    // The same holds while the first two return and fail again.
     for _ in 0..80 {
         fleet.run(500);
         let state = |server: &ServerKey| fleet.router.health_state(*server).unwrap();
@@ -163,7 +160,7 @@
     assert_eq!(changes, [Change::Ejected { server, cause }]);
 }
 
-/// A router of five servers of which server 1 was ejected at two seconds.
+/// A router with five servers, of which server 1 was ejected at two seconds.
 fn with_ejected() -> Router {
     let mut router = router(5);
     for ticket in 0..3 {
@@ -178,9 +175,8 @@
 
 #[test]
 fn an_ejected_server_returns_by_a_probe_and_little_by_little() {
-    // Symptom: a server that comes back is flooded at once and fails again.
-    // Events: ejection, pause, probe, success, then many requests.
-    // Cause: it got its full share from the first moment on.
+    // With its full load right after a successful probe, a returning server would be overloaded and
+    // fail again.
     let mut router = with_ejected();
     let server = ServerKey(1);
     let reach = [server];
--- a/crates/fescuewell_routing/tests/load.rs
+++ b/crates/fescuewell_routing/tests/load.rs
@@ -1,4 +1,4 @@
-//! Lagging load reports.
+//! Delayed load reports.
 
 mod common;
 
@@ -13,10 +13,9 @@
 
 #[test]
 fn nine_instances_with_one_report_do_not_choose_one_engine() {
-    // Symptom: the engine that was idle a moment ago has the longest queue, and so on in turn.
-    // Events: one engine reports no load, the others a little; nine instances choose ten times each
-    // before the next report.
-    // Cause: the report lags, and every instance acts on the same one.
+    // One engine reports no load, the others a little, and nine instances choose ten times each before
+    // the next report. If all followed the same delayed report, the idle engine would get the longest
+    // queue, then the next one.
     let reach = keys(ENGINES);
     let mut sent: HashMap<ServerKey, u32> = HashMap::new();
     for instance in 0..ROUTERS {
@@ -33,7 +32,7 @@
         }
     }
 
-    // 90 requests over 12 engines are 7.5 each; the idle one may get more, but not the lot.
+    // 90 requests over 12 engines are 7.5 each; the idle one may get more, but not most of them.
     let idle = sent.get(&ServerKey(4)).copied().unwrap_or(0);
     assert!((3..=27).contains(&idle), "{sent:?}");
     assert!(sent.len() >= 8, "{sent:?}");
@@ -41,9 +40,8 @@
 
 #[test]
 fn own_requests_in_a_report_are_not_counted_twice() {
-    // Symptom: an engine is refused as busy though the fleet runs half of what it may.
-    // Events: twenty own requests run; a report that includes them arrives; some end meanwhile.
-    // Cause: the own part of the report was added to the own count.
+    // Twenty own requests run, some end, then a report arrives that includes them all. If they were
+    // added to the own count, the engine would be rejected as busy at half its load.
     let mut router = router(1);
     let reach = keys(1);
     send(&mut router, at(0), ServerKey(0), 0, 20);
@@ -53,7 +51,7 @@
 
     router.record_load(at(1_000), ServerKey(0), report(22, 0, 500));
 
-    // 15 own and 2 of others, of 32.
+    // 15 own requests and 2 of other instances, with a limit of 32.
     assert!(router.choose(at(1_000), &query(&reach, &[])).is_ok());
     router.record_load(at(1_100), ServerKey(0), report(32, 0, 0));
     let full = router.choose(at(1_100), &query(&reach, &[]));
@@ -62,9 +60,8 @@
 
 #[test]
 fn a_report_that_was_overtaken_is_ignored() {
-    // Symptom: an engine that has room is refused as busy.
-    // Events: a report from 900 ms arrives, then an older one that says the engine is full.
-    // Cause: reports were taken by the order of their arrival.
+    // A report from 900 ms arrives, then an older one in which the engine is full. Applied in order of
+    // arrival, the older one would make an engine with free capacity count as busy.
     let mut router = router(1);
     let reach = keys(1);
     router.record_load(at(1_000), ServerKey(0), report(1, 0, 100));
@@ -78,9 +75,9 @@
     let mut router = router(2);
     router.set_instances(9);
     let reach = keys(2);
-    for beat in 0..40 {
-        router.record_load(at(beat * 500), ServerKey(0), report(24, 8, 250));
-        router.record_load(at(beat * 500), ServerKey(1), report(3, 0, 250));
+    for tick in 0..40 {
+        router.record_load(at(tick * 500), ServerKey(0), report(24, 8, 250));
+        router.record_load(at(tick * 500), ServerKey(1), report(3, 0, 250));
     }
 
     for _ in 0..20 {
--- a/crates/fescuewell_routing/tests/prefix.rs
+++ b/crates/fescuewell_routing/tests/prefix.rs
@@ -1,4 +1,4 @@
-//! Prefix affinity: own history, late cache events, gaps, and its limits.
+//! Prefix affinity: own requests, late and lost cache events, and its limits.
 
 mod common;
 
@@ -10,7 +10,7 @@
 
 const ENGINES: u32 = 12;
 
-/// Sends a prompt and ends it at once; returns the choice.
+/// Sends a prompt, finishes it at once, and returns the choice.
 fn run(router: &mut Router, now: Instant, reach: &[ServerKey], prefix: &[Digest]) -> Choice {
     let choice = router.choose(now, &query(reach, prefix)).unwrap();
     router.started(now, choice.server, Ticket(0), choice.expected_tokens);
@@ -54,21 +54,20 @@
     let mut chosen = BTreeSet::new();
     for seed in 0..9 {
         let mut router = Router::new(Settings::default(), "zone-a".into(), seed);
-        let policies: Vec<Spec> = reach.iter().map(|key| policy(key.0, "zone-a")).collect();
-        router.set_servers(at(0), &policies);
+        let specs: Vec<Spec> = reach.iter().map(|key| spec(key.0, "zone-a")).collect();
+        router.set_servers(at(0), &specs);
         let mut only_homes = query(&reach, &prefix);
         only_homes.prompt_tokens = 1_600;
         chosen.insert(router.choose(at(0), &only_homes).unwrap().server);
     }
-    // Nine blind draws out of twelve engines would give about seven different ones.
+    // Nine independent random draws out of twelve engines give about seven different ones.
     assert!(chosen.len() <= 6, "{chosen:?}");
 }
 
 #[test]
 fn a_hit_never_costs_more_queueing_than_it_saves() {
-    // Symptom: requests of one account wait at one engine while the others are idle.
-    // Events: the engine that holds the prompt has far more prompt tokens waiting than a hit saves.
-    // Cause: affinity was followed without comparing it with the wait.
+    // The engine that caches the prompt has far more prompt tokens queued than a hit saves. Without a
+    // comparison, one account's requests would wait there while the other engines are idle.
     let mut router = router(ENGINES);
     let reach = keys(ENGINES);
     let prefix = prompt(1, 16);
@@ -82,9 +81,8 @@
 
 #[test]
 fn a_large_account_spreads_over_several_engines_and_keeps_its_cache() {
-    // Symptom: one engine is saturated by a single account.
-    // Events: one prompt prefix arrives faster than one engine can take it.
-    // Cause: the prefix was pinned to the engine that saw it first.
+    // One prompt prefix arrives faster than one engine can process it. Pinned to the engine that got
+    // it first, a single account would saturate that engine.
     let mut router = router(ENGINES);
     let reach = keys(ENGINES);
     let prefix = prompt(1, 16);
@@ -103,9 +101,8 @@
 
 #[test]
 fn a_gap_in_the_events_voids_what_it_may_have_hidden() {
-    // Symptom: requests follow a cached prefix that is not there, and the engine computes it again.
-    // Events: stored (1); the eviction (2) is lost; an unrelated event (3) arrives.
-    // Cause: the hint outlived a gap in which it may have been taken back.
+    // `Stored` (1) arrives, `Evicted` (2) is lost, an unrelated event (3) arrives. A hint that survived
+    // the gap would send requests to an engine that has to compute the prefix again.
     let mut router = router(ENGINES);
     let reach = keys(ENGINES);
     let prefix = prompt(1, 1);
@@ -120,8 +117,8 @@
     assert!(gap);
     assert_eq!(before.server, ServerKey(7));
     assert_eq!(before.expected_hit_blocks, 1);
-    // The choice above is an own send, which the gap leaves at half its worth; a router that
-    // knew of the block by the event alone expects nothing any more.
+    // The choice above counts as an own request, of which the gap halves the confidence. A router that
+    // knows the block only from the event expects no hit any more.
     let mut fresh = common::router(ENGINES);
     fresh.record_cache_event(at(0), ServerKey(7), 1, CacheEvent::Stored(prefix[0]));
     fresh.record_cache_event(at(2), ServerKey(7), 3, CacheEvent::Stored(other));
@@ -131,10 +128,9 @@
 
 #[test]
 fn a_small_gap_leaves_most_of_what_an_engine_holds() {
-    // Symptom: one lost event of thousands makes the whole cache of an engine count for nothing,
-    // and the cache hit share drops (0.85 without lost events, 0.75 with one in a thousand lost).
-    // Events: 200 blocks are stored, then one event is lost.
-    // Cause: one event can take back one block; all were voided.
+    // 200 blocks are stored, then one event is lost, which can have evicted only one block. Invalidating
+    // all blocks lowered the cache hit rate from 0.85 without lost events to 0.75 with one in a
+    // thousand lost.
     let mut router = router(ENGINES);
     let reach = keys(ENGINES);
     let prefix = prompt(1, 16);
@@ -151,14 +147,13 @@
 
     assert_eq!(choice.server, ServerKey(7));
     assert_eq!(choice.expected_hit_blocks, 16);
-    assert!(choice.expected_tokens >= 1, "some doubt stays");
+    assert!(choice.expected_tokens >= 1, "the confidence stays below 1");
 }
 
 #[test]
 fn a_clearing_that_a_gap_hid_shows_in_the_load_report() {
-    // Symptom: requests follow prefixes into an engine whose cache is empty.
-    // Events: blocks are stored, the event that the cache was cleared is lost, a report follows.
-    // Cause: only an event could end what was believed.
+    // Blocks are stored, the `Cleared` event is lost, then a load report follows. If only events
+    // invalidated blocks, requests would go to an engine with an empty cache.
     let mut router = router(ENGINES);
     let reach = keys(ENGINES);
     let prefix = prompt(1, 16);
@@ -179,9 +174,8 @@
 
 #[test]
 fn late_events_remove_but_never_add() {
-    // Symptom: a hint for a block that was evicted long ago comes back to life.
-    // Events: stored (1) is delayed; eviction (2) arrives first, then stored (1).
-    // Cause: events were applied by the order of their arrival.
+    // `Evicted` (2) arrives before the delayed `Stored` (1). Applied in order of arrival, they would
+    // restore a hint for an evicted block.
     let mut router = router(ENGINES);
     let reach = keys(ENGINES);
     let block = prompt(1, 1);
@@ -195,9 +189,8 @@
 
 #[test]
 fn an_engine_that_restarts_is_heard_again_and_its_old_cache_forgotten() {
-    // Symptom: after an engine's restart its events are ignored for ever.
-    // Events: events up to 5,000; the engine restarts and counts from 1.
-    // Cause: smaller numbers were taken for late ones.
+    // After events up to 5,000 an engine restarts and numbers its events from 1. Taken for late ones,
+    // they would be ignored forever.
     let mut router = router(ENGINES);
     let reach = keys(ENGINES);
     let old = prompt(1, 1);
@@ -228,9 +221,8 @@
 
 #[test]
 fn the_history_stays_within_its_bounds_and_events_do_not_push_out_own_blocks() {
-    // Symptom: memory grows with the fleet's event traffic, or own prompts are forgotten.
-    // Events: one own prompt, then 10,000 events about blocks that no caller here uses.
-    // Cause: hints and own history shared one unbounded table.
+    // One own prompt is followed by 10,000 events about blocks that no caller of this instance uses.
+    // With one shared table, memory would grow with the event traffic or own prompts would be evicted.
     let settings = Settings {
         history_blocks: 64,
         hint_blocks: 128,
@@ -257,7 +249,7 @@
     let reach = keys(1);
     let prefix = prompt(1, 4);
     run(&mut router, at(0), &reach, &prefix);
-    let mut replaced = policy(0, "zone-a");
+    let mut replaced = spec(0, "zone-a");
     replaced.name = "engine-new".into();
     router.set_servers(at(1), &[replaced]);
 
