--- a/crates/fescuewell_routing/examples/engines/world.rs
+++ b/crates/fescuewell_routing/examples/engines/world.rs
@@ -1,4 +1,5 @@
-//! Simulation in virtual time: engines, instances, delayed load reports, late and lost cache events.
+//! Simulation in virtual time: engines, instances, delayed load reports, late and lost cache
+//! events.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
--- a/crates/fescuewell_routing/src/choice.rs
+++ b/crates/fescuewell_routing/src/choice.rs
@@ -14,9 +14,9 @@
     pub model: Option<Arc<str>>,
     /// Backend servers that the request's group may use; for a service, those that run it.
     pub reach: &'a [ServerKey],
-    /// Digests of the prompt's consecutive blocks, each over the prompt from its start to the end of
-    /// the block. They must be salted per group: with equal digests, response times through a shared
-    /// cache would reveal to one group that another one sent the same prompt.
+    /// Digests of the prompt's consecutive blocks, each over the prompt from its start to the end
+    /// of the block. They must be salted per group: with equal digests, response times through a
+    /// shared cache would reveal to one group that another one sent the same prompt.
     pub prefix: &'a [Digest],
     /// Length of the whole prompt in tokens.
     pub prompt_tokens: u32,
--- a/crates/fescuewell_routing/src/gather.rs
+++ b/crates/fescuewell_routing/src/gather.rs
@@ -69,9 +69,9 @@
         let mut limit = entry.concurrency as f32;
         let keeps_reserve = match entry.headroom {
             Some(headroom) if !self.admits(headroom) => return true,
-            // The caller's limit keeps a reserve and counts only bulk requests against it. A reserve
-            // computed from all streams here would deny bulk requests their guaranteed minimum on a
-            // server that is full of urgent requests.
+            // The caller's limit keeps a reserve and counts only bulk requests against it. A
+            // reserve computed from all streams here would deny bulk requests their guaranteed
+            // minimum on a server that is full of urgent requests.
             Some(_) => false,
             None => true,
         };
--- a/crates/fescuewell_routing/src/health.rs
+++ b/crates/fescuewell_routing/src/health.rs
@@ -159,8 +159,9 @@
             return 1.0;
         }
         let Some(probed_at) = self.probed_at else {
-            // No probe has succeeded. The caller may not send probes at all, so after `probe_ms` one
-            // regular request at a time is let through; the server would stay ejected otherwise.
+            // No probe has succeeded. The caller may not send probes at all, so after `probe_ms`
+            // one regular request at a time is let through; the server would stay ejected
+            // otherwise.
             let waited = now.since(self.since) >= millis(settings.probe_ms);
             return if waited { MIN_RAMP_SHARE } else { 0.0 };
         };
@@ -287,9 +288,9 @@
     if state == STATES.suspect && !waited {
         return None;
     }
-    // When many servers look bad at once, the fault is probably local or common to all, and ejecting
-    // them would put the whole load on the few that remain. A suspect server beyond the budget stays
-    // in use at a higher cost.
+    // When many servers look bad at once, the fault is probably local or common to all, and
+    // ejecting them would put the whole load on the few that remain. A suspect server beyond the
+    // budget stays in use at a higher cost.
     if state != STATES.returning && !budget.take(entry) {
         return None;
     }
--- a/crates/fescuewell_routing/src/load.rs
+++ b/crates/fescuewell_routing/src/load.rs
@@ -118,7 +118,8 @@
         self.ended.push_back(span);
     }
 
-    /// Returns the load by other instances in the latest report, or 0 if it is older than `max_age`.
+    /// Returns the load by other instances in the latest report, or 0 if it is older than
+    /// `max_age`.
     pub(crate) fn reported(&self, now: Instant, max_age: Duration) -> f32 {
         self.fresh(now, max_age)
             .map_or(0.0, |snapshot| snapshot.others)
@@ -128,8 +129,8 @@
     ///
     /// The latest report alone is not used: all instances receive the same one and would overshoot
     /// together until the next. The estimate combines the mean of many reports, which shows lasting
-    /// differences, with this instance's own load. That is always exact, and every other instance is
-    /// expected to have the same, since it chooses by the same rules.
+    /// differences, with this instance's own load. That is always exact, and every other instance
+    /// is expected to have the same, since it chooses by the same rules.
     pub(crate) fn estimate(&self, now: Instant, own: f32, parameters: &Parameters) -> Estimate {
         let inferred = own * parameters.peers;
         let Some(snapshot) = self.fresh(now, parameters.max_age) else {
--- a/crates/fescuewell_routing/src/prefix.rs
+++ b/crates/fescuewell_routing/src/prefix.rs
@@ -100,8 +100,9 @@
 
 /// Bounded index of prefixes.
 pub(crate) struct History {
-    // Blocks of this instance's requests and blocks known only from events have separate capacities:
-    // the events of a large fleet would otherwise evict the blocks that this instance's callers use.
+    // Blocks of this instance's requests and blocks known only from events have separate
+    // capacities: the events of a large fleet would otherwise evict the blocks that this instance's
+    // callers use.
     own: Blocks,
     hints: Blocks,
     feeds: Vec<Feed>,
@@ -120,7 +121,8 @@
         }
     }
 
-    /// Finds the servers that cache a prefix of the prompt, by descending expected number of blocks.
+    /// Finds the servers that cache a prefix of the prompt, by descending expected number of
+    /// blocks.
     pub(crate) fn lookup(&mut self, now: Instant, prefix: &[Digest], hits: &mut Vec<Hit>) {
         hits.clear();
         let stride = stride(prefix.len());
@@ -336,7 +338,8 @@
     (0..blocks / stride).map(move |step| (step + 1) * stride - 1)
 }
 
-/// Extends a server's hit to `depth`, if it has all looked-up blocks before. Returns whether it did.
+/// Extends a server's hit to `depth`, if it has all looked-up blocks before. Returns whether it
+/// did.
 fn extend_hits(
     hits: &mut Vec<Hit>,
     server: ServerKey,
--- a/crates/fescuewell_routing/src/router.rs
+++ b/crates/fescuewell_routing/src/router.rs
@@ -166,15 +166,16 @@
         }
     }
 
-    /// Sets which requests this instance's concurrency limit for a server still admits. Once set, it
-    /// replaces [`Settings::urgent_reserve_percent`].
+    /// Sets which requests this instance's concurrency limit for a server still admits. Once set,
+    /// it replaces [`Settings::urgent_reserve_percent`].
     pub fn set_headroom(&mut self, server: ServerKey, headroom: Headroom) {
         if let Some(Some(entry)) = self.entries.get_mut(server.0 as usize) {
             entry.headroom = Some(headroom);
         }
     }
 
-    /// Chooses a backend server. The request counts as in flight once [`Router::started`] is called.
+    /// Chooses a backend server. The request counts as in flight once [`Router::started`] is
+    /// called.
     ///
     /// # Errors
     ///
--- a/crates/fescuewell_routing/tests/choice.rs
+++ b/crates/fescuewell_routing/tests/choice.rs
@@ -48,8 +48,8 @@
 
 #[test]
 fn excluded_and_leaving_servers_get_nothing() {
-    // Draining must take effect on the next choice. If it waited for the next document, a server that
-    // shuts down would get a new request and abort it.
+    // Draining must take effect on the next choice. If it waited for the next document, a server
+    // that shuts down would get a new request and abort it.
     let mut router = router(2);
     let reach = keys(2);
     router.set_leaving(ServerKey(0), true);
--- a/crates/fescuewell_routing/tests/health.rs
+++ b/crates/fescuewell_routing/tests/health.rs
@@ -64,8 +64,8 @@
 
 #[test]
 fn a_slow_server_is_ejected_though_it_makes_progress() {
-    // One engine needs five times as long per token as the others while its health checks pass. Only a
-    // comparison of stream progress detects it.
+    // One engine needs five times as long per token as the others while its health checks pass.
+    // Only a comparison of stream progress detects it.
     let mut fleet = fleet(20);
     fleet.run(2_000);
     fleet.gaps[3] = 100;
@@ -90,9 +90,9 @@
 
 #[test]
 fn a_burst_of_long_prompts_does_not_eject_a_healthy_server() {
-    // An engine repeatedly computes long prompts for most of a second, which delays the tokens of its
-    // other streams fivefold. A comparison of mean times per token takes such bursts for a fault and
-    // ejects a few healthy engines per minute.
+    // An engine repeatedly computes long prompts for most of a second, which delays the tokens of
+    // its other streams fivefold. A comparison of mean times per token takes such bursts for a
+    // fault and ejects a few healthy engines per minute.
     let mut fleet = fleet(20);
     fleet.run(2_000);
     for _ in 0..10 {
@@ -117,8 +117,8 @@
 
 #[test]
 fn never_more_than_a_share_is_ejected_at_once() {
-    // A network fault near this instance stalls the streams on all ten engines at once. Ejecting each
-    // one independently would overload the few that remain.
+    // A network fault near this instance stalls the streams on all ten engines at once. Ejecting
+    // each one independently would overload the few that remain.
     let mut fleet = fleet(20);
     fleet.run(1_000);
     fleet.gaps.fill(0);
--- a/crates/fescuewell_routing/tests/load.rs
+++ b/crates/fescuewell_routing/tests/load.rs
@@ -13,9 +13,9 @@
 
 #[test]
 fn nine_instances_with_one_report_do_not_choose_one_engine() {
-    // One engine reports no load, the others a little, and nine instances choose ten times each before
-    // the next report. If all followed the same delayed report, the idle engine would get the longest
-    // queue, then the next one.
+    // One engine reports no load, the others a little, and nine instances choose ten times each
+    // before the next report. If all followed the same delayed report, the idle engine would get
+    // the longest queue, then the next one.
     let reach = keys(ENGINES);
     let mut sent: HashMap<ServerKey, u32> = HashMap::new();
     for instance in 0..ROUTERS {
@@ -60,8 +60,8 @@
 
 #[test]
 fn a_report_that_was_overtaken_is_ignored() {
-    // A report from 900 ms arrives, then an older one in which the engine is full. Applied in order of
-    // arrival, the older one would make an engine with free capacity count as busy.
+    // A report from 900 ms arrives, then an older one in which the engine is full. Applied in order
+    // of arrival, the older one would make an engine with free capacity count as busy.
     let mut router = router(1);
     let reach = keys(1);
     router.record_load(at(1_000), ServerKey(0), report(1, 0, 100));
--- a/crates/fescuewell_routing/tests/prefix.rs
+++ b/crates/fescuewell_routing/tests/prefix.rs
@@ -66,8 +66,8 @@
 
 #[test]
 fn a_hit_never_costs_more_queueing_than_it_saves() {
-    // The engine that caches the prompt has far more prompt tokens queued than a hit saves. Without a
-    // comparison, one account's requests would wait there while the other engines are idle.
+    // The engine that caches the prompt has far more prompt tokens queued than a hit saves. Without
+    // a comparison, one account's requests would wait there while the other engines are idle.
     let mut router = router(ENGINES);
     let reach = keys(ENGINES);
     let prefix = prompt(1, 16);
@@ -81,8 +81,8 @@
 
 #[test]
 fn a_large_account_spreads_over_several_engines_and_keeps_its_cache() {
-    // One prompt prefix arrives faster than one engine can process it. Pinned to the engine that got
-    // it first, a single account would saturate that engine.
+    // One prompt prefix arrives faster than one engine can process it. Pinned to the engine that
+    // got it first, a single account would saturate that engine.
     let mut router = router(ENGINES);
     let reach = keys(ENGINES);
     let prefix = prompt(1, 16);
@@ -117,8 +117,8 @@
     assert!(gap);
     assert_eq!(before.server, ServerKey(7));
     assert_eq!(before.expected_hit_blocks, 1);
-    // The choice above counts as an own request, of which the gap halves the confidence. A router that
-    // knows the block only from the event expects no hit any more.
+    // The choice above counts as an own request, of which the gap halves the confidence. A router
+    // that knows the block only from the event expects no hit any more.
     let mut fresh = common::router(ENGINES);
     fresh.record_cache_event(at(0), ServerKey(7), 1, CacheEvent::Stored(prefix[0]));
     fresh.record_cache_event(at(2), ServerKey(7), 3, CacheEvent::Stored(other));
@@ -128,9 +128,9 @@
 
 #[test]
 fn a_small_gap_leaves_most_of_what_an_engine_holds() {
-    // 200 blocks are stored, then one event is lost, which can have evicted only one block. Invalidating
-    // all blocks lowered the cache hit rate from 0.85 without lost events to 0.75 with one in a
-    // thousand lost.
+    // 200 blocks are stored, then one event is lost, which can have evicted only one block.
+    // Invalidating all blocks lowered the cache hit rate from 0.85 without lost events to 0.75 with
+    // one in a thousand lost.
     let mut router = router(ENGINES);
     let reach = keys(ENGINES);
     let prefix = prompt(1, 16);
@@ -189,8 +189,8 @@
 
 #[test]
 fn an_engine_that_restarts_is_heard_again_and_its_old_cache_forgotten() {
-    // After events up to 5,000 an engine restarts and numbers its events from 1. Taken for late ones,
-    // they would be ignored forever.
+    // After events up to 5,000 an engine restarts and numbers its events from 1. Taken for late
+    // ones, they would be ignored forever.
     let mut router = router(ENGINES);
     let reach = keys(ENGINES);
     let old = prompt(1, 1);
@@ -221,8 +221,9 @@
 
 #[test]
 fn the_history_stays_within_its_bounds_and_events_do_not_push_out_own_blocks() {
-    // One own prompt is followed by 10,000 events about blocks that no caller of this instance uses.
-    // With one shared table, memory would grow with the event traffic or own prompts would be evicted.
+    // One own prompt is followed by 10,000 events about blocks that no caller of this instance
+    // uses. With one shared table, memory would grow with the event traffic or own prompts would be
+    // evicted.
     let settings = Settings {
         history_blocks: 64,
         hint_blocks: 128,
