--- a/crates/fescuewell_placement/examples/plan_cost.rs
+++ b/crates/fescuewell_placement/examples/plan_cost.rs
@@ -1,4 +1,4 @@
-//! Measures what a planner's tick costs with 12,000 engines and 40 models.
+//! Benchmark of a planner's takeover and tick with 12,000 engines and 40 models.
 //!
 //! `cargo run --release -p fescuewell_placement --example plan_cost`
 
@@ -42,15 +42,15 @@
     document
 }
 
-fn read_back(planner: &mut Planner, now: Instant) {
+fn observe_all(planner: &mut Planner, now: Instant) {
     for index in 0..SERVERS {
-        let seen = Observation {
+        let observation = Observation {
             requested_at: now,
             loaded: [name(index)].into(),
             loading: [].into(),
             role: "mixed".into(),
         };
-        planner.observe(now, &format!("engine-{index}"), seen);
+        planner.observe(now, &format!("engine-{index}"), observation);
     }
 }
 
@@ -74,7 +74,7 @@
         "take-over: {steps} table steps, {} ms",
         watch.elapsed().as_millis()
     );
-    read_back(&mut planner, start);
+    observe_all(&mut planner, start);
     let watch = Stopwatch::now();
     planner.tick(Instant::from_millis(1_000));
     println!(
@@ -85,7 +85,7 @@
         planner.set_demand(&name(model), 1_000_000);
     }
     planner.tick(Instant::from_millis(2_000));
-    read_back(&mut planner, Instant::from_millis(13_000));
+    observe_all(&mut planner, Instant::from_millis(13_000));
     let watch = Stopwatch::now();
     planner.tick(Instant::from_millis(13_000));
     println!(
--- a/crates/fescuewell_placement/src/goal.rs
+++ b/crates/fescuewell_placement/src/goal.rs
@@ -1,4 +1,4 @@
-//! How many servers each model needs, with hysteresis.
+//! Desired number of servers of each model, with hysteresis.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,26 +7,26 @@
 
 use crate::settings::{Settings, millis};
 
-/// The need of one model.
+/// Demand for one model and the servers that it needs.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Need {
-    pub(crate) least: u32,
+    pub(crate) min_servers: u32,
     pub(crate) base: Option<Arc<str>>,
-    extra: u32,
+    demand_servers: u32,
     demand: u64,
-    leaning: Option<Leaning>,
+    trend: Option<Trend>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Leaning {
-    up: bool,
+struct Trend {
+    rising: bool,
     since: Instant,
 }
 
 impl Need {
-    /// Servers that should have the model.
+    /// Returns the number of servers that should have the model.
     pub(crate) fn servers(&self) -> u32 {
-        self.least.max(self.extra)
+        self.min_servers.max(self.demand_servers)
     }
 
     pub(crate) fn demand(&self) -> u64 {
@@ -37,26 +37,27 @@
         self.demand = tokens_per_second;
     }
 
-    /// Moves the need by one server when demand has leaned that way for long enough.
+    /// Adds or removes one server when demand has been above or below its threshold for long
+    /// enough.
     ///
-    /// Rise and fall have thresholds and times of their own. With one threshold, a demand that
-    /// swings around it would load and unload the same model in turn, each time through the weight
-    /// store.
+    /// Scaling up and down have separate thresholds and delays. With a single threshold, demand
+    /// that oscillates around it would repeatedly unload the model and load it again from the
+    /// weight store.
     pub(crate) fn review(&mut self, now: Instant, settings: &Settings) {
         let servers = u64::from(self.servers());
         let part = |servers: u64, percent: u32| {
             servers * settings.tokens_per_server * u64::from(percent) / 100
         };
         let high = self.demand > part(servers, settings.raise_percent);
-        let low = servers > u64::from(self.least)
+        let low = servers > u64::from(self.min_servers)
             && self.demand < part(servers.saturating_sub(1), settings.lower_percent);
         if !high && !low {
-            self.leaning = None;
+            self.trend = None;
             return;
         }
-        let leaning = self.leaning.filter(|leaning| leaning.up == high);
-        let leaning = *self.leaning.insert(leaning.unwrap_or(Leaning {
-            up: high,
+        let trend = self.trend.filter(|trend| trend.rising == high);
+        let trend = *self.trend.insert(trend.unwrap_or(Trend {
+            rising: high,
             since: now,
         }));
         let wait = if high {
@@ -64,15 +65,15 @@
         } else {
             settings.lower_after_ms
         };
-        if now.since(leaning.since) < millis(wait) {
+        if now.since(trend.since) < millis(wait) {
             return;
         }
-        self.extra = if high {
+        self.demand_servers = if high {
             self.servers() + 1
         } else {
             self.servers() - 1
         };
-        self.leaning = None;
+        self.trend = None;
     }
 }
 
--- a/crates/fescuewell_placement/src/kv.rs
+++ b/crates/fescuewell_placement/src/kv.rs
@@ -1,4 +1,4 @@
-//! Whether the cached prompts of a leaving engine are moved or computed again elsewhere.
+//! Decision whether the cached prompts of a draining engine are moved or recomputed on another one.
 //!
 //! ```
 //! use fescuewell_placement::kv::{Decision, Rates, decide};
@@ -9,30 +9,30 @@
 
 use std::time::Duration;
 
-/// What setting up a transfer costs, whatever its size.
-const SETUP: Duration = Duration::from_millis(50);
+/// Fixed setup time of a transfer.
+const TRANSFER_SETUP: Duration = Duration::from_millis(50);
 
 fescuewell_core::message! {
-    /// What to do with cached tokens.
+    /// Treatment of cached tokens.
     #[derive(Copy, Eq)]
     pub enum Decision {
-        /// Export them here and import them there.
+        /// Export them from one engine and import them into the other.
         Move,
-        /// Let the next request compute them again.
+        /// Let the next request recompute them.
         Recompute,
     }
 
-    /// Rates, both in tokens per second; 0 means impossible.
+    /// Rates in tokens per second; 0 means that it is not possible.
     #[derive(Copy, Eq)]
     pub struct Rates {
-        /// Of moving cached tokens between two engines.
+        /// Rate of moving cached tokens between two engines.
         pub transfer: u64,
-        /// Of computing prompt tokens on an engine as busy as the receiver.
+        /// Rate of computing prompt tokens on an engine with the receiver's load.
         pub recompute: u64,
     }
 }
 
-/// Chooses the cheaper way to have `tokens` cached tokens on another engine.
+/// Chooses the faster way to get `tokens` cached tokens onto another engine.
 pub fn decide(tokens: u64, rates: Rates) -> Decision {
     if tokens == 0 || rates.transfer == 0 {
         return Decision::Recompute;
@@ -41,7 +41,7 @@
         return Decision::Move;
     }
     let seconds = |rate: u64| tokens as f64 / rate as f64;
-    let moving = SETUP.as_secs_f64() + seconds(rates.transfer);
+    let moving = TRANSFER_SETUP.as_secs_f64() + seconds(rates.transfer);
     if moving < seconds(rates.recompute) {
         Decision::Move
     } else {
--- a/crates/fescuewell_placement/src/order.rs
+++ b/crates/fescuewell_placement/src/order.rs
@@ -1,4 +1,4 @@
-//! Orders to backend servers and the table rows that are written before them.
+//! Orders to backend servers, and the table rows that are written before an order is sent.
 
 use std::fmt;
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 use fescuewell_core::prelude::*;
 
 fescuewell_core::data! {
-    /// What a backend server is told to do.
+    /// Action that a backend server is ordered to take.
     #[derive(PartialOrd, Ord)]
     #[serde(rename_all = "snake_case")]
     pub enum Action {
@@ -20,7 +20,7 @@
             /// Its name.
             model: Arc<str>,
         },
-        /// Take a role.
+        /// Change the role.
         Role {
             /// Its name.
             role: Arc<str>,
@@ -29,69 +29,69 @@
 
     /// The row `order/{server}`: the last order that may have been sent to the server.
     pub struct Record {
-        /// Epoch of the holder that wrote it.
+        /// Epoch of the leader that wrote it.
         pub epoch: Epoch,
-        /// Counts the orders of that holder.
+        /// Sequence number of the order within the epoch.
         pub number: u64,
-        /// The order; none once a new holder has taken the row over.
+        /// Ordered action; `None` once a new leader has taken over the row.
         pub action: Option<Action>,
-        /// Earlier orders that may still arrive, those of earlier holders included.
+        /// Earlier orders that may still arrive, including those of earlier leaders.
         pub late: Vec<LateOrder>,
     }
 
     /// An order that may still arrive.
     pub struct LateOrder {
-        /// Epoch of the holder that gave it.
+        /// Epoch of the leader that sent it.
         pub epoch: Epoch,
-        /// The order.
+        /// Ordered action.
         pub action: Action,
-        /// Whether seeing its effect proves that it arrived. Not so when the same order was given
-        /// again later: the effect may be that of the second one.
+        /// Whether its observed effect proves that it arrived. It does not if the same order may
+        /// have been sent again, since the effect may be that of the second one.
         pub single: bool,
     }
 }
 
 fescuewell_core::message! {
-    /// An order ready to be sent, at most once.
+    /// An order to be sent at most once.
     #[derive(Eq)]
     pub struct Order {
         /// Name of the backend server.
         pub server: Arc<str>,
         /// Fencing number.
         pub epoch: Epoch,
-        /// Number of the order within the epoch.
+        /// Sequence number of the order within the epoch.
         pub number: u64,
-        /// What to do.
+        /// Action to take.
         pub action: Action,
-        /// Why, for the log line.
+        /// Reason, for the log line.
         pub reason: Reason,
     }
 
-    /// Why an order is given.
+    /// Reason for an order.
     #[derive(Copy, Eq)]
     pub enum Reason {
         /// The model needs more servers.
         Needed,
-        /// The model gives room to one that needs it.
+        /// Another model needs the capacity.
         Room,
         /// The document no longer lists the model for the server.
         Unlisted,
-        /// The server's role is not the wanted one.
+        /// The server's role differs from the configured one.
         Role,
-        /// The server learns the new fencing number, so that it refuses late orders.
+        /// The server has to learn the new fencing number, so that it rejects late orders.
         Fence,
     }
 
-    /// What became of a sent order.
+    /// Response of a backend server to an order.
     #[derive(Copy, Eq)]
     pub enum Response {
-        /// The server took it.
+        /// The server accepted it.
         Accepted,
-        /// The server refused it for its fencing number.
+        /// The server rejected its fencing number as stale.
         Stale,
-        /// The server refused it for another reason.
+        /// The server rejected it for another reason, or it was not sent.
         Refused,
-        /// No answer: it may arrive still.
+        /// There was no response, so it may still arrive.
         Unknown,
     }
 }
@@ -123,26 +123,26 @@
     }
 }
 
-/// Common start of the rows' keys.
+/// Common prefix of the row keys.
 pub const KEY_PREFIX: &str = "order/";
 
-/// The key of a server's row.
+/// Returns the key of a server's row.
 pub fn row_key(server: &str) -> Arc<str> {
     format!("{KEY_PREFIX}{server}").into()
 }
 
 impl Record {
-    /// The row's content.
+    /// Encodes the record as a row value.
     ///
     /// # Panics
     ///
-    /// Never: a record has no content that JSON cannot hold.
+    /// Never, since every record can be represented in JSON.
     pub fn encode(&self) -> Arc<[u8]> {
         let bytes = serde_json::to_vec(self).expect("a record is plain data");
         bytes.into()
     }
 
-    /// Reads a row's content; `None` when it is not a record.
+    /// Decodes a row value; `None` when it is not a record.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         serde_json::from_slice(bytes).ok()
     }
--- a/crates/fescuewell_placement/src/planner.rs
+++ b/crates/fescuewell_placement/src/planner.rs
@@ -1,9 +1,10 @@
-//! The planner: takes over the duty, writes rows before orders, hands orders out, reads back.
+//! The planner, which plans orders, records them in the table, issues them and observes their
+//! effect.
 //!
-//! Order of events for one order: the row `order/{server}` is written by compare-and-swap; the order
-//! is handed out once; the server is read back until the effect shows or the order is given up.
-//! A new holder first takes over every row. From then on an earlier holder's writes fail, so that
-//! it hands out nothing more, and its last order for each server is known from the row.
+//! Sequence for one order: the row `order/{server}` is written by compare-and-swap; the order is
+//! returned for sending once; the server's state is observed until it shows the effect or the order
+//! times out. A new leader first takes over every row. From then on the writes of an earlier leader
+//! fail, so it issues no more orders, and its last order for each server is known from the row.
 
 mod table;
 
@@ -14,56 +15,56 @@
 use fescuewell_core::prelude::*;
 use fescuewell_document::prelude::{Document, ServerRole};
 
-use crate::fleet::{Fleet, Observation, Pending, Threat, serving, shows};
+use crate::fleet::{Fleet, Observation, Pending, Undelivered, has_effect, serving_counts};
 use crate::goal::Needs;
 use crate::order::{Action, LateOrder, Order, Response};
-use crate::plan::{Idea, View};
+use crate::plan::{Context, Proposal};
 use crate::settings::{Settings, millis};
 
 static LEADERSHIP: LazyLock<Chart> =
     LazyLock::new(|| Chart::parse(include_str!("duty.json")).expect("duty.json is a state chart"));
 
 fescuewell_core::message! {
-    /// The duty to place, as the holder of slot 0 has it.
+    /// Leadership for placement, which the holder of slot 0 has.
     #[derive(Copy, Eq)]
     pub struct Leadership {
         /// The slot's epoch, which becomes the fencing number of the orders.
         pub epoch: Epoch,
     }
 
-    /// What the caller should log.
+    /// A notice that the caller should log.
     #[derive(Eq)]
     pub enum Notice {
-        /// A read-back differed from what was ordered earlier and is put right (E7003).
+        /// The observed state differs from an earlier order and is being corrected (E7003).
         Repaired {
             /// Which server.
             server: Arc<str>,
-            /// What is ordered to put it right.
+            /// Ordered action that corrects it.
             action: Action,
         },
-        /// An order showed no effect in time.
+        /// An order had no effect in time.
         GivenUp {
             /// Which server.
             server: Arc<str>,
-            /// The order.
+            /// Ordered action.
             action: Action,
         },
-        /// Another holder with a higher epoch has taken over.
+        /// Another leader with a higher epoch has taken over.
         Superseded {
-            /// Its epoch.
+            /// Epoch of the new leader.
             by: Epoch,
         },
     }
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum Await {
+enum Request {
     Scan,
     Adopt(Vec<Arc<str>>),
     Write(Arc<str>),
 }
 
-/// Decides which server loads what. See the [module](self) for the order of events.
+/// Decides which server loads which model. See the [module](self) for the sequence of an order.
 ///
 /// ```
 /// use fescuewell_core::prelude::*;
@@ -87,19 +88,19 @@
     revisions: BTreeMap<Arc<str>, u64>,
     unadopted: VecDeque<Arc<str>>,
     scanned: bool,
-    waiting: Option<Await>,
+    outstanding: Option<Request>,
     retry_at: Instant,
     settled_at: Instant,
     last_load: Option<Instant>,
-    store_ms: u32,
-    ideas: VecDeque<Arc<str>>,
+    store_interval_ms: u32,
+    unwritten: VecDeque<Arc<str>>,
     ready: VecDeque<(Instant, Order)>,
     achieved: BTreeMap<Arc<str>, Vec<Action>>,
     notices: Vec<Notice>,
 }
 
 impl Planner {
-    /// A planner without the duty.
+    /// Creates a planner without leadership.
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
@@ -111,24 +112,24 @@
             revisions: BTreeMap::new(),
             unadopted: VecDeque::new(),
             scanned: false,
-            waiting: None,
+            outstanding: None,
             retry_at: Instant::default(),
             settled_at: Instant::default(),
             last_load: None,
-            store_ms: 0,
-            ideas: VecDeque::new(),
+            store_interval_ms: 0,
+            unwritten: VecDeque::new(),
             ready: VecDeque::new(),
             achieved: BTreeMap::new(),
             notices: Vec::new(),
         }
     }
 
-    /// The name of the duty's state in `duty.json`.
+    /// Returns the name of the leadership state in `duty.json`.
     pub fn state(&self) -> &'static str {
         LEADERSHIP.name(self.state)
     }
 
-    /// Takes over a document; what was seen of servers that stay is kept.
+    /// Applies a document. State of servers that remain is kept.
     pub fn set_document(&mut self, document: &Document) {
         let mut fleet = Fleet::new();
         for listed in &document.servers {
@@ -136,15 +137,15 @@
                 continue;
             }
             let mut server = self.fleet.remove(&listed.name).unwrap_or_default();
-            server.listed = listed.models.iter().cloned().collect();
-            server.checks = listed.checks_fencing;
+            server.listed_models = listed.models.iter().cloned().collect();
+            server.checks_fencing = listed.checks_fencing;
             fleet.insert(listed.name.clone(), server);
         }
         self.fleet = fleet;
         let mut needs = Needs::new();
         for model in &document.models {
             let mut need = self.needs.remove(&model.name).unwrap_or_default();
-            need.least = model.least_servers;
+            need.min_servers = model.least_servers;
             need.base = model.base.clone();
             needs.insert(model.name.clone(), need);
         }
@@ -152,7 +153,8 @@
         self.adopt_new_servers();
     }
 
-    /// A server that a newer document adds may have a row of an earlier holder.
+    /// Scans the rows again if the document adds a server, which may have a row of an earlier
+    /// leader.
     fn adopt_new_servers(&mut self) {
         if !self.scanned {
             return;
@@ -164,33 +166,33 @@
         }
     }
 
-    /// Notes the recent demand for a model, in tokens per second.
+    /// Sets the recent demand for a model, in tokens per second.
     pub fn set_demand(&mut self, model: &str, tokens_per_second: u64) {
         if let Some(need) = self.needs.get_mut(model) {
             need.set_demand(tokens_per_second);
         }
     }
 
-    /// Notes how fast the weight store delivers. The next load waits until the last one's bytes can
-    /// have passed.
+    /// Sets the throughput of the weight store. The next load waits for as long as the store needs
+    /// for one model.
     pub fn set_store_rate(&mut self, bytes_per_second: u64, model_bytes: u64) {
         let millis = model_bytes.saturating_mul(1_000) / bytes_per_second.max(1);
-        self.store_ms = u32::try_from(millis).unwrap_or(u32::MAX);
+        self.store_interval_ms = u32::try_from(millis).unwrap_or(u32::MAX);
     }
 
-    /// Notes whether a server is leaving; a leaving one is replaced ahead of time.
+    /// Sets whether a server is draining. A draining server is replaced in advance.
     pub fn set_leaving(&mut self, server: &str, leaving: bool) {
         if let Some(server) = self.fleet.get_mut(server) {
             server.leaving = leaving;
         }
     }
 
-    /// Notes that this instance got the duty, with a new epoch, or lost it. A duty that was lost
-    /// counts again only with a higher epoch, since what was under way is no longer known.
-    pub fn set_leadership(&mut self, now: Instant, duty: Option<Leadership>) {
-        match duty {
+    /// Sets or removes this instance's leadership. After a loss it counts again only with a higher
+    /// epoch, since the state of orders in flight is no longer known.
+    pub fn set_leadership(&mut self, now: Instant, leadership: Option<Leadership>) {
+        match leadership {
             None => self.lose(),
-            Some(duty) if duty.epoch > self.epoch => self.gain(now, duty.epoch),
+            Some(leadership) if leadership.epoch > self.epoch => self.gain(now, leadership.epoch),
             Some(_) => {}
         }
     }
@@ -206,23 +208,23 @@
     fn lose(&mut self) {
         self.signal("lost");
         self.scanned = false;
-        self.waiting = None;
+        self.outstanding = None;
         self.revisions.clear();
         self.unadopted.clear();
-        self.ideas.clear();
+        self.unwritten.clear();
         self.ready.clear();
         self.achieved.clear();
         for server in self.fleet.values_mut() {
-            // Whatever was seen before the rows are taken over may be undone by another holder.
-            server.seen = None;
+            // Another leader may change any state observed before the rows are taken over.
+            server.observed = None;
             server.pending = None;
             server.fenced = false;
-            server.threats.clear();
+            server.undelivered.clear();
         }
     }
 
     fn signal(&mut self, signal: &str) {
-        // A signal without a step, such as losing a duty that was not held, changes nothing.
+        // A signal without a transition, such as a loss without leadership, is ignored.
         let _ = LEADERSHIP.step(&mut self.state, signal);
     }
 
@@ -230,53 +232,57 @@
         self.state() == name
     }
 
-    /// Notes that the holder of an epoch has ended for good, by the instance list: its late orders
-    /// can no longer be sent.
-    pub fn holder_ended(&mut self, epoch: Epoch) {
+    /// Records that the leader of an epoch has terminated according to the instance list, so that
+    /// it can send no more late orders.
+    pub fn leader_terminated(&mut self, epoch: Epoch) {
         for server in self.fleet.values_mut() {
-            server.threats.retain(|threat| threat.late.epoch != epoch);
+            server
+                .undelivered
+                .retain(|undelivered| undelivered.late.epoch != epoch);
         }
     }
 
-    /// Takes in what a server said of itself.
-    pub fn observe(&mut self, now: Instant, name: &str, seen: Observation) {
+    /// Records the state that a server reported.
+    pub fn observe(&mut self, now: Instant, name: &str, observation: Observation) {
         let Some(server) = self.fleet.get_mut(name) else {
             return;
         };
         if server
-            .seen
+            .observed
             .as_ref()
-            .is_some_and(|known| known.requested_at > seen.requested_at)
+            .is_some_and(|known| known.requested_at > observation.requested_at)
         {
             return;
         }
-        let done = server.pending.as_ref().is_some_and(|pending| {
-            let after = pending.sent.is_some_and(|sent| seen.requested_at >= sent);
-            after && shows(&seen, &pending.action)
+        let is_done = server.pending.as_ref().is_some_and(|pending| {
+            let after = pending
+                .sent_at
+                .is_some_and(|sent| observation.requested_at >= sent);
+            after && has_effect(&observation, &pending.action)
         });
-        let known = server.seen.replace(seen);
-        let strange = known
-            .map(|known| server.unordered(&known))
+        let known = server.observed.replace(observation);
+        let undo = known
+            .map(|known| server.undo_external(&known))
             .unwrap_or_default();
         let achieved = self.achieved.entry(name.into()).or_default();
-        for action in strange {
-            achieved.retain(|known| !opposes(known, &action));
+        for action in undo {
+            achieved.retain(|known| !reverts(known, &action));
             achieved.push(action);
         }
-        if done && let Some(pending) = server.pending.take() {
-            achieved.retain(|known| !opposes(known, &pending.action));
+        if is_done && let Some(pending) = server.pending.take() {
+            achieved.retain(|known| !reverts(known, &pending.action));
             achieved.push(pending.action);
         }
-        server.review_threats(now);
+        server.prune_undelivered(now);
     }
 
-    /// Reviews needs and pending orders and makes the next orders; to be called about once a second.
-    /// Returns what should be logged.
+    /// Updates needs and pending orders and plans the next orders; to be called about once a
+    /// second. Returns the notices to be logged.
     pub fn tick(&mut self, now: Instant) -> Vec<Notice> {
         for need in self.needs.values_mut() {
             need.review(now, &self.settings);
         }
-        self.give_up(now);
+        self.expire_pending(now);
         if self.is("settling") && now >= self.settled_at {
             self.signal("settled");
         }
@@ -286,21 +292,21 @@
         std::mem::take(&mut self.notices)
     }
 
-    fn give_up(&mut self, now: Instant) {
-        let until = Some(now + millis(self.settings.settle_ms));
+    fn expire_pending(&mut self, now: Instant) {
+        let expires_at = Some(now + millis(self.settings.settle_ms));
         for (name, server) in &mut self.fleet {
-            server.review_threats(now);
+            server.prune_undelivered(now);
             let Some(pending) = &server.pending else {
                 continue;
             };
-            let patience = match pending.action {
+            let timeout = match pending.action {
                 Action::Load { .. } => self.settings.load_ms,
                 Action::Unload { .. } | Action::Role { .. } => self.settings.effect_ms,
             };
-            let Some(sent) = pending.sent else {
+            let Some(sent) = pending.sent_at else {
                 continue;
             };
-            if now.since(sent) < millis(patience) {
+            if now.since(sent) < millis(timeout) {
                 continue;
             }
             let action = pending.action.clone();
@@ -309,7 +315,7 @@
                 action: action.clone(),
                 single: false,
             };
-            server.threaten(Threat { late, until });
+            server.add_undelivered(Undelivered { late, expires_at });
             server.pending = None;
             let server = name.clone();
             self.notices.push(Notice::GivenUp { server, action });
@@ -317,16 +323,16 @@
     }
 
     fn plan(&mut self, now: Instant) {
-        let serving = serving(&self.fleet);
+        let serving = serving_counts(&self.fleet);
         loop {
-            let under_way = self
+            let pending = self
                 .fleet
                 .values()
                 .filter(|server| server.pending.is_some());
-            if under_way.count() >= self.settings.orders_at_once as usize {
+            if pending.count() >= self.settings.orders_at_once as usize {
                 return;
             }
-            let view = View {
+            let context = Context {
                 now,
                 settings: &self.settings,
                 fleet: &self.fleet,
@@ -335,17 +341,17 @@
                 settled: self.is("active"),
                 load_allowed: self.load_allowed(now),
             };
-            let Some(idea) = view.next() else {
+            let Some(proposal) = context.next() else {
                 return;
             };
-            self.pend(now, idea);
+            self.add_pending(now, proposal);
         }
     }
 
-    /// Whether the weight store has room for another load. The loads of an earlier holder show as
-    /// `loading` and count as well.
+    /// Whether the weight store has capacity for another load. Loads that an earlier leader ordered
+    /// are observed as `loading` and count as well.
     fn load_allowed(&self, now: Instant) -> bool {
-        let stagger = millis(self.settings.stagger_ms.max(self.store_ms));
+        let stagger = millis(self.settings.stagger_ms.max(self.store_interval_ms));
         if self.last_load.is_some_and(|last| now.since(last) < stagger) {
             return false;
         }
@@ -355,35 +361,38 @@
                 .pending
                 .as_ref()
                 .is_some_and(|pending| matches!(pending.action, Action::Load { .. }));
-            let loading = server.seen.as_ref().map_or(0, |seen| seen.loading.len());
+            let loading = server
+                .observed
+                .as_ref()
+                .map_or(0, |observed| observed.loading.len());
             loads += loading.max(usize::from(ordered));
         }
         loads < self.settings.loads_at_once as usize
     }
 
-    fn pend(&mut self, now: Instant, idea: Idea) {
-        let Some(server) = self.fleet.get_mut(&idea.server) else {
+    fn add_pending(&mut self, now: Instant, proposal: Proposal) {
+        let Some(server) = self.fleet.get_mut(&proposal.server) else {
             return;
         };
-        let repaired = self.achieved.get(&idea.server);
-        if repaired.is_some_and(|achieved| achieved.contains(&idea.action)) {
+        let achieved = self.achieved.get(&proposal.server);
+        if achieved.is_some_and(|achieved| achieved.contains(&proposal.action)) {
             self.notices.push(Notice::Repaired {
-                server: idea.server.clone(),
-                action: idea.action.clone(),
+                server: proposal.server.clone(),
+                action: proposal.action.clone(),
             });
         }
-        if matches!(idea.action, Action::Load { .. }) {
+        if matches!(proposal.action, Action::Load { .. }) {
             self.last_load = Some(now);
         }
         server.pending = Some(Pending {
-            action: idea.action,
-            reason: idea.reason,
-            sent: None,
+            action: proposal.action,
+            reason: proposal.reason,
+            sent_at: None,
         });
-        self.ideas.push_back(idea.server);
+        self.unwritten.push_back(proposal.server);
     }
 
-    /// The next order to send, if any. Each is handed out once.
+    /// Returns the next order to send, if any. Each order is returned once.
     pub fn next_order(&mut self, now: Instant) -> Option<Order> {
         while let Some((written, order)) = self.ready.pop_front() {
             let Some(server) = self.fleet.get_mut(&order.server) else {
@@ -392,36 +401,36 @@
             let Some(pending) = &mut server.pending else {
                 continue;
             };
-            // After a pause of the whole process another holder may be at work. The row then no
-            // longer stands, so an order that was not sent at once is not sent at all.
+            // After a pause of the process another leader may have taken over the row. So an order
+            // that was not sent in time is not sent at all.
             if now.since(written) > millis(self.settings.send_within_ms) {
                 server.pending = None;
                 continue;
             }
-            pending.sent = Some(now);
+            pending.sent_at = Some(now);
             return Some(order);
         }
         None
     }
 
-    /// Takes in a server's answer to an order.
-    pub fn handle_response(&mut self, now: Instant, order: &Order, answer: Response) {
+    /// Records a server's response to an order.
+    pub fn handle_response(&mut self, now: Instant, order: &Order, response: Response) {
         if order.epoch != self.epoch || self.is("idle") {
             return;
         }
-        if answer == Response::Stale {
-            // Somebody gave this server a higher number; the rows will tell who.
+        if response == Response::Stale {
+            // Another leader sent a higher fencing number to this server. The rows show its epoch.
             self.rescan(now);
         }
         let Some(server) = self.fleet.get_mut(&order.server) else {
             return;
         };
-        match answer {
-            Response::Accepted if server.checks => {
+        match response {
+            Response::Accepted if server.checks_fencing => {
                 server.fenced = true;
                 server
-                    .threats
-                    .retain(|threat| threat.late.epoch == order.epoch);
+                    .undelivered
+                    .retain(|undelivered| undelivered.late.epoch == order.epoch);
             }
             Response::Refused | Response::Stale => server.pending = None,
             Response::Accepted | Response::Unknown => {}
@@ -429,8 +438,8 @@
     }
 }
 
-/// Whether one action undoes what the other brought about.
-fn opposes(known: &Action, new: &Action) -> bool {
+/// Whether `new` reverts the effect of `known`.
+fn reverts(known: &Action, new: &Action) -> bool {
     match (known, new) {
         (Action::Load { model: a }, Action::Unload { model: b }) => a == b,
         (Action::Unload { model: a }, Action::Load { model: b }) => a == b,
--- a/crates/fescuewell_placement/src/planner/table.rs
+++ b/crates/fescuewell_placement/src/planner/table.rs
@@ -1,39 +1,40 @@
-//! The planner's table work: taking over the rows of earlier holders, writing rows before orders.
+//! The planner's table steps: takeover of the rows of earlier leaders, and the write of a row
+//! before its order is sent.
 
 use std::sync::Arc;
 
 use fescuewell_core::prelude::*;
 use fescuewell_core::table::{MOST_ENTRIES, Outcome, Range, Reply, Row, Step, Transaction};
 
-use super::{Await, Notice, Planner};
-use crate::fleet::Threat;
+use super::{Notice, Planner, Request};
+use crate::fleet::Undelivered;
 use crate::order::{Action, KEY_PREFIX, LateOrder, Order, Record, row_key};
 use crate::settings::millis;
 
-/// Rows taken over in one transaction.
-const ADOPTED_AT_ONCE: usize = MOST_ENTRIES / 2;
-/// Time until the rows are scanned again after the table failed or a row was raced.
-const SCAN_AGAIN_MS: u32 = 500;
+/// Maximum number of rows taken over in one transaction.
+const ADOPTION_BATCH: usize = MOST_ENTRIES / 2;
+/// Delay before a new scan after a table error or a write conflict.
+const RESCAN_DELAY_MS: u32 = 500;
 
 impl Planner {
-    /// The next piece of table work, if any; one at a time.
+    /// Returns the next table step, if any. Only one is outstanding at a time.
     pub fn next_step(&mut self, now: Instant) -> Option<Step> {
-        if self.is("idle") || self.waiting.is_some() || now < self.retry_at {
+        if self.is("idle") || self.outstanding.is_some() || now < self.retry_at {
             return None;
         }
         if !self.scanned {
-            self.waiting = Some(Await::Scan);
+            self.outstanding = Some(Request::Scan);
             return Some(Step::Scan(Range::prefix(KEY_PREFIX)));
         }
         if !self.unadopted.is_empty() {
             return Some(self.adopt());
         }
-        let server = self.ideas.pop_front()?;
+        let server = self.unwritten.pop_front()?;
         self.write(server)
     }
 
     fn adopt(&mut self) -> Step {
-        let count = self.unadopted.len().min(ADOPTED_AT_ONCE);
+        let count = self.unadopted.len().min(ADOPTION_BATCH);
         let names: Vec<Arc<str>> = self.unadopted.drain(..count).collect();
         let mut transaction = Transaction::default();
         for name in &names {
@@ -44,7 +45,7 @@
                 .with_compare(key.clone(), revision)
                 .with_put(key, record.encode());
         }
-        self.waiting = Some(Await::Adopt(names));
+        self.outstanding = Some(Request::Adopt(names));
         Step::Commit(transaction)
     }
 
@@ -58,58 +59,60 @@
         let transaction = Transaction::default()
             .with_compare(key.clone(), revision)
             .with_put(key, record.encode());
-        self.waiting = Some(Await::Write(name));
+        self.outstanding = Some(Request::Write(name));
         Some(Step::Commit(transaction))
     }
 
     fn record(&self, name: &str, action: Option<Action>) -> Record {
-        let threats = self.fleet.get(name).map(|server| &server.threats);
-        let threats = threats.into_iter().flatten();
+        let undelivered = self.fleet.get(name).map(|server| &server.undelivered);
+        let undelivered = undelivered.into_iter().flatten();
         Record {
             epoch: self.epoch,
             number: self.number,
             action,
-            late: threats.map(|threat| threat.late.clone()).collect(),
+            late: undelivered
+                .map(|undelivered| undelivered.late.clone())
+                .collect(),
         }
     }
 
-    /// Takes in the answer to the last [`Planner::next_step`].
+    /// Handles the reply to the last [`Planner::next_step`].
     pub fn reply(&mut self, now: Instant, reply: Reply) {
-        let Some(waiting) = self.waiting.take() else {
+        let Some(outstanding) = self.outstanding.take() else {
             return;
         };
-        match (waiting, reply) {
-            (Await::Scan, Reply::Rows(rows)) => self.scanned(now, &rows),
-            (Await::Adopt(names), Reply::Outcome(Outcome::Committed { revision })) => {
-                self.adopted(now, names, revision);
+        match (outstanding, reply) {
+            (Request::Scan, Reply::Rows(rows)) => self.handle_scan(now, &rows),
+            (Request::Adopt(names), Reply::Outcome(Outcome::Committed { revision })) => {
+                self.handle_adoption(now, names, revision);
             }
-            (Await::Write(name), Reply::Outcome(Outcome::Committed { revision })) => {
-                self.written(now, name, revision);
+            (Request::Write(name), Reply::Outcome(Outcome::Committed { revision })) => {
+                self.handle_write(now, name, revision);
             }
             _ => self.rescan(now),
         }
     }
 
-    /// Reads all rows again: a reply was lost or a row was changed by somebody else. An order whose
-    /// row may or may not have been written is dropped and planned anew, never sent.
+    /// Scans all rows again, after a lost reply or a change of a row by another leader. An order
+    /// whose row may not have been written is dropped and planned again, never sent.
     pub(super) fn rescan(&mut self, now: Instant) {
-        self.waiting = None;
+        self.outstanding = None;
         self.scanned = false;
-        self.retry_at = now + millis(SCAN_AGAIN_MS);
-        self.ideas.clear();
+        self.retry_at = now + millis(RESCAN_DELAY_MS);
+        self.unwritten.clear();
         for server in self.fleet.values_mut() {
-            let unsent = server
+            let is_unsent = server
                 .pending
                 .as_ref()
-                .is_some_and(|pending| pending.sent.is_none());
-            if unsent {
+                .is_some_and(|pending| pending.sent_at.is_none());
+            if is_unsent {
                 server.pending = None;
             }
         }
         self.ready.clear();
     }
 
-    fn scanned(&mut self, now: Instant, rows: &[Row]) {
+    fn handle_scan(&mut self, now: Instant, rows: &[Row]) {
         self.scanned = true;
         self.revisions.clear();
         self.unadopted.clear();
@@ -141,7 +144,7 @@
         self.finish_adoption(now);
     }
 
-    /// Notes the orders of earlier holders that may still arrive.
+    /// Adds the orders of earlier leaders that may still arrive.
     fn inherit(&mut self, name: &str, record: Record) {
         let Some(server) = self.fleet.get_mut(name) else {
             return;
@@ -152,11 +155,14 @@
             single: true,
         });
         for late in record.late.into_iter().chain(last) {
-            server.threaten(Threat { late, until: None });
+            server.add_undelivered(Undelivered {
+                late,
+                expires_at: None,
+            });
         }
     }
 
-    fn adopted(&mut self, now: Instant, names: Vec<Arc<str>>, revision: u64) {
+    fn handle_adoption(&mut self, now: Instant, names: Vec<Arc<str>>, revision: u64) {
         for name in names {
             self.revisions.insert(name, revision);
         }
@@ -167,14 +173,14 @@
         if !self.unadopted.is_empty() || !self.is("adopting") {
             return;
         }
-        // Orders that the earlier holder sent just before its rows were taken over are still on
-        // their way to servers that ignore fencing numbers. Were ours sent now, the old ones could
-        // overtake them and undo them; so they are given the time to arrive first.
+        // Orders that the earlier leader sent just before the takeover may still be in flight to
+        // servers that ignore fencing numbers. They could arrive after new orders and revert them,
+        // so new orders wait for the settling time.
         self.settled_at = now + millis(self.settings.settle_ms);
         self.signal("adopted");
     }
 
-    fn written(&mut self, now: Instant, name: Arc<str>, revision: u64) {
+    fn handle_write(&mut self, now: Instant, name: Arc<str>, revision: u64) {
         self.revisions.insert(name.clone(), revision);
         let Some(server) = self.fleet.get(&name) else {
             return;
--- a/crates/fescuewell_placement/src/settings.rs
+++ b/crates/fescuewell_placement/src/settings.rs
@@ -1,44 +1,46 @@
-//! Settings of the placement decisions.
+//! Settings of the planner.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 fescuewell_core::data! {
-    /// What an operator may tune.
+    /// Settings of the planner.
     #[serde(default, deny_unknown_fields)]
     pub struct Settings {
-        /// Models that one engine has room for.
+        /// Maximum number of models on one engine.
         pub models_per_server: u32,
-        /// Tokens per second that one engine serves of one model; needs are counted in these.
+        /// Tokens per second of one model that one engine serves, from which the number of servers
+        /// is computed.
         pub tokens_per_server: u64,
-        /// The need rises when demand exceeds this part of what its servers carry, in percent.
+        /// A server is added when demand exceeds this share of the servers' capacity, in percent.
         pub raise_percent: u32,
-        /// The need falls when demand would leave its remaining servers below this part, in percent.
+        /// A server is removed when demand is below this share of the remaining servers' capacity,
+        /// in percent.
         pub lower_percent: u32,
-        /// How long demand must stay high before the need rises, in milliseconds.
+        /// Time for which demand must stay high before a server is added, in milliseconds.
         pub raise_after_ms: u32,
-        /// How long demand must stay low before the need falls, in milliseconds.
+        /// Time for which demand must stay low before a server is removed, in milliseconds.
         pub lower_after_ms: u32,
-        /// Loads under way at once in the whole fleet, as the weight store allows.
+        /// Maximum number of concurrent loads in the whole fleet, limited by the weight store.
         pub loads_at_once: u32,
-        /// Time between the starts of two loads, in milliseconds.
+        /// Minimum time between the starts of two loads, in milliseconds.
         pub stagger_ms: u32,
-        /// Orders under way at once.
+        /// Maximum number of pending orders.
         pub orders_at_once: u32,
-        /// Time in which orders of an earlier holder die out, in milliseconds. It must exceed the time
-        /// for which an adapter may go on sending one order.
+        /// Settling time after which orders of an earlier leader no longer arrive, in milliseconds.
+        /// It must exceed the time for which an adapter may retry one order.
         pub settle_ms: u32,
-        /// Time from the write of an order's row to the order's send at most, in milliseconds.
+        /// Maximum time from the write of an order's row to the send of the order, in milliseconds.
         pub send_within_ms: u32,
-        /// Time after which an order that shows no effect is given up, in milliseconds.
+        /// Time after which an order without an observed effect times out, in milliseconds.
         pub effect_ms: u32,
-        /// The same for a load, which takes longer.
+        /// The same timeout for a load, which takes longer.
         pub load_ms: u32,
-        /// Read-backs older than this count no more, in milliseconds.
+        /// Maximum age of a server's observed state, in milliseconds.
         pub seen_life_ms: u32,
-        /// A server that was not read back for this long is replaced, in milliseconds.
+        /// Time without an observed state after which a server is replaced, in milliseconds.
         pub lost_after_ms: u32,
-        /// The role that engines should have.
+        /// Desired role of the engines.
         pub role: Arc<str>,
     }
 }
--- a/crates/fescuewell_placement/tests/common/mod.rs
+++ b/crates/fescuewell_placement/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures of the placement tests: a table, servers and a network with delays, all in virtual time.
+//! Fixtures of the placement tests: a table, servers and a network with delays, in virtual time.
 #![allow(dead_code, unused_imports)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,11 +9,11 @@
 pub use fescuewell_document::prelude::*;
 pub use fescuewell_placement::prelude::*;
 
-/// Milliseconds between two rounds of the world.
+/// Milliseconds per simulation step.
 pub const TICK: u64 = 500;
 pub const MODELS: [&str; 3] = ["a", "b", "c"];
 const LOAD_MS: u64 = 3_000;
-const ROOM: usize = 3;
+const CAPACITY: usize = 3;
 
 pub fn at(millis: u64) -> Instant {
     Instant::from_millis(millis)
@@ -21,7 +21,7 @@
 
 pub fn settings() -> Settings {
     Settings {
-        models_per_server: ROOM as u32,
+        models_per_server: CAPACITY as u32,
         stagger_ms: 1_000,
         ..Settings::default()
     }
@@ -53,8 +53,8 @@
     }
 }
 
-/// A document of three models, each wanted by two servers; `listed` per server and model. The
-/// first two servers list everything, so that the document can be met.
+/// A document with three models that need two servers each; `listed` is by server and model. The
+/// first two servers list all models, so that the document can be satisfied.
 pub fn document(checks: &[bool], listed: &[[bool; 3]]) -> Document {
     let mut servers = Vec::new();
     for (index, &checks) in checks.iter().enumerate() {
@@ -94,10 +94,10 @@
     pub engines: BTreeMap<Arc<str>, Engine>,
     pub log: Vec<String>,
     pub lost_replies: Vec<bool>,
-    /// Loads begun, as (time, server).
+    /// Started loads as (time, server).
     pub loads: Vec<(u64, Arc<str>)>,
     pub unloads: u32,
-    /// Orders handed out by all planners.
+    /// Number of orders issued by all planners.
     pub sent: u64,
     rows: BTreeMap<Arc<str>, (Arc<[u8]>, u64)>,
     revision: u64,
@@ -126,23 +126,23 @@
         self.engines.values().filter(has).count()
     }
 
-    /// The models that have enough servers now, with their least number.
-    pub fn enough(&self) -> Vec<(&'static str, usize)> {
-        let enough = MODELS.iter().filter(|model| self.serving(model) >= 2);
-        enough.map(|model| (*model, 2)).collect()
+    /// The models that have enough servers now, with their minimum number.
+    pub fn satisfied_models(&self) -> Vec<(&'static str, usize)> {
+        let satisfied = MODELS.iter().filter(|model| self.serving(model) >= 2);
+        satisfied.map(|model| (*model, 2)).collect()
     }
 
-    /// One round of a planner: table work, orders, read-backs.
+    /// Runs one step of a planner: observed states, table steps, orders.
     pub fn drive(&mut self, now: u64, planner: &mut Planner, delays: &[u64]) {
         for name in self.engines.keys().cloned().collect::<Vec<_>>() {
-            let seen = self.seen(now, &name);
-            planner.observe(at(now), &name, seen);
+            let observation = self.observation(now, &name);
+            planner.observe(at(now), &name, observation);
         }
         let notices = planner.tick(at(now));
         self.log
             .extend(notices.iter().map(|notice| format!("{now} {notice:?}")));
         while let Some(step) = planner.next_step(at(now)) {
-            let reply = self.table(&step);
+            let reply = self.run_step(&step);
             planner.reply(at(now), reply);
         }
         let mut sent = 0;
@@ -155,18 +155,18 @@
                 self.network.push((now + delay, order));
                 continue;
             }
-            let answer = self.carry_out(now, &order);
-            planner.handle_response(at(now), &order, answer);
+            let response = self.execute(now, &order);
+            planner.handle_response(at(now), &order, response);
         }
     }
 
-    /// Lets a planner decide once more and then sleep with its orders in hand.
-    pub fn take_out(&mut self, now: u64, planner: &mut Planner, delays: &[u64]) {
+    /// Runs a last step of a planner before a pause; its orders are delivered after `delays`.
+    pub fn drive_before_pause(&mut self, now: u64, planner: &mut Planner, delays: &[u64]) {
         let later: Vec<u64> = delays.iter().map(|delay| delay + 1).collect();
         self.drive(now, planner, &later);
     }
 
-    /// Delivers late orders and ends loads.
+    /// Delivers delayed orders and finishes loads.
     pub fn deliver(&mut self, now: u64) {
         let network = std::mem::take(&mut self.network);
         for (due, order) in network {
@@ -175,7 +175,7 @@
                 continue;
             }
             self.log.push(format!("{now} late {order}"));
-            self.carry_out(now, &order);
+            self.execute(now, &order);
         }
         for engine in self.engines.values_mut() {
             let done = |(model, due): (&Arc<str>, &u64)| (*due <= now).then(|| model.clone());
@@ -187,7 +187,7 @@
         }
     }
 
-    pub fn seen(&self, now: u64, name: &str) -> Observation {
+    pub fn observation(&self, now: u64, name: &str) -> Observation {
         let engine = &self.engines[name];
         Observation {
             requested_at: at(now),
@@ -197,7 +197,7 @@
         }
     }
 
-    fn carry_out(&mut self, now: u64, order: &Order) -> Response {
+    fn execute(&mut self, now: u64, order: &Order) -> Response {
         let Some(engine) = self.engines.get_mut(&order.server) else {
             return Response::Unknown;
         };
@@ -208,7 +208,7 @@
         engine.fence = engine.fence.max(order.epoch.0);
         match &order.action {
             Action::Load { model } => {
-                if engine.loaded.len() + engine.loading.len() >= ROOM {
+                if engine.loaded.len() + engine.loading.len() >= CAPACITY {
                     return Response::Refused;
                 }
                 engine.loading.insert(model.clone(), now + LOAD_MS);
@@ -224,7 +224,7 @@
         Response::Accepted
     }
 
-    fn table(&mut self, step: &Step) -> Reply {
+    fn run_step(&mut self, step: &Step) -> Reply {
         match step {
             Step::Scan(range) => {
                 let rows = self
@@ -271,7 +271,8 @@
         Reply::Outcome(Outcome::Committed { revision })
     }
 
-    /// Every model has its servers, and no server has a model that the document does not list for it.
+    /// Asserts that every model has enough servers, and that no server has a model that the
+    /// document does not list for it.
     pub fn assert_matches(&self, document: &Document) {
         for model in &document.models {
             let serving = self.serving(&model.name);
--- a/crates/fescuewell_placement/tests/planner.rs
+++ b/crates/fescuewell_placement/tests/planner.rs
@@ -1,4 +1,4 @@
-//! One planner: limits, hysteresis, order of events, repair.
+//! A single planner: limits, hysteresis, the sequence of an order, repair.
 
 mod common;
 
@@ -19,9 +19,9 @@
 
 #[test]
 fn servers_that_ignore_fencing_get_no_order_before_old_ones_died_out() {
-    // Symptom: a model is unloaded right after the new holder had it loaded.
-    // Events: the old holder's last order is under way when the new holder gives its first one.
-    // Cause: such a server takes orders in the order of their arrival, whatever their number.
+    // Such servers apply orders as they arrive, whatever their fencing number. The old leader's
+    // last order, in flight during the takeover, could unload a model that the new leader has just
+    // loaded.
     let document = document(&[false, false, true], &[ALL; 3]);
     let mut world = World::new(&document, &[NONE; 3]);
     let mut planner = planner(&document, 1);
@@ -43,9 +43,8 @@
 
 #[test]
 fn loads_are_limited_and_staggered_over_the_fleet() {
-    // Symptom: after a full restart every engine loads at once and the weight store crawls.
-    // Events: eight empty engines, three models wanted on two each.
-    // Cause: each load was decided without regard to the others.
+    // Eight engines are empty, and three models need two servers each. Unlimited concurrent loads
+    // after a full restart would overload the weight store.
     let document = document(&[true; 8], &[ALL; 8]);
     let mut world = World::new(&document, &[NONE; 8]);
     let mut planner = planner(&document, 1);
@@ -82,9 +81,8 @@
 
 #[test]
 fn demand_that_swings_does_not_make_models_flap() {
-    // Symptom: the same model is loaded and unloaded in turn, each time through the weight store.
-    // Events: demand for one model doubles and halves every five seconds, for five minutes.
-    // Cause: the need followed the demand of the moment.
+    // Demand for one model doubles and halves every five seconds for five minutes. Without
+    // hysteresis the model would repeatedly be unloaded and loaded again from the weight store.
     let document = document(&[true; 4], &[ALL; 4]);
     let mut world = World::new(&document, &[ALL, ALL, NONE, NONE]);
     let mut planner = planner(&document, 1);
@@ -116,9 +114,8 @@
 
 #[test]
 fn a_server_that_loses_a_model_gets_it_again_and_that_is_told() {
-    // Symptom: a model that was ordered is gone and nobody notices.
-    // Events: the planner loads a model; a late order of somebody else unloads it.
-    // Cause: the read-back stopped once the order had taken effect.
+    // The planner loads a model, and a late order of another leader unloads it. The planner notices
+    // it only if it keeps observing the server after its order took effect.
     let document = document(&[true; 2], &[ALL; 2]);
     let mut world = World::new(&document, &[ALL, NONE]);
     let mut planner = planner(&document, 1);
@@ -139,9 +136,8 @@
 
 #[test]
 fn what_a_late_order_took_away_is_put_right_and_told() {
-    // Symptom: a late order's damage is mended in silence, and operators never learn of it.
-    // Events: a server has a model that this holder did not order; a late order unloads it.
-    // Cause: only what this holder had ordered itself was compared.
+    // A late order unloads a model that this leader did not order itself. The repair must be
+    // reported to operators as well, not only those of the leader's own orders.
     let document = document(&[false; 2], &[ALL; 2]);
     let mut world = World::new(&document, &[ALL, ALL]);
     let mut planner = planner(&document, 2);
@@ -175,7 +171,7 @@
     }
 }
 
-/// A planner whose first order's row is about to be written, and that step.
+/// A planner that is about to write the row of its first order, and that step.
 fn about_to_write() -> (Planner, Step) {
     let document = document(&[true; 2], &[ALL; 2]);
     let world = World::new(&document, &[ALL, NONE]);
@@ -186,7 +182,7 @@
     planner.next_step(at(0)).unwrap();
     planner.reply(at(0), Reply::Outcome(Outcome::Committed { revision }));
     for name in ["engine-0", "engine-1"] {
-        planner.observe(at(1), name, world.seen(1, name));
+        planner.observe(at(1), name, world.observation(1, name));
     }
     planner.tick(at(1));
     let step = planner.next_step(at(1)).unwrap();
@@ -207,9 +203,8 @@
 
 #[test]
 fn an_order_whose_row_may_not_be_written_is_not_sent() {
-    // Symptom: two holders order one server against each other.
-    // Events: the reply to the row's write is lost.
-    // Cause: the order was sent though the write had failed its condition.
+    // The reply to the row's write is lost. If the write failed its precondition and the order were
+    // sent, two leaders would send conflicting orders to one server.
     let (mut planner, _) = about_to_write();
 
     let reason = "lost".into();
@@ -221,9 +216,8 @@
 
 #[test]
 fn an_order_that_was_held_up_by_a_pause_is_not_sent() {
-    // Symptom: an order arrives minutes after it was decided.
-    // Events: the row is written, the process is paused, and wakes.
-    // Cause: the order was handed out without a look at the clock.
+    // The process is paused after the row is written. Without a check of the elapsed time, the
+    // order would be sent minutes after it was planned.
     let (mut planner, _) = about_to_write();
     planner.reply(at(2), Reply::Outcome(Outcome::Committed { revision: 2 }));
 
@@ -258,9 +252,9 @@
 
 #[test]
 fn the_end_of_the_old_holder_frees_what_its_last_order_blocked() {
-    // Symptom: a model that the document no longer lists stays loaded for ever.
-    // Events: the old holder wrote an unload that never arrived, and was terminated.
-    // Cause: the order counted as still to come though nobody is left to send it.
+    // The old leader wrote the row of an unload that never arrived, and terminated. If that order
+    // kept counting as undelivered, a model that the document no longer lists would stay loaded
+    // forever.
     let first = document(&[false; 4], &[ALL, ALL, NONE, [true, false, false]]);
     let newest = document(&[false; 4], &[ALL, ALL, [true, false, false], NONE]);
     let loaded = [NONE, ALL, [true, false, false], [true, false, false]];
@@ -269,12 +263,12 @@
     run(&mut world, &mut old, 0, 9_500);
     world.drive(10_000, &mut old, &[10_000_000]);
     let mut new = planner(&newest, 2);
-    // Nobody else can take the model, so engine-3 has to keep it.
+    // No other server can load the model, so engine-3 has to keep it.
     new.set_leaving("engine-0", true);
     run(&mut world, &mut new, 10_500, 60_000);
     assert!(world.engines["engine-3"].loaded.contains("a"));
 
-    new.holder_ended(Epoch(1));
+    new.leader_terminated(Epoch(1));
     run(&mut world, &mut new, 60_000, 120_000);
 
     assert!(!world.engines["engine-3"].loaded.contains("a"));
