--- a/crates/fescuewell_membership/src/gossip.rs
+++ b/crates/fescuewell_membership/src/gossip.rs
@@ -13,9 +13,9 @@
 use rand::seq::{IndexedRandom, SliceRandom};
 use rand::{Rng, SeedableRng};
 
-use crate::news::News;
 use crate::pacing::Gate;
 use crate::row::State;
+use crate::update::News;
 use crate::view::View;
 
 /// Changes kept for partners that have not been told yet.
--- a/crates/fescuewell_membership/src/lib.rs
+++ b/crates/fescuewell_membership/src/lib.rs
@@ -10,7 +10,6 @@
 pub mod gossip;
 pub mod listing;
 pub mod member;
-pub mod news;
 pub mod own;
 pub mod pacing;
 pub mod propagate;
@@ -18,6 +17,7 @@
 pub mod settings;
 pub mod sighting;
 pub mod slots;
+pub mod update;
 pub mod view;
 
 /// The names that users of this crate need.
--- a/crates/fescuewell_membership/src/member.rs
+++ b/crates/fescuewell_membership/src/member.rs
@@ -16,12 +16,12 @@
 use rand::{Rng, SeedableRng};
 
 use crate::listing::Words;
-use crate::news::News;
 pub use crate::own::Me;
 use crate::own::Own;
 use crate::row::{self, Load, Row, State};
 use crate::settings::Settings;
 use crate::sighting::Sighting;
+use crate::update::News;
 use crate::view::View;
 
 /// Most members that are watched by single reads.
--- a/crates/fescuewell_membership/src/member/reading.rs
+++ b/crates/fescuewell_membership/src/member/reading.rs
@@ -7,9 +7,9 @@
 use fescuewell_core::table::{self, Outcome};
 
 use super::{Asked, Members};
-use crate::news::News;
 use crate::row::{self, Row, State};
 use crate::sighting::{Beat, Sighting};
+use crate::update::News;
 
 /// Gap between two fresh readings, in read intervals, above which silence is not counted.
 const MOST_GAP: u32 = 3;
--- a/crates/fescuewell_membership/tests/member.rs
+++ b/crates/fescuewell_membership/tests/member.rs
@@ -8,10 +8,10 @@
 use fescuewell_core::platform::{Role, State as Listed};
 use fescuewell_core::prelude::*;
 use fescuewell_core::table::{Outcome, Reply, Step};
-use fescuewell_membership::news::News;
 use fescuewell_membership::prelude::*;
 use fescuewell_membership::row::{self, State};
 use fescuewell_membership::sighting::Beat;
+use fescuewell_membership::update::News;
 use rand::Rng;
 
 /// Goes on until that member asks to write that row; the step is left to the caller.
--- a/crates/fescuewell_membership/tests/propagate.rs
+++ b/crates/fescuewell_membership/tests/propagate.rs
@@ -11,9 +11,9 @@
     Gossip, MESSAGE_BYTES, Message, NEWS_BYTES, Settings as GossipSettings,
 };
 use fescuewell_membership::member::Members;
-use fescuewell_membership::news::News;
 use fescuewell_membership::propagate::{Propagation, Settings, Source};
 use fescuewell_membership::row::{Row, State};
+use fescuewell_membership::update::News;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
--- a/crates/fescuewell_membership/tests/slots.rs
+++ b/crates/fescuewell_membership/tests/slots.rs
@@ -8,9 +8,9 @@
 
 use common::*;
 use fescuewell_core::prelude::*;
-use fescuewell_membership::news::News;
 use fescuewell_membership::sighting::Beat;
 use fescuewell_membership::slots::{Assignment, Candidate, Keeper, assign};
+use fescuewell_membership::update::News;
 use rand::Rng;
 
 const SLOTS: u16 = 64;
--- a/crates/fescuewell_node/tests/messages.rs
+++ b/crates/fescuewell_node/tests/messages.rs
@@ -4,8 +4,8 @@
 use fescuewell_claims::message::{Reply, Request};
 use fescuewell_core::prelude::*;
 use fescuewell_membership::gossip::{Head, Message as GossipMessage};
-use fescuewell_membership::news::News;
 use fescuewell_membership::row::{Load, Row, State};
+use fescuewell_membership::update::News;
 use fescuewell_node::message::Message;
 
 fn member_row() -> Row {
