--- a/crates/fescuewell_bench/src/capacity/fleet.rs
+++ b/crates/fescuewell_bench/src/capacity/fleet.rs
@@ -76,7 +76,7 @@
     let mut total = Duration::ZERO;
     for _ in 0..ROUNDS {
         meter::timed(&mut total, || {
-            black_box(address::answer(&settings, &caller, rig.node.view()))
+            black_box(address::resolve(&settings, &caller, rig.node.view()))
         });
     }
     total / ROUNDS
--- a/crates/fescuewell_bench/src/capacity/rig.rs
+++ b/crates/fescuewell_bench/src/capacity/rig.rs
@@ -12,7 +12,7 @@
 use fescuewell_document::head::{self, HEAD_KEY};
 use fescuewell_document::model::Document;
 use fescuewell_membership::gossip;
-use fescuewell_membership::member::Me;
+use fescuewell_membership::member::InstanceInfo;
 use fescuewell_membership::row as member_row;
 use fescuewell_node::prelude::*;
 use fescuewell_platform::memory::Table;
@@ -364,7 +364,7 @@
         let from = world::instance_name(self.rng.random_range(1..self.instances));
         let message = Message::Gossip(gossip::Message {
             head: Some(self.head),
-            news: Vec::new(),
+            updates: Vec::new(),
         });
         self.counts.gossip_bytes += wire_bytes(&message);
         self.handle(NodeEvent::Peer { from, message });
@@ -380,9 +380,9 @@
     }
 }
 
-fn me() -> Me {
+fn me() -> InstanceInfo {
     let row = world::member(0, 0, Version(0));
-    Me {
+    InstanceInfo {
         instance: world::instance_name(0),
         incarnation: Incarnation(1),
         caller_address: row.caller_address,
--- a/crates/fescuewell_membership/examples/membership_figures.rs
+++ b/crates/fescuewell_membership/examples/membership_figures.rs
@@ -168,7 +168,7 @@
         let lapsed = others()
             .filter(|(_, node)| node.members.view().lapsed.contains(&holder))
             .count();
-        let wants = others().any(|(_, node)| node.keeper.mine().contains(&SlotKey(0)));
+        let wants = others().any(|(_, node)| node.keeper.own_slots().contains(&SlotKey(0)));
         let trusts = others().any(|(_, node)| {
             node.members
                 .view()
@@ -210,7 +210,7 @@
             if network.stopped.contains(&index) {
                 continue;
             }
-            for slot in node.keeper.mine() {
+            for slot in node.keeper.own_slots() {
                 wanting[usize::from(slot.0)] += 1;
             }
         }
@@ -259,7 +259,7 @@
         rate: 100,
     };
     timed("answer with addresses", 1_000, || {
-        std::hint::black_box(address::answer(&settings, &caller, view));
+        std::hint::black_box(address::resolve(&settings, &caller, view));
     });
     let mut keeper = network.nodes[0].keeper.clone();
     let now = network.now;
--- a/crates/fescuewell_membership/src/address.rs
+++ b/crates/fescuewell_membership/src/address.rs
@@ -28,15 +28,19 @@
         /// How long a caller may keep an answer.
         pub ttl: Duration,
         /// Fewest instances that carry an account, so that one may fail.
-        pub least: usize,
+        #[serde(rename = "least")]
+        pub min_instances: usize,
         /// Most addresses in an answer.
-        pub most: usize,
+        #[serde(rename = "most")]
+        pub max_addresses: usize,
         /// Addresses in other zones that each answer ends with, for the loss of a zone.
-        pub far: usize,
+        #[serde(rename = "far")]
+        pub remote_addresses: usize,
         /// Requests a second of one account that an instance should carry at most.
         pub rate_per_instance: u32,
         /// Weight of instances in other zones, in percent, while near ones have room.
-        pub far_percent: u16,
+        #[serde(rename = "far_percent")]
+        pub remote_percent: u16,
     }
 
     /// Who asks.
@@ -62,7 +66,7 @@
     }
 
     /// Addresses in the order of preference, and how long they may be kept.
-    pub struct Answer {
+    pub struct Response {
         /// The addresses; empty when no instance takes requests.
         pub addresses: Vec<Address>,
         /// Time to live.
@@ -74,11 +78,11 @@
     fn default() -> Self {
         Self {
             ttl: Duration::from_secs(10),
-            least: 2,
-            most: 8,
-            far: 2,
+            min_instances: 2,
+            max_addresses: 8,
+            remote_addresses: 2,
             rate_per_instance: 20,
-            far_percent: 10,
+            remote_percent: 10,
         }
     }
 }
@@ -87,23 +91,25 @@
 ///
 /// An account keeps to a few instances of its zone, chosen by hash, whose number grows with its rate;
 /// each of its callers is told some of those. The same view gives the same answer.
-pub fn answer(settings: &Settings, caller: &Caller, view: &View) -> Answer {
+pub fn resolve(settings: &Settings, caller: &Caller, view: &View) -> Response {
     let candidates = candidates(view);
     let (near, far): (Vec<&Peer>, Vec<&Peer>) = candidates
         .into_iter()
         .partition(|peer| caller.zone.as_ref().is_none_or(|zone| *zone == peer.zone));
     let wanted = caller.rate.div_ceil(settings.rate_per_instance.max(1)) as usize;
-    let wanted = wanted.max(settings.least);
+    let wanted = wanted.max(settings.min_instances);
     let near = by_hash(&caller.account, near);
     let far = by_hash(&caller.account, far);
     // What a zone lacks of the wanted number comes from other zones, as when most of it is lost.
     let lacking = wanted.saturating_sub(near.len());
     let home = &near[..wanted.min(near.len())];
-    let away = &far[..(settings.far + lacking).min(far.len())];
-    let far_places = away
-        .len()
-        .min(settings.far.max(settings.most.saturating_sub(home.len())));
-    let near_places = settings.most.saturating_sub(far_places);
+    let away = &far[..(settings.remote_addresses + lacking).min(far.len())];
+    let far_places = away.len().min(
+        settings
+            .remote_addresses
+            .max(settings.max_addresses.saturating_sub(home.len())),
+    );
+    let near_places = settings.max_addresses.saturating_sub(far_places);
     let mut addresses = Vec::new();
     for peer in by_hash(&caller.client, home.to_vec())
         .into_iter()
@@ -119,7 +125,7 @@
         let weight = u32::from(weight(peer)) * u32::from(percent) / 100;
         addresses.push(address(peer, (weight as u16).max(1)));
     }
-    Answer {
+    Response {
         addresses,
         ttl: settings.ttl,
     }
@@ -160,7 +166,7 @@
     if full || lacking > 0 {
         100
     } else {
-        settings.far_percent
+        settings.remote_percent
     }
 }
 
--- a/crates/fescuewell_membership/src/drain.rs
+++ b/crates/fescuewell_membership/src/drain.rs
@@ -17,11 +17,13 @@
     /// How long each part may take.
     pub struct Settings {
         /// Time until every instance knows of the announcement and names this one to no caller.
-        pub spread: Duration,
+        #[serde(rename = "spread")]
+        pub announcement_time: Duration,
         /// Time to live of an address that a caller was given.
         pub address_ttl: Duration,
         /// Time after which bills that could not be made durable are handed to a peer.
-        pub bill_patience: Duration,
+        #[serde(rename = "bill_patience")]
+        pub bill_timeout: Duration,
         /// Time after which the process ends whatever is left. Longer than the longest stream, or the
         /// drain cuts streams off.
         pub limit: Duration,
@@ -80,7 +82,7 @@
 /// let now = Instant::from_millis(0);
 /// assert_eq!(drain.stop(now, true), vec![Action::Announce]);
 /// assert!(drain.poll(now, &Remaining::default(), true).is_empty());
-/// assert!(drain.takes_requests());
+/// assert!(drain.accepts_requests());
 /// ```
 #[derive(Debug, Clone)]
 pub struct Drain {
@@ -104,9 +106,9 @@
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            spread: Duration::from_secs(5),
+            announcement_time: Duration::from_secs(5),
             address_ttl: Duration::from_secs(10),
-            bill_patience: Duration::from_secs(5),
+            bill_timeout: Duration::from_secs(5),
             limit: Duration::from_secs(900),
             hand_over: Duration::from_secs(30),
         }
@@ -138,7 +140,7 @@
     }
 
     /// Whether new requests are taken.
-    pub fn takes_requests(&self) -> bool {
+    pub fn accepts_requests(&self) -> bool {
         matches!(self.state(), "serving" | "announcing")
     }
 
@@ -176,7 +178,7 @@
     /// Callers keep addresses that they were given just before the last instance learned of the
     /// announcement. Refusing earlier would fail requests that another address would have served.
     fn poll_announcing(&mut self, now: Instant) -> Vec<Action> {
-        let cached = self.settings.spread + self.settings.address_ttl;
+        let cached = self.settings.announcement_time + self.settings.address_ttl;
         if now.since(self.stopped_at) >= cached {
             self.step("addresses_expired");
             return vec![Action::RefuseNew];
@@ -221,7 +223,7 @@
         if !std::mem::replace(&mut self.asked.flush, true) {
             actions.push(Action::FlushBills);
         }
-        let impatient = now.since(self.finished_at) >= self.settings.bill_patience;
+        let impatient = now.since(self.finished_at) >= self.settings.bill_timeout;
         if remaining.bills > 0 && impatient && !std::mem::replace(&mut self.asked.peer, true) {
             actions.push(Action::HandBillsToPeer);
         }
--- a/crates/fescuewell_membership/src/gossip.rs
+++ b/crates/fescuewell_membership/src/gossip.rs
@@ -13,9 +13,9 @@
 use rand::seq::{IndexedRandom, SliceRandom};
 use rand::{Rng, SeedableRng};
 
-use crate::pacing::Gate;
+use crate::pacing::TokenBucket;
 use crate::row::State;
-use crate::update::News;
+use crate::update::Update;
 use crate::view::View;
 
 /// Changes kept for partners that have not been told yet.
@@ -26,11 +26,11 @@
 const SILENT_ROUNDS: u32 = 3;
 /// Part of the byte rate that changes of the membership may take. After a restart of a whole large
 /// fleet they are many, and the heads behind them would wait for minutes.
-const NEWS_SHARE: f64 = 0.5;
+const UPDATE_SHARE: f64 = 0.5;
 /// Bytes of a message without changes, and of the packet around it, rounded up.
 pub const MESSAGE_BYTES: usize = 160;
 /// Bytes of one change, rounded up.
-pub const NEWS_BYTES: usize = 200;
+pub const UPDATE_BYTES: usize = 200;
 
 fescuewell_core::data! {
     /// Names one version of the document.
@@ -47,7 +47,8 @@
         /// The head in force at the sender, which then has all objects of the document.
         pub head: Option<Head>,
         /// Changes of the membership.
-        pub news: Vec<News>,
+        #[serde(rename = "news")]
+        pub updates: Vec<Update>,
     }
 
     /// How much is told, how often and to how many.
@@ -57,11 +58,13 @@
         /// Chosen partners.
         pub fanout: usize,
         /// How many of them are in other zones, where there are any.
-        pub far: usize,
+        #[serde(rename = "far")]
+        pub remote_partners: usize,
         /// Time after which one partner is chosen anew.
         pub partner_period: Duration,
         /// Most changes in one message.
-        pub most_news: usize,
+        #[serde(rename = "most_news")]
+        pub max_updates: usize,
         /// Bytes a second that may be sent, packets included.
         pub bytes_per_second: u32,
     }
@@ -94,9 +97,9 @@
         Self {
             interval: Duration::from_secs_f64(interval),
             fanout: 4,
-            far: 2,
+            remote_partners: 2,
             partner_period: Duration::from_secs(60),
-            most_news: 4,
+            max_updates: 4,
             bytes_per_second: 1_400,
         }
     }
@@ -119,7 +122,7 @@
 /// A change that is being passed on.
 #[derive(Debug, Clone)]
 struct Item {
-    news: News,
+    update: Update,
     told: BTreeSet<Arc<str>>,
     since: Instant,
 }
@@ -132,7 +135,7 @@
 /// let mut gossip = Gossip::new(Settings::default(), "entry-1".into(), "a".into(), 7);
 /// let head = Head { version: Version(3), root: Digest(9) };
 /// let now = Instant::from_millis(5);
-/// let heard = gossip.receive(now, "entry-2", Message { head: Some(head), news: vec![] });
+/// let heard = gossip.receive(now, "entry-2", Message { head: Some(head), updates: vec![] });
 /// assert_eq!(heard.head, Some(head));
 /// ```
 #[derive(Debug)]
@@ -147,19 +150,19 @@
     urgent: bool,
     due_round: Instant,
     due_choice: Instant,
-    gate: Gate,
-    news_gate: Gate,
+    bucket: TokenBucket,
+    update_bucket: TokenBucket,
 }
 
 impl Gossip {
     /// An instance that knows nobody yet.
     pub fn new(settings: Settings, instance: Arc<str>, zone: Arc<str>, seed: u64) -> Self {
         let rate = f64::from(settings.bytes_per_second);
-        let message = MESSAGE_BYTES + settings.most_news * NEWS_BYTES;
+        let message = MESSAGE_BYTES + settings.max_updates * UPDATE_BYTES;
         let burst = rate.max((2 * settings.fanout * message) as f64);
         Self {
-            gate: Gate::new(rate, burst),
-            news_gate: Gate::new(rate * NEWS_SHARE, burst * NEWS_SHARE),
+            bucket: TokenBucket::new(rate, burst),
+            update_bucket: TokenBucket::new(rate * UPDATE_SHARE, burst * UPDATE_SHARE),
             settings,
             instance,
             zone,
@@ -184,13 +187,13 @@
     }
 
     /// Passes changes on.
-    pub fn spread(&mut self, now: Instant, news: Vec<News>) {
-        for news in news {
+    pub fn broadcast(&mut self, now: Instant, updates: Vec<Update>) {
+        for update in updates {
             if self.items.len() >= MOST_ITEMS {
                 self.items.pop_front();
             }
             self.items.push_back(Item {
-                news,
+                update,
                 told: BTreeSet::new(),
                 since: now,
             });
@@ -207,7 +210,7 @@
         let behind = self.head.is_some_and(|head| head.version > partner.version);
         self.urgent |= behind;
         for item in &mut self.items {
-            if message.news.contains(&item.news) {
+            if message.updates.contains(&item.update) {
                 item.told.insert(from.into());
             }
         }
@@ -230,18 +233,18 @@
             let Some(mut message) = self.message_to(&to, round) else {
                 continue;
             };
-            let news_size = message.news.len() * NEWS_BYTES;
-            if !self.news_gate.take(now, news_size as f64) {
+            let updates_size = message.updates.len() * UPDATE_BYTES;
+            if !self.update_bucket.take(now, updates_size as f64) {
                 held_back = true;
-                message.news.clear();
+                message.updates.clear();
                 if !self.is_due(&to, round) {
                     continue;
                 }
             }
-            let size = MESSAGE_BYTES + message.news.len() * NEWS_BYTES;
+            let size = MESSAGE_BYTES + message.updates.len() * UPDATE_BYTES;
             // A storm of changes must not take the network from the requests. What is held back here
             // goes out as soon as the rate allows it; the table tells it too.
-            if !self.gate.take(now, size as f64) {
+            if !self.bucket.take(now, size as f64) {
                 held_back = true;
                 continue;
             }
@@ -260,12 +263,12 @@
 
     fn message_to(&self, to: &Arc<str>, round: bool) -> Option<Message> {
         let untold = self.items.iter().filter(|item| !item.told.contains(to));
-        let untold = untold.take(self.settings.most_news);
-        let news: Vec<News> = untold.map(|item| item.news.clone()).collect();
-        let worth_sending = self.is_due(to, round) || !news.is_empty();
+        let untold = untold.take(self.settings.max_updates);
+        let updates: Vec<Update> = untold.map(|item| item.update.clone()).collect();
+        let worth_sending = self.is_due(to, round) || !updates.is_empty();
         worth_sending.then_some(Message {
             head: self.head,
-            news,
+            updates,
         })
     }
 
@@ -278,7 +281,7 @@
 
     fn note_told(&mut self, to: &Arc<str>, message: &Message) {
         for item in &mut self.items {
-            if message.news.contains(&item.news) {
+            if message.updates.contains(&item.update) {
                 item.told.insert(to.clone());
             }
         }
@@ -324,7 +327,7 @@
             peer.instance != self.instance && !peer.suspected && peer.state != State::Gone
         });
         let (near, far): (Vec<_>, Vec<_>) = others.partition(|peer| peer.zone == self.zone);
-        let mut missing_far = self.settings.far;
+        let mut missing_far = self.settings.remote_partners;
         let mut missing = self.settings.fanout;
         for (name, partner) in &self.partners {
             if !partner.chosen {
--- a/crates/fescuewell_membership/src/lib.rs
+++ b/crates/fescuewell_membership/src/lib.rs
@@ -22,7 +22,7 @@
 
 /// The names that users of this crate need.
 pub mod prelude {
-    pub use crate::member::{Me, Members};
+    pub use crate::member::{InstanceInfo, Members};
     pub use crate::row::Row;
     pub use crate::settings::Settings;
     pub use crate::view::{Peer, View};
--- a/crates/fescuewell_membership/src/listing.rs
+++ b/crates/fescuewell_membership/src/listing.rs
@@ -11,16 +11,16 @@
 
 /// The newest word on each instance and backend server.
 #[derive(Debug, Clone, Default)]
-pub struct Words {
+pub struct Statuses {
     heard_at: Instant,
     entries: BTreeMap<Arc<str>, State>,
     servers: BTreeMap<Arc<str>, State>,
     own_words: BTreeMap<Arc<str>, Instant>,
 }
 
-impl Words {
+impl Statuses {
     /// Takes a list. A list that could not be had is not passed, so that the last one stands.
-    pub fn hear(&mut self, now: Instant, list: &[Listing], list_lag: Duration) {
+    pub fn apply_list(&mut self, now: Instant, list: &[Listing], list_lag: Duration) {
         self.heard_at = now;
         for listing in list {
             let words = match listing.role {
@@ -39,7 +39,7 @@
     }
 
     /// Takes a backend server's own word: a refusal because it leaves, or its "leaving" header.
-    pub fn server_leaves(&mut self, now: Instant, server: &str) {
+    pub fn mark_server_leaving(&mut self, now: Instant, server: &str) {
         self.own_words.insert(server.into(), now);
     }
 
--- a/crates/fescuewell_membership/src/member.rs
+++ b/crates/fescuewell_membership/src/member.rs
@@ -3,7 +3,7 @@
 //! In a fleet whose rows fit into one page, every instance reads all rows each `read_interval`. In a
 //! larger one it reads a few members' rows that often, those that follow it on a ring of hashed names
 //! and those that it has reason to suspect, and goes through all rows a page at a time. Changes in
-//! between reach it as [`News`] from peers.
+//! between reach it as [`Update`] from peers.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -15,18 +15,18 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use crate::listing::Words;
-pub use crate::own::Me;
-use crate::own::Own;
+use crate::listing::Statuses;
+pub use crate::own::InstanceInfo;
+use crate::own::OwnRow;
 use crate::row::{self, Load, Row, State};
 use crate::settings::Settings;
 use crate::sighting::Sighting;
-use crate::update::News;
+use crate::update::Update;
 use crate::view::View;
 
 /// Most members that are watched by single reads.
 const MOST_WATCHED: usize = 8;
-/// News kept until gossip fetches them; the table tells whatever is dropped.
+/// Update kept until gossip fetches them; the table tells whatever is dropped.
 const MOST_NEWS: usize = 64;
 /// Rounds that are hurried at the start, as long as they show members that are starting too: after a
 /// restart of all, slots wait until everybody is known to be ready.
@@ -67,7 +67,7 @@
 /// use fescuewell_core::prelude::*;
 /// use fescuewell_core::table::{Reply, Step};
 /// use fescuewell_membership::prelude::*;
-/// let me = Me {
+/// let me = InstanceInfo {
 ///     instance: "entry-1".into(),
 ///     incarnation: Incarnation(1),
 ///     caller_address: "127.0.0.1:8080".parse().unwrap(),
@@ -87,14 +87,14 @@
 #[derive(Debug)]
 pub struct Members {
     settings: Settings,
-    own: Own,
+    own: OwnRow,
     rng: SmallRng,
     sightings: BTreeMap<Arc<str>, Sighting>,
-    words: Words,
+    words: Statuses,
     extra_watch: BTreeSet<Arc<str>>,
     outstanding: Option<Asked>,
     settled: VecDeque<(Arc<str>, Incarnation)>,
-    news: VecDeque<News>,
+    news: VecDeque<Update>,
     due_beat: Instant,
     due_watch: Instant,
     due_page: Instant,
@@ -114,15 +114,15 @@
 
 impl Members {
     /// A member that has read and written nothing yet.
-    pub fn new(settings: Settings, me: Me, seed: u64) -> Self {
+    pub fn new(settings: Settings, me: InstanceInfo, seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let first = Instant::default() + settings.start_spread.mul_f64(rng.random::<f64>());
         Self {
             settings,
-            own: Own::new(me),
+            own: OwnRow::new(me),
             rng,
             sightings: BTreeMap::new(),
-            words: Words::default(),
+            words: Statuses::default(),
             extra_watch: BTreeSet::new(),
             outstanding: None,
             settled: VecDeque::new(),
@@ -190,7 +190,7 @@
     }
 
     /// A peer answered, over whatever connection.
-    pub fn peer_answered(&mut self, now: Instant, instance: &str) {
+    pub fn record_peer_response(&mut self, now: Instant, instance: &str) {
         if let Some(at) = self.peers_answered.get_mut(instance) {
             *at = now;
             return;
@@ -199,8 +199,8 @@
     }
 
     /// Takes the instance list; one that could not be had is not passed.
-    pub fn instance_list(&mut self, now: Instant, list: &[Listing]) {
-        self.words.hear(now, list, self.settings.list_lag);
+    pub fn apply_instance_list(&mut self, now: Instant, list: &[Listing]) {
+        self.words.apply_list(now, list, self.settings.list_lag);
         self.dirty = true;
         for (instance, sighting) in &mut self.sightings {
             if self.words.is_leaving(instance) {
@@ -211,23 +211,23 @@
     }
 
     /// A backend server said itself that it is leaving.
-    pub fn server_leaves(&mut self, now: Instant, server: &str) {
-        self.words.server_leaves(now, server);
+    pub fn mark_server_leaving(&mut self, now: Instant, server: &str) {
+        self.words.mark_server_leaving(now, server);
         self.dirty = true;
         self.refresh();
     }
 
     /// Takes what a peer told.
-    pub fn hear(&mut self, now: Instant, news: News) {
+    pub fn apply_update(&mut self, now: Instant, news: Update) {
         match news {
-            News::Member { instance, row } => self.learn(now, &instance, row, 0, true),
-            News::Suspicion { instance, beat } => self.hear_suspicion(&instance, beat),
+            Update::Member { instance, row } => self.learn(now, &instance, row, 0, true),
+            Update::Suspicion { instance, beat } => self.hear_suspicion(&instance, beat),
         }
         self.refresh();
     }
 
-    /// News to pass on to peers since the last call.
-    pub fn take_news(&mut self) -> Vec<News> {
+    /// Update to pass on to peers since the last call.
+    pub fn take_updates(&mut self) -> Vec<Update> {
         self.news.drain(..).collect()
     }
 
@@ -338,8 +338,8 @@
 
     fn page_size(&self) -> u32 {
         match self.hurry {
-            0 => self.settings.page,
-            _ => self.settings.page * HURRIED_PAGE,
+            0 => self.settings.page_size,
+            _ => self.settings.page_size * HURRIED_PAGE,
         }
     }
 
@@ -362,20 +362,20 @@
         // The row is published with the next beat; peers that hear it now must not take that for old.
         row.beat += 1;
         let instance = self.own.me().instance.clone();
-        self.push_news(News::Member { instance, row });
+        self.push_update(Update::Member { instance, row });
     }
 
-    fn push_member_news(&mut self, spread: bool, instance: &Arc<str>, row: &Row) {
+    fn push_member_update(&mut self, spread: bool, instance: &Arc<str>, row: &Row) {
         if !spread {
             return;
         }
-        self.push_news(News::Member {
+        self.push_update(Update::Member {
             instance: instance.clone(),
             row: row.clone(),
         });
     }
 
-    fn push_news(&mut self, news: News) {
+    fn push_update(&mut self, news: Update) {
         if self.news.len() >= MOST_NEWS {
             self.news.pop_front();
         }
--- a/crates/fescuewell_membership/src/member/judgement.rs
+++ b/crates/fescuewell_membership/src/member/judgement.rs
@@ -88,7 +88,7 @@
             complete: self.complete,
             isolated: self.isolated,
             superseded: self.own.is_superseded(),
-            leave_wanted: self.words.is_leaving(&self.own.me().instance),
+            drain_requested: self.words.is_leaving(&self.own.me().instance),
             ..View::default()
         };
         view.ready = self.own.row().state == State::Ready && !view.isolated && !view.superseded;
--- a/crates/fescuewell_membership/src/member/reading.rs
+++ b/crates/fescuewell_membership/src/member/reading.rs
@@ -9,7 +9,7 @@
 use super::{Asked, Members};
 use crate::row::{self, Row, State};
 use crate::sighting::{Beat, Sighting};
-use crate::update::News;
+use crate::update::Update;
 
 /// Gap between two fresh readings, in read intervals, above which silence is not counted.
 const MOST_GAP: u32 = 3;
@@ -164,14 +164,14 @@
         let Some(sighting) = self.sightings.get_mut(instance) else {
             let name: Arc<str> = instance.into();
             log_event!(Event::PeerJoined, "instance={name} zone={}", row.zone);
-            self.push_member_news(spread && row.state != State::Starting, &name, &row);
+            self.push_member_update(spread && row.state != State::Starting, &name, &row);
             let sighting = Sighting::new(now, &name, row, revision);
             self.sightings.insert(name, sighting);
             self.dirty = true;
             return;
         };
         let before = (sighting.row().incarnation, sighting.row().state);
-        let shows = sighting.is_suspected() || !row.is_same_but_beat(sighting.row());
+        let shows = sighting.is_suspected() || !row.equals_except_beat(sighting.row());
         let newer = sighting.learn(now, instance, row, revision);
         self.dirty |= shows;
         if !newer {
@@ -180,7 +180,7 @@
         let row = sighting.row();
         if (row.incarnation, row.state) != before {
             let row = row.clone();
-            self.push_member_news(spread, &instance.into(), &row);
+            self.push_member_update(spread, &instance.into(), &row);
         }
     }
 
@@ -197,7 +197,7 @@
                 self.dirty = true;
                 let beat = Beat::of(sighting.row());
                 log_event!(Event::PeerLost, "instance={instance} beat={}", beat.number);
-                self.news.push_back(News::Suspicion {
+                self.news.push_back(Update::Suspicion {
                     instance: instance.clone(),
                     beat,
                 });
@@ -244,7 +244,7 @@
             return;
         }
         self.dirty = true;
-        self.push_news(News::Suspicion {
+        self.push_update(Update::Suspicion {
             instance: instance.clone(),
             beat,
         });
--- a/crates/fescuewell_membership/src/member/settling.rs
+++ b/crates/fescuewell_membership/src/member/settling.rs
@@ -15,7 +15,7 @@
     /// Different instances may settle the incarnations that one row names, so each strikes only its
     /// own from the row as it stands, by compare-and-swap. A row removed with an incarnation that is not
     /// settled would leave that one's allowances charged for ever.
-    pub fn settled(&mut self, holder: &str) {
+    pub fn mark_settled(&mut self, holder: &str) {
         let Some((instance, incarnation)) = row::parse_holder(holder) else {
             return;
         };
--- a/crates/fescuewell_membership/src/own.rs
+++ b/crates/fescuewell_membership/src/own.rs
@@ -6,14 +6,14 @@
 use fescuewell_core::prelude::*;
 use fescuewell_core::table;
 
-use crate::row::{self, Earlier, Load, Row, State};
+use crate::row::{self, EarlierIncarnation, Load, Row, State};
 
 /// Most earlier incarnations kept in a row; those that ended are dropped first.
 const MOST_EARLIER: usize = 32;
 
 fescuewell_core::data! {
     /// Who this instance is; comes from settings and from the start of the process.
-    pub struct Me {
+    pub struct InstanceInfo {
         /// Name of the instance.
         pub instance: Arc<str>,
         /// This start of it; higher than that of every earlier start.
@@ -33,8 +33,8 @@
 
 /// The own row and its standing in the table.
 #[derive(Debug, Clone)]
-pub struct Own {
-    me: Me,
+pub struct OwnRow {
+    me: InstanceInfo,
     row: Row,
     known: bool,
     committed: bool,
@@ -45,9 +45,9 @@
     superseded: bool,
 }
 
-impl Own {
+impl OwnRow {
     /// A row that was not written yet.
-    pub fn new(me: Me) -> Self {
+    pub fn new(me: InstanceInfo) -> Self {
         let row = Row {
             incarnation: me.incarnation,
             beat: 0,
@@ -76,7 +76,7 @@
     }
 
     /// Who this instance is.
-    pub fn me(&self) -> &Me {
+    pub fn me(&self) -> &InstanceInfo {
         &self.me
     }
 
@@ -203,7 +203,7 @@
         let ended = old.state == State::Gone || exclusive_address && self.holds_addresses_of(&old);
         let mut earlier = old.earlier;
         if !old.settled {
-            earlier.push(Earlier {
+            earlier.push(EarlierIncarnation {
                 incarnation: old.incarnation,
                 ended,
             });
@@ -226,9 +226,9 @@
         old.caller_address == self.me.caller_address && old.peer_address == self.me.peer_address
     }
 
-    fn add_earlier(&mut self, entry: Earlier) {
+    fn add_earlier(&mut self, entry: EarlierIncarnation) {
         let earlier = &mut self.row.earlier;
-        let same = |known: &&mut Earlier| known.incarnation == entry.incarnation;
+        let same = |known: &&mut EarlierIncarnation| known.incarnation == entry.incarnation;
         if let Some(known) = earlier.iter_mut().find(same) {
             known.ended |= entry.ended;
             return;
--- a/crates/fescuewell_membership/src/pacing.rs
+++ b/crates/fescuewell_membership/src/pacing.rs
@@ -11,7 +11,7 @@
 /// After a restart of the whole fleet, first readings and first draws that are not waited for by a
 /// request start there. Without it all instances would ask the table in the same second and it would
 /// answer none of them in time.
-pub fn first(now: Instant, spread: Duration, seed: u64) -> Instant {
+pub fn random_start(now: Instant, spread: Duration, seed: u64) -> Instant {
     let mut rng = SmallRng::seed_from_u64(seed);
     now + spread.mul_f64(rng.random::<f64>())
 }
@@ -20,22 +20,22 @@
 ///
 /// ```
 /// use fescuewell_core::prelude::*;
-/// use fescuewell_membership::pacing::Gate;
-/// let mut gate = Gate::new(2.0, 1.0);
-/// assert!(gate.pass(Instant::from_millis(0)));
-/// assert!(!gate.pass(Instant::from_millis(100)));
-/// assert!(gate.pass(Instant::from_millis(600)));
+/// use fescuewell_membership::pacing::TokenBucket;
+/// let mut bucket = TokenBucket::new(2.0, 1.0);
+/// assert!(bucket.take_one(Instant::from_millis(0)));
+/// assert!(!bucket.take_one(Instant::from_millis(100)));
+/// assert!(bucket.take_one(Instant::from_millis(600)));
 /// ```
 #[derive(Debug, Clone)]
-pub struct Gate {
+pub struct TokenBucket {
     per_second: f64,
     burst: f64,
     tokens: f64,
     filled_at: Option<Instant>,
 }
 
-impl Gate {
-    /// A gate that lets `per_second` through in the long run and `burst` at once.
+impl TokenBucket {
+    /// A bucket that lets `per_second` through in the long run and `burst` at once.
     pub fn new(per_second: f64, burst: f64) -> Self {
         Self {
             per_second,
@@ -46,7 +46,7 @@
     }
 
     /// Takes one passage if there is one.
-    pub fn pass(&mut self, now: Instant) -> bool {
+    pub fn take_one(&mut self, now: Instant) -> bool {
         self.take(now, 1.0)
     }
 
@@ -90,7 +90,7 @@
     /// Notes a failure and returns how long to wait.
     ///
     /// Half of the wait is random, so that instances which failed together do not come back together.
-    pub fn failed(&mut self) -> Duration {
+    pub fn next_delay(&mut self) -> Duration {
         let doubled = self.base * 2u32.pow(self.failures.min(MOST_DOUBLINGS));
         self.failures = self.failures.saturating_add(1);
         let wait = doubled.min(self.most);
@@ -98,7 +98,7 @@
     }
 
     /// Notes a success: the next failure waits for the shortest time again.
-    pub fn succeeded(&mut self) {
+    pub fn reset(&mut self) {
         self.failures = 0;
     }
 }
--- a/crates/fescuewell_membership/src/propagate.rs
+++ b/crates/fescuewell_membership/src/propagate.rs
@@ -70,7 +70,7 @@
     }
 
     /// An object to fetch.
-    pub struct Want {
+    pub struct FetchRequest {
         /// Its name.
         pub name: Arc<str>,
         /// Where to fetch it.
@@ -231,7 +231,7 @@
 
     /// A peer has the document of that head in force, and so all of its objects. `near` says that it is
     /// in this instance's zone: near peers are asked first.
-    pub fn hear(
+    pub fn record_peer_head(
         &mut self,
         now: Instant,
         from: &str,
@@ -252,7 +252,11 @@
     }
 
     /// Objects to fetch now.
-    pub fn wants(&mut self, now: Instant, assembler: &mut dyn Assembler) -> Vec<Want> {
+    pub fn next_fetches(
+        &mut self,
+        now: Instant,
+        assembler: &mut dyn Assembler,
+    ) -> Vec<FetchRequest> {
         self.give_up_late(now, assembler);
         let Some(mut collection) = self.collection.take() else {
             return Vec::new();
@@ -273,7 +277,7 @@
                 at: now,
             };
             collection.fetches.insert(name.clone(), fetch);
-            wants.push(Want { name, from });
+            wants.push(FetchRequest { name, from });
         }
         self.collection = Some(collection);
         wants
@@ -304,13 +308,13 @@
     }
 
     /// The head whose document is complete in the assembler, once. The caller finishes and applies the
-    /// document and then calls [`Self::applied`] or [`Self::unreadable`].
+    /// document and then calls [`Self::mark_applied`] or [`Self::mark_unreadable`].
     pub fn take_complete(&mut self) -> Option<Head> {
         self.complete.take()
     }
 
     /// The document of `head` is in force now.
-    pub fn applied(&mut self, now: Instant, head: Head, assembler: &mut dyn Assembler) {
+    pub fn mark_applied(&mut self, now: Instant, head: Head, assembler: &mut dyn Assembler) {
         let version = self.in_force.map(|known| known.version);
         if version < Some(head.version) {
             self.in_force = Some(head);
@@ -321,7 +325,7 @@
     }
 
     /// The completed document of `head` could not be read after all.
-    pub fn unreadable(&mut self, now: Instant, assembler: &mut dyn Assembler) {
+    pub fn mark_unreadable(&mut self, now: Instant, assembler: &mut dyn Assembler) {
         self.refuse(now, assembler);
     }
 
--- a/crates/fescuewell_membership/src/row.rs
+++ b/crates/fescuewell_membership/src/row.rs
@@ -36,7 +36,7 @@
 
     /// An incarnation that the same instance had before.
     #[derive(Copy)]
-    pub struct Earlier {
+    pub struct EarlierIncarnation {
         /// Which one.
         pub incarnation: Incarnation,
         /// Whether it said farewell, or the present incarnation proved that it has ended.
@@ -71,7 +71,7 @@
         pub settled: bool,
         /// Incarnations before this one that may still be charged with something.
         #[serde(default)]
-        pub earlier: Vec<Earlier>,
+        pub earlier: Vec<EarlierIncarnation>,
     }
 }
 
@@ -101,7 +101,7 @@
     }
 
     /// Whether the rows differ in nothing but the heartbeat.
-    pub fn is_same_but_beat(&self, other: &Self) -> bool {
+    pub fn equals_except_beat(&self, other: &Self) -> bool {
         let beat = other.beat;
         let aligned = Self {
             beat,
--- a/crates/fescuewell_membership/src/settings.rs
+++ b/crates/fescuewell_membership/src/settings.rs
@@ -12,7 +12,8 @@
         /// Time between two pages of the round through all member rows, in a fleet of several pages.
         pub page_interval: Duration,
         /// Rows in one page.
-        pub page: u32,
+        #[serde(rename = "page")]
+        pub page_size: u32,
         /// How many instances watch each member in a fleet of several pages.
         pub watchers: usize,
         /// A member whose heartbeat did not change for so long has lapsed.
@@ -60,7 +61,7 @@
             beat_interval: Duration::from_secs_f64(beat),
             read_interval: Duration::from_secs_f64(read),
             page_interval: Duration::from_secs_f64(read),
-            page: if instances < PAGE {
+            page_size: if instances < PAGE {
                 PAGE
             } else {
                 LARGE_FLEET_PAGE
--- a/crates/fescuewell_membership/src/slots.rs
+++ b/crates/fescuewell_membership/src/slots.rs
@@ -42,7 +42,7 @@
     }
 
     /// The slots that `instance` should hold.
-    pub fn of(&self, instance: &str) -> Vec<SlotKey> {
+    pub fn slots_of(&self, instance: &str) -> Vec<SlotKey> {
         let owned = self.owners.iter().enumerate();
         let owned = owned.filter(|(_, owner)| owner.as_deref() == Some(instance));
         owned.map(|(slot, _)| SlotKey(slot as u16)).collect()
@@ -146,13 +146,13 @@
 ///
 /// ```
 /// use fescuewell_core::prelude::*;
-/// use fescuewell_membership::{slots::Keeper, view::View};
-/// let mut keeper = Keeper::new("entry-1".into(), 16, std::time::Duration::from_secs(3));
+/// use fescuewell_membership::{slots::Assigner, view::View};
+/// let mut keeper = Assigner::new("entry-1".into(), 16, std::time::Duration::from_secs(3));
 /// keeper.update(Instant::from_millis(0), &View::default());
-/// assert!(keeper.mine().is_empty());
+/// assert!(keeper.own_slots().is_empty());
 /// ```
 #[derive(Debug, Clone)]
-pub struct Keeper {
+pub struct Assigner {
     instance: Arc<str>,
     slots: u16,
     settle: Duration,
@@ -165,7 +165,7 @@
     watch: BTreeSet<Arc<str>>,
 }
 
-impl Keeper {
+impl Assigner {
     /// A keeper for `instance`. A member counts once it has been ready for `settle`; for each time
     /// that it came and went lately, twice as long.
     pub fn new(instance: Arc<str>, slots: u16, settle: Duration) -> Self {
@@ -207,8 +207,8 @@
     }
 
     /// The slots that this instance should hold.
-    pub fn mine(&self) -> Vec<SlotKey> {
-        self.assignment.of(&self.instance)
+    pub fn own_slots(&self) -> Vec<SlotKey> {
+        self.assignment.slots_of(&self.instance)
     }
 
     /// The wanted owner of each slot.
@@ -298,7 +298,7 @@
             .iter()
             .filter(|other| other.instance != owner);
         let rest: Vec<Candidate> = rest.cloned().collect();
-        let after = assign(self.slots, &rest).of(&self.instance);
+        let after = assign(self.slots, &rest).slots_of(&self.instance);
         let heir = after
             .iter()
             .any(|slot| self.assignment.owner(*slot) == Some(&owner));
--- a/crates/fescuewell_membership/src/update.rs
+++ b/crates/fescuewell_membership/src/update.rs
@@ -7,7 +7,7 @@
 
 fescuewell_core::data! {
     /// One change, small enough to travel with a digest.
-    pub enum News {
+    pub enum Update {
         /// A member joined, or stepped on in its life: its row as of then.
         Member {
             /// Name of the instance.
--- a/crates/fescuewell_membership/src/view.rs
+++ b/crates/fescuewell_membership/src/view.rs
@@ -59,7 +59,7 @@
         /// process must stop.
         pub superseded: bool,
         /// The instance list says that this instance is leaving: start the drain.
-        pub leave_wanted: bool,
+        pub drain_requested: bool,
     }
 }
 
--- a/crates/fescuewell_membership/tests/address.rs
+++ b/crates/fescuewell_membership/tests/address.rs
@@ -7,7 +7,7 @@
 
 use common::*;
 use fescuewell_core::platform::{Role, State as Listed};
-use fescuewell_membership::address::{Answer, Caller, Settings, answer};
+use fescuewell_membership::address::{Caller, Response, Settings, resolve};
 use fescuewell_membership::row::{Load, State};
 use fescuewell_membership::view::View;
 use proptest::prelude::*;
@@ -28,8 +28,8 @@
     }
 }
 
-fn ask(view: &View, caller: &Caller) -> Answer {
-    answer(&Settings::default(), caller, view)
+fn ask(view: &View, caller: &Caller) -> Response {
+    resolve(&Settings::default(), caller, view)
 }
 
 #[test]
@@ -113,7 +113,7 @@
 
     let after = ask(fleet.members[0].view(), &caller("signwise", 1));
 
-    let weight = |answer: &Answer| {
+    let weight = |answer: &Response| {
         let all: u32 = answer
             .addresses
             .iter()
--- a/crates/fescuewell_membership/tests/common/mod.rs
+++ b/crates/fescuewell_membership/tests/common/mod.rs
@@ -159,9 +159,9 @@
     format!("entry-{index:03}").into()
 }
 
-pub fn me(index: usize, incarnation: u64) -> Me {
+pub fn me(index: usize, incarnation: u64) -> InstanceInfo {
     let port = |base: usize| format!("127.0.0.1:{}", base + index).parse().unwrap();
-    Me {
+    InstanceInfo {
         instance: instance(index),
         incarnation: Incarnation(incarnation),
         caller_address: port(10_000),
@@ -241,7 +241,7 @@
     pub fn tell_list(&mut self, list: &[Listing]) {
         for (member, stopped) in self.members.iter_mut().zip(&self.stopped) {
             if !stopped {
-                member.instance_list(self.now, list);
+                member.apply_instance_list(self.now, list);
             }
         }
     }
--- a/crates/fescuewell_membership/tests/common/network.rs
+++ b/crates/fescuewell_membership/tests/common/network.rs
@@ -11,7 +11,7 @@
 use fescuewell_membership::prelude::*;
 use fescuewell_membership::propagate::{self, Assembler, Head, Propagation, Rejection, Source};
 use fescuewell_membership::row::State;
-use fescuewell_membership::slots::Keeper;
+use fescuewell_membership::slots::Assigner;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -83,7 +83,7 @@
     pub gossip: Gossip,
     pub propagation: Propagation,
     pub shelf: Shelf,
-    pub keeper: Keeper,
+    pub keeper: Assigner,
     pub region: usize,
     pub zone: Arc<str>,
     pub sent: u64,
@@ -156,7 +156,7 @@
             let settings = gossip::Settings::sized(size);
             Node {
                 zone: own.zone.clone(),
-                keeper: Keeper::new(own.instance.clone(), SLOTS, Duration::from_secs(3)),
+                keeper: Assigner::new(own.instance.clone(), SLOTS, Duration::from_secs(3)),
                 gossip: Gossip::new(settings, own.instance.clone(), own.zone.clone(), seed),
                 members: Members::new(Settings::sized(size), own, seed + 1),
                 propagation: Propagation::new(propagate::Settings::sized(size), seed + 2),
@@ -261,14 +261,14 @@
         let near = self.nodes[from].zone == self.nodes[index].zone;
         let from = instance(from);
         let node = &mut self.nodes[index];
-        node.members.peer_answered(now, &from);
+        node.members.record_peer_response(now, &from);
         let heard = node.gossip.receive(now, &from, message);
         if let Some(head) = heard.head {
             node.propagation
-                .hear(now, &from, near, head, &mut node.shelf);
+                .record_peer_head(now, &from, near, head, &mut node.shelf);
         }
-        for news in heard.news {
-            node.members.hear(now, news);
+        for update in heard.updates {
+            node.members.apply_update(now, update);
         }
     }
 
@@ -296,7 +296,7 @@
         }
         let node = &mut self.nodes[index];
         if let Some(head) = node.propagation.take_complete() {
-            node.propagation.applied(now, head, &mut node.shelf);
+            node.propagation.mark_applied(now, head, &mut node.shelf);
             node.applied.push(head.version);
             node.gossip.set_head(head);
             node.members.set_version(head.version);
@@ -307,9 +307,9 @@
             node.keeper.update(now, node.members.view());
             node.members.set_watch(node.keeper.watch().clone());
         }
-        let wants = node.propagation.wants(now, &mut node.shelf);
-        let news = node.members.take_news();
-        node.gossip.spread(now, news);
+        let wants = node.propagation.next_fetches(now, &mut node.shelf);
+        let updates = node.members.take_updates();
+        node.gossip.broadcast(now, updates);
         let outgoing = node.gossip.take_outgoing(now, node.members.view());
         for want in wants {
             self.fetch(index, want.name, want.from);
--- a/crates/fescuewell_membership/tests/drain.rs
+++ b/crates/fescuewell_membership/tests/drain.rs
@@ -4,7 +4,7 @@
 
 use fescuewell_core::prelude::*;
 use fescuewell_membership::drain::{Action, Drain, Remaining, Settings};
-use fescuewell_membership::pacing::{Backoff, first};
+use fescuewell_membership::pacing::{Backoff, random_start};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
@@ -83,11 +83,11 @@
 
     for now in 100..115 {
         drain.poll(second(now), &Remaining::default(), false);
-        assert!(drain.takes_requests(), "{now}");
+        assert!(drain.accepts_requests(), "{now}");
     }
     drain.poll(second(115), &Remaining::default(), false);
 
-    assert!(!drain.takes_requests());
+    assert!(!drain.accepts_requests());
 }
 
 #[test]
@@ -170,7 +170,7 @@
     let mut busiest = [0u32; 10];
 
     for seed in 0..850 {
-        let at = first(second(0), spread, seed);
+        let at = random_start(second(0), spread, seed);
         busiest[(at.0 / 1_000_000) as usize] += 1;
     }
 
@@ -183,10 +183,10 @@
 #[test]
 fn waits_between_failures_grow_to_a_limit_and_start_anew() {
     let mut backoff = Backoff::new(Duration::from_millis(100), Duration::from_secs(5), 1);
-    let waits: Vec<Duration> = (0..12).map(|_| backoff.failed()).collect();
-    backoff.succeeded();
+    let waits: Vec<Duration> = (0..12).map(|_| backoff.next_delay()).collect();
+    backoff.reset();
 
     assert!(waits[0] <= Duration::from_millis(100));
     assert!(waits[11] >= Duration::from_millis(2_500) && waits[11] <= Duration::from_secs(5));
-    assert!(backoff.failed() <= Duration::from_millis(100));
+    assert!(backoff.next_delay() <= Duration::from_millis(100));
 }
--- a/crates/fescuewell_membership/tests/member.rs
+++ b/crates/fescuewell_membership/tests/member.rs
@@ -11,7 +11,7 @@
 use fescuewell_membership::prelude::*;
 use fescuewell_membership::row::{self, State};
 use fescuewell_membership::sighting::Beat;
-use fescuewell_membership::update::News;
+use fescuewell_membership::update::Update;
 use rand::Rng;
 
 /// Goes on until that member asks to write that row; the step is left to the caller.
@@ -203,11 +203,11 @@
     };
     let now = fleet.now;
 
-    let report = News::Suspicion {
+    let report = Update::Suspicion {
         instance: instance(1),
         beat,
     };
-    fleet.members[0].hear(now, report);
+    fleet.members[0].apply_update(now, report);
     assert!(is_suspected(&fleet), "told by its watcher");
     fleet.run(seconds(2));
     assert!(
@@ -317,14 +317,14 @@
     let holder = fleet.holder(2);
     let now = fleet.now;
     fleet.members[2].set_state(now, State::Gone);
-    for news in fleet.members[2].take_news() {
-        fleet.members[0].hear(now, news);
+    for update in fleet.members[2].take_updates() {
+        fleet.members[0].apply_update(now, update);
     }
     fleet.run(seconds(3));
     assert!(fleet.members[2].is_published(State::Gone));
     assert!(fleet.members[0].view().terminated.contains(&holder));
 
-    fleet.members[0].settled(&holder);
+    fleet.members[0].mark_settled(&holder);
     fleet.run(seconds(3));
 
     assert!(!fleet.store.rows.contains_key(&row::key(&instance(2))));
@@ -343,7 +343,7 @@
     fleet.run(seconds(5));
     let first = row::holder(&instance(0), Incarnation(1));
 
-    fleet.members[1].settled(&first);
+    fleet.members[1].mark_settled(&first);
     let strike = next_commit_to(&mut fleet, 1, &row::key(&instance(0)));
     fleet.stopped[1] = true;
     fleet.run(seconds(2));
@@ -397,14 +397,14 @@
     let list = [listing(&instance(1), Role::Entry, Listed::Terminated)];
     let holders = [1, 2].map(|start| row::holder(&instance(1), Incarnation(start)));
 
-    fleet.members[0].settled(&holders[1]);
+    fleet.members[0].mark_settled(&holders[1]);
     fleet.run(seconds(3));
     assert!(fleet.members[0].view().lapsed.contains(&holders[0]));
     assert!(fleet.store.rows.contains_key(&row::key(&instance(1))));
     fleet.tell_list(&list);
     assert!(fleet.members[0].view().terminated.contains(&holders[0]));
     assert!(!fleet.members[0].view().terminated.contains(&holders[1]));
-    fleet.members[0].settled(&holders[0]);
+    fleet.members[0].mark_settled(&holders[0]);
     fleet.run(seconds(3));
 
     assert!(!fleet.store.rows.contains_key(&row::key(&instance(1))));
@@ -433,7 +433,7 @@
     fleet.fault = Box::new(|_, _| Fault::Unreachable);
     for _ in 0..1_200 {
         let now = fleet.now;
-        fleet.members[0].peer_answered(now, &instance(1));
+        fleet.members[0].record_peer_response(now, &instance(1));
         fleet.turn();
         assert!(!fleet.members[0].view().isolated);
     }
@@ -453,14 +453,14 @@
     let mut member = Members::new(settings(), me(0, 1), 1);
     let at = Instant::from_millis;
     let live = [listing("engine-1", Role::Engine, Listed::Live)];
-    member.server_leaves(at(1_000), "engine-1");
+    member.mark_server_leaving(at(1_000), "engine-1");
     assert!(member.view().leaving_servers.contains("engine-1"));
 
-    member.instance_list(at(2_000), &live);
+    member.apply_instance_list(at(2_000), &live);
     assert!(member.view().leaving_servers.contains("engine-1"));
-    member.instance_list(at(100_000), &live);
+    member.apply_instance_list(at(100_000), &live);
     assert!(member.view().leaving_servers.is_empty());
-    member.instance_list(
+    member.apply_instance_list(
         at(101_000),
         &[listing("engine-1", Role::Engine, Listed::Leaving)],
     );
--- a/crates/fescuewell_membership/tests/propagate.rs
+++ b/crates/fescuewell_membership/tests/propagate.rs
@@ -8,12 +8,12 @@
 use common::{instance, me};
 use fescuewell_core::prelude::*;
 use fescuewell_membership::gossip::{
-    Gossip, MESSAGE_BYTES, Message, NEWS_BYTES, Settings as GossipSettings,
+    Gossip, MESSAGE_BYTES, Message, Settings as GossipSettings, UPDATE_BYTES,
 };
 use fescuewell_membership::member::Members;
 use fescuewell_membership::propagate::{Propagation, Settings, Source};
 use fescuewell_membership::row::{Row, State};
-use fescuewell_membership::update::News;
+use fescuewell_membership::update::Update;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
@@ -129,17 +129,17 @@
     let mut shelf = Shelf::default();
     let now = Instant::from_millis(10);
     for version in [2, 3, 1] {
-        propagation.hear(now, "entry-9", true, head(version), &mut shelf);
+        propagation.record_peer_head(now, "entry-9", true, head(version), &mut shelf);
     }
 
     let mut applied = Vec::new();
     for _ in 0..8 {
-        for want in propagation.wants(now, &mut shelf) {
+        for want in propagation.next_fetches(now, &mut shelf) {
             let bytes = common::network::bytes(&want.name);
             propagation.supply(now, &want.name, Some(&bytes), want.from, &mut shelf);
         }
         if let Some(head) = propagation.take_complete() {
-            propagation.applied(now, head, &mut shelf);
+            propagation.mark_applied(now, head, &mut shelf);
             applied.push(head.version.0);
         }
     }
@@ -155,10 +155,10 @@
     let mut shelf = Shelf::default();
     let mut asked = 0;
 
-    propagation.hear(Instant::default(), "entry-9", true, head(5), &mut shelf);
+    propagation.record_peer_head(Instant::default(), "entry-9", true, head(5), &mut shelf);
     for milli in 0..20_000 {
         let now = Instant::from_millis(milli);
-        for want in propagation.wants(now, &mut shelf) {
+        for want in propagation.next_fetches(now, &mut shelf) {
             asked += u32::from(want.from == Source::Store);
             propagation.supply(now, &want.name, None, want.from, &mut shelf);
         }
@@ -172,9 +172,9 @@
     let mut propagation = Propagation::new(Settings::default(), 1);
     let mut shelf = Shelf::default();
     let now = Instant::from_millis(10);
-    propagation.hear(now, "entry-9", true, head(5), &mut shelf);
+    propagation.record_peer_head(now, "entry-9", true, head(5), &mut shelf);
 
-    let first = propagation.wants(now, &mut shelf).remove(0);
+    let first = propagation.next_fetches(now, &mut shelf).remove(0);
     propagation.supply(
         now,
         &first.name,
@@ -182,7 +182,7 @@
         first.from.clone(),
         &mut shelf,
     );
-    let second = propagation.wants(now, &mut shelf).remove(0);
+    let second = propagation.next_fetches(now, &mut shelf).remove(0);
 
     assert_eq!(first.from, Source::Peer("entry-9".into()));
     assert_eq!((second.name, second.from), (first.name, Source::Store));
@@ -208,31 +208,31 @@
 fn a_message_stays_within_the_sizes_that_the_rate_is_computed_with() {
     let members = Members::new(common::settings(), me(849, u64::MAX), 1);
     let row = members.own_row().clone();
-    let news = News::Member {
+    let update = Update::Member {
         instance: "handsign-entry-southeast-849".into(),
         row,
     };
     let settings = GossipSettings::sized(850);
     let empty = Message {
         head: Some(head(u64::MAX)),
-        news: Vec::new(),
+        updates: Vec::new(),
     };
     let full = Message {
-        news: vec![news; settings.most_news],
+        updates: vec![update; settings.max_updates],
         ..empty.clone()
     };
 
     assert!(encoded(&empty) + common::network::PACKET_BYTES <= MESSAGE_BYTES);
-    let most = MESSAGE_BYTES + settings.most_news * NEWS_BYTES;
+    let most = MESSAGE_BYTES + settings.max_updates * UPDATE_BYTES;
     assert!(encoded(&full) + common::network::PACKET_BYTES <= most);
 }
 
 /// Four changes of one member, different in each turn.
-fn storm(turn: u64) -> Vec<News> {
+fn storm(turn: u64) -> Vec<Update> {
     let row = Members::new(common::settings(), me(1, 1), 1)
         .own_row()
         .clone();
-    let change = |number: u64| News::Member {
+    let change = |number: u64| Update::Member {
         instance: instance(1),
         row: Row {
             beat: turn * 4 + number,
@@ -253,7 +253,7 @@
     let view = network.nodes[0].members.view();
     for turn in 0..590 {
         let now = Instant::from_millis(turn * 100);
-        gossip.spread(now, storm(turn));
+        gossip.broadcast(now, storm(turn));
         gossip.take_outgoing(now, view);
     }
 
@@ -278,7 +278,7 @@
 
     for turn in 0..6_000 {
         let now = Instant::from_millis(turn * 100);
-        gossip.spread(now, storm(turn));
+        gossip.broadcast(now, storm(turn));
         gossip.set_head(head(turn));
         for outgoing in gossip.take_outgoing(now, view) {
             sent += encoded(&outgoing.message) + common::network::PACKET_BYTES;
--- a/crates/fescuewell_membership/tests/slots.rs
+++ b/crates/fescuewell_membership/tests/slots.rs
@@ -9,8 +9,8 @@
 use common::*;
 use fescuewell_core::prelude::*;
 use fescuewell_membership::sighting::Beat;
-use fescuewell_membership::slots::{Assignment, Candidate, Keeper, assign};
-use fescuewell_membership::update::News;
+use fescuewell_membership::slots::{Assigner, Assignment, Candidate, assign};
+use fescuewell_membership::update::Update;
 use rand::Rng;
 
 const SLOTS: u16 = 64;
@@ -69,7 +69,7 @@
 
         let after = assign(SLOTS, &rest);
 
-        let own = before.of(&instance(gone)).len();
+        let own = before.slots_of(&instance(gone)).len();
         assert!(moved(&before, &after) <= 3 * own, "{gone}");
     }
 }
@@ -82,13 +82,13 @@
     assert_eq!(assign(SLOTS, &reversed), assign(SLOTS, &candidates(9)));
 }
 
-fn keepers(count: usize) -> Vec<Keeper> {
+fn keepers(count: usize) -> Vec<Assigner> {
     let settle = Duration::from_secs(3);
-    let keeper = |index| Keeper::new(instance(index), SLOTS, settle);
+    let keeper = |index| Assigner::new(instance(index), SLOTS, settle);
     (0..count).map(keeper).collect()
 }
 
-fn turn(fleet: &mut Fleet, keepers: &mut [Keeper]) {
+fn turn(fleet: &mut Fleet, keepers: &mut [Assigner]) {
     fleet.turn();
     for (index, keeper) in keepers.iter_mut().enumerate() {
         if fleet.stopped[index] {
@@ -128,7 +128,7 @@
     for slot in (0..SLOTS).map(SlotKey) {
         let wanting = running
             .iter()
-            .filter(|index| keepers[**index].mine().contains(&slot));
+            .filter(|index| keepers[**index].own_slots().contains(&slot));
         assert_eq!(wanting.count(), 1, "{slot:?}");
     }
 }
@@ -220,16 +220,16 @@
         number: u64::MAX,
     };
     for member in &mut fleet.members {
-        member.hear(
+        member.apply_update(
             left,
-            News::Suspicion {
+            Update::Suspicion {
                 instance: instance(4),
                 beat,
             },
         );
     }
 
-    let before = keepers[0].assignment().of(&instance(4));
+    let before = keepers[0].assignment().slots_of(&instance(4));
     for _ in 0..2 {
         keepers[0].update(left, fleet.members[0].view());
     }
@@ -238,5 +238,5 @@
         keepers[0].watch().contains(&instance(4)),
         "to confirm it soon"
     );
-    assert!(!before.is_empty() && keepers[0].assignment().of(&instance(4)).is_empty());
+    assert!(!before.is_empty() && keepers[0].assignment().slots_of(&instance(4)).is_empty());
 }
--- a/crates/fescuewell_node/src/admit.rs
+++ b/crates/fescuewell_node/src/admit.rs
@@ -84,7 +84,7 @@
     }
 
     fn check_instance(&self) -> Result<(), Refusal> {
-        if !self.drain.takes_requests() {
+        if !self.drain.accepts_requests() {
             return Err(Refusal::new(Code::Draining));
         }
         let view = self.members.view();
--- a/crates/fescuewell_node/src/node.rs
+++ b/crates/fescuewell_node/src/node.rs
@@ -12,9 +12,9 @@
 use fescuewell_forward::crash::Quarantine;
 use fescuewell_membership::drain::Drain;
 use fescuewell_membership::gossip::Gossip;
-use fescuewell_membership::member::{Me, Members};
+use fescuewell_membership::member::{InstanceInfo, Members};
 use fescuewell_membership::propagate::Propagation;
-use fescuewell_membership::slots::Keeper;
+use fescuewell_membership::slots::Assigner;
 use fescuewell_queue::admission::Admission;
 use fescuewell_queue::retry;
 use fescuewell_routing::router::Router;
@@ -65,7 +65,7 @@
     pub(crate) crowded_at: Instant,
     pub(crate) router: Router,
     pub(crate) members: Members,
-    pub(crate) keeper: Keeper,
+    pub(crate) keeper: Assigner,
     pub(crate) gossip: Gossip,
     pub(crate) propagation: Propagation,
     pub(crate) collector: Collector,
@@ -85,7 +85,7 @@
 
 impl Node {
     /// A node that knows nothing yet. `seed` feeds all jitter and random choices.
-    pub fn new(settings: Settings, me: Me, seed: u64) -> Self {
+    pub fn new(settings: Settings, me: InstanceInfo, seed: u64) -> Self {
         let holder: Arc<str> = format!("{}.{:x}", me.instance, me.incarnation.0).into();
         let identity = Identity {
             instance: me.instance.clone(),
@@ -110,7 +110,7 @@
             crowded_at: Instant::default(),
             router: Router::new(settings.routing, zone.clone(), seed ^ 5),
             members: Members::new(settings.members.clone(), me, seed ^ 6),
-            keeper: Keeper::new(instance.clone(), settings.slots, settings.slot_settle),
+            keeper: Assigner::new(instance.clone(), settings.slots, settings.slot_settle),
             gossip: Gossip::new(settings.gossip.clone(), instance, zone, seed ^ 7),
             propagation: Propagation::new(settings.propagation.clone(), seed ^ 8),
             collector: Collector::default(),
@@ -154,7 +154,7 @@
             Happening::Peer { from, message } => self.hear(&from, message),
             Happening::Table { duty, reply } => self.table_replied(duty, reply),
             Happening::Listed(list) => {
-                self.members.instance_list(now, &list);
+                self.members.apply_instance_list(now, &list);
                 self.sweeping.note_servers(&list);
             }
             Happening::Fetched { name, content } => self.object_fetched(&name, content.as_deref()),
@@ -180,7 +180,7 @@
                     self.router.cache_event(now, key, sequence, event);
                 }
             }
-            Happening::Leaving { server } => self.members.server_leaves(now, &server),
+            Happening::Leaving { server } => self.members.mark_server_leaving(now, &server),
             Happening::Streams {
                 server,
                 holder,
@@ -257,6 +257,8 @@
 
     /// Whether this instance takes requests.
     pub fn is_ready(&self) -> bool {
-        self.propagation.is_ready() && !self.members.view().isolated && self.drain.takes_requests()
+        self.propagation.is_ready()
+            && !self.members.view().isolated
+            && self.drain.accepts_requests()
     }
 }
--- a/crates/fescuewell_node/src/pump.rs
+++ b/crates/fescuewell_node/src/pump.rs
@@ -245,7 +245,7 @@
     }
 
     fn carry_document(&mut self) {
-        for want in self.propagation.wants(self.now, &mut self.collector) {
+        for want in self.propagation.next_fetches(self.now, &mut self.collector) {
             match want.from {
                 Source::Store => self.actions.push(Action::Fetch { name: want.name }),
                 Source::Peer(instance) => {
@@ -260,7 +260,7 @@
             Ok(document) => {
                 self.put_in_force(head.version, document);
                 self.propagation
-                    .applied(self.now, head, &mut self.collector);
+                    .mark_applied(self.now, head, &mut self.collector);
                 self.gossip.set_head(head);
             }
             Err(error) => {
@@ -268,7 +268,8 @@
                     Event::DocumentRefused,
                     format!("version={} reason={error}", head.version.0),
                 );
-                self.propagation.unreadable(self.now, &mut self.collector);
+                self.propagation
+                    .mark_unreadable(self.now, &mut self.collector);
             }
         }
     }
@@ -315,7 +316,7 @@
     /// Takes a message of another instance.
     pub(crate) fn hear(&mut self, from: &Arc<str>, message: Message) {
         let now = self.now;
-        self.members.peer_answered(now, from);
+        self.members.record_peer_response(now, from);
         match message {
             Message::Ask {
                 correlation,
@@ -368,10 +369,10 @@
             let peer = self.members.view().peer(from);
             let near = peer.is_some_and(|peer| peer.zone == self.me.zone);
             self.propagation
-                .hear(now, from, near, head, &mut self.collector);
+                .record_peer_head(now, from, near, head, &mut self.collector);
         }
-        for news in message.news.clone() {
-            self.members.hear(now, news);
+        for news in message.updates.clone() {
+            self.members.apply_update(now, news);
         }
         self.gossip.receive(now, from, message);
     }
@@ -440,7 +441,7 @@
         // A draining instance goes on holding what falls to it, until it has given everything back: when
         // all instances drain at once there is nobody else to record their last bills.
         if self.keeper.update(now, view) && !self.has_released_slots {
-            self.arbiter.want(now, &self.keeper.mine());
+            self.arbiter.want(now, &self.keeper.own_slots());
         }
         self.members.set_watch(self.keeper.watch().clone());
         for slot in 0..self.settings.slots {
@@ -448,14 +449,14 @@
             let owner = self.keeper.assignment().owner(slot).cloned();
             self.courier.set_holder(now, slot, owner);
         }
-        let news = self.members.take_news();
-        self.gossip.spread(now, news);
+        let news = self.members.take_updates();
+        self.gossip.broadcast(now, news);
         for outgoing in self.gossip.take_outgoing(now, self.members.view()) {
             self.send_to(&outgoing.to, Message::Gossip(outgoing.message));
         }
         self.review_sweeps();
         let view = self.members.view();
-        if view.superseded || view.leave_wanted {
+        if view.superseded || view.drain_requested {
             self.terminate();
         }
     }
--- a/crates/fescuewell_node/src/sweeping.rs
+++ b/crates/fescuewell_node/src/sweeping.rs
@@ -238,7 +238,7 @@
     }
 
     fn finish_sweep(&mut self, sweep: &Sweep) {
-        self.members.settled(sweep.holder());
+        self.members.mark_settled(sweep.holder());
         self.sweeping.questions.clear();
         if self.sweeping.settled.len() >= MOST_SETTLED {
             self.sweeping.settled.pop_first();
--- a/crates/fescuewell_node/tests/common/world.rs
+++ b/crates/fescuewell_node/tests/common/world.rs
@@ -10,7 +10,7 @@
 use fescuewell_document::chunk::Objects;
 use fescuewell_document::head::{self, HEAD_KEY, Proposal};
 use fescuewell_document::model::Document;
-use fescuewell_membership::member::Me;
+use fescuewell_membership::member::InstanceInfo;
 use fescuewell_node::prelude::*;
 use fescuewell_platform::memory::Table;
 use fescuewell_routing::load::Report;
@@ -122,7 +122,7 @@
     settings.courier.slots = 8;
     settings.members.list_lag = Duration::from_secs(1);
     settings.members.exclusive_address = true;
-    settings.drain.spread = Duration::from_millis(500);
+    settings.drain.announcement_time = Duration::from_millis(500);
     settings.drain.address_ttl = Duration::from_millis(500);
     settings
 }
@@ -204,7 +204,7 @@
         member.life += 1;
         member.has_left = false;
         member.paused_until = Instant::default();
-        let me = Me {
+        let me = InstanceInfo {
             instance: member.name.clone(),
             incarnation: Incarnation(member.life),
             caller_address: address,
--- a/crates/fescuewell_node/tests/messages.rs
+++ b/crates/fescuewell_node/tests/messages.rs
@@ -5,7 +5,7 @@
 use fescuewell_core::prelude::*;
 use fescuewell_membership::gossip::{Head, Message as GossipMessage};
 use fescuewell_membership::row::{Load, Row, State};
-use fescuewell_membership::update::News;
+use fescuewell_membership::update::Update;
 use fescuewell_node::message::Message;
 
 fn member_row() -> Row {
@@ -30,7 +30,7 @@
         version: Version(4),
         root: Digest(9),
     };
-    let news = vec![News::Member {
+    let news = vec![Update::Member {
         instance: "entry-1".into(),
         row: member_row(),
     }];
@@ -54,7 +54,7 @@
         },
         Message::Gossip(GossipMessage {
             head: Some(head),
-            news,
+            updates: news,
         }),
         Message::WantChunk { name: "00".into() },
         Message::Chunk {
--- a/crates/fescuewell_router/src/daemon.rs
+++ b/crates/fescuewell_router/src/daemon.rs
@@ -13,7 +13,7 @@
 use fescuewell_http::listener::{self, Listener};
 use fescuewell_http::upstream::{Client, Timeouts};
 use fescuewell_membership::address;
-use fescuewell_membership::member::Me;
+use fescuewell_membership::member::InstanceInfo;
 use fescuewell_node::event::Event as NodeEvent;
 use fescuewell_node::node::Node;
 use fescuewell_node::state::Summary;
@@ -128,7 +128,7 @@
         let summary: Arc<ArcSwap<Summary>> = Arc::default();
         let listener = start_listener(settings, &plane)?;
         let operator = start_operator(settings, &summary, &metrics)?;
-        let me = Me {
+        let me = InstanceInfo {
             instance: settings.instance.clone(),
             incarnation,
             caller_address: listener.address(),
--- a/crates/fescuewell_router/src/plane.rs
+++ b/crates/fescuewell_router/src/plane.rs
@@ -142,7 +142,7 @@
 
     fn instances(&self, caller: &address::Caller) -> Value {
         let published = self.published.load();
-        let answer = address::answer(&self.addresses, caller, &published.view);
+        let answer = address::resolve(&self.addresses, caller, &published.view);
         let instances: Vec<Value> = answer
             .addresses
             .iter()
--- a/crates/fescuewell_router/src/settings.rs
+++ b/crates/fescuewell_router/src/settings.rs
@@ -214,7 +214,7 @@
         node.members.isolation_limit = Duration::from_millis(timing.isolation_ms);
         node.members.lease = Duration::from_millis(timing.lease_ms);
         node.drain.address_ttl = Duration::from_millis(timing.address_ttl_ms);
-        node.drain.spread = Duration::from_millis(timing.drain_spread_ms);
+        node.drain.announcement_time = Duration::from_millis(timing.drain_spread_ms);
         node.drain.limit = Duration::from_millis(timing.drain_limit_ms);
         node
     }
