--- a/crates/fescuewell_membership/src/drain.rs
+++ b/crates/fescuewell_membership/src/drain.rs
@@ -1,9 +1,9 @@
-//! The shutdown of an instance: hand over everything and cut off nothing.
+//! Graceful shutdown of an instance: it hands over everything and interrupts no stream.
 //!
-//! The chart is `drain.json`. On SIGTERM the instance announces that it drains, and goes on serving as
-//! long as callers may hold its address; then it refuses new requests, truthfully and with other
-//! addresses, and lets every stream end; then it delivers its bills, returns its allowances and slots,
-//! and publishes its farewell.
+//! The state chart is `drain.json`. On SIGTERM the instance announces that it is draining, and
+//! keeps serving as long as callers may have its address cached. Then it refuses new requests, with
+//! the addresses of other instances, and lets every stream end. Finally it delivers its bills,
+//! returns its allowances and slots, and publishes its farewell.
 
 use std::time::Duration;
 
@@ -14,32 +14,33 @@
 const CHART: &str = include_str!("drain.json");
 
 fescuewell_core::data! {
-    /// How long each part may take.
+    /// Time limits of the phases.
     pub struct Settings {
-        /// Time until every instance knows of the announcement and names this one to no caller.
+        /// Time until every instance knows of the announcement and advertises this one to no
+        /// caller.
         #[serde(rename = "spread")]
         pub announcement_time: Duration,
-        /// Time to live of an address that a caller was given.
+        /// Time to live of an address given to a caller.
         pub address_ttl: Duration,
         /// Time after which bills that could not be made durable are handed to a peer.
         #[serde(rename = "bill_patience")]
         pub bill_timeout: Duration,
-        /// Time after which the process ends whatever is left. Longer than the longest stream, or the
-        /// drain cuts streams off.
+        /// Time after which the process exits, whatever is left. It must exceed the longest stream;
+        /// otherwise the drain interrupts streams.
         pub limit: Duration,
-        /// Part of `limit` that is kept for the hand-over, so that streams that never end do not keep
-        /// the bills from being delivered.
+        /// Part of `limit` that is reserved for the hand-over, so that streams that never end do
+        /// not keep the bills from being delivered.
         pub hand_over: Duration,
     }
 
-    /// What is left open.
+    /// What is still open.
     #[derive(Copy, Default)]
     pub struct Remaining {
-        /// Queued requests and streams under way.
+        /// Queued requests and streams in progress.
         pub streams: usize,
         /// Bills that are not durable yet.
         pub bills: usize,
-        /// Budgets with an allowance that was not returned.
+        /// Budgets with an allowance that has not been returned.
         pub allowances: usize,
         /// Slots held.
         pub slots: usize,
@@ -47,16 +48,16 @@
 }
 
 fescuewell_core::message! {
-    /// What the instance is to do next.
+    /// What the instance must do next.
     #[derive(Copy)]
     pub enum Action {
-        /// Publish the state "draining" in the member row, and tell peers.
+        /// Publish the state "draining" in the member row, and gossip it.
         Announce,
         /// Refuse new requests with [`Code::Draining`] and other addresses.
         RefuseNew,
         /// Make the bills durable as fast as possible.
         FlushBills,
-        /// Give the bills to a peer that can make them durable later.
+        /// Hand the bills to a peer that can make them durable later.
         HandBillsToPeer,
         /// Return all allowances.
         ReturnAllowances,
@@ -64,16 +65,16 @@
         ReleaseSlots,
         /// Publish the state "gone" in the member row.
         Farewell,
-        /// End the process.
+        /// Exit the process.
         Exit {
             /// Whether everything was handed over. If not, no farewell was published, and the sweep
-            /// settles what is left once the instance list says that this instance ended.
+            /// settles what is left once the instance list says that this instance has ended.
             clean: bool,
         },
     }
 }
 
-/// The drain of one instance.
+/// The drain state machine of one instance.
 ///
 /// ```
 /// use fescuewell_core::prelude::*;
@@ -90,16 +91,16 @@
     chart: Chart,
     state: State,
     stopped_at: Instant,
-    finished_at: Instant,
-    asked: Asked,
+    hand_over_started_at: Instant,
+    requested: Requested,
 }
 
-/// Which actions were already asked for.
+/// The actions already requested.
 #[derive(Debug, Clone, Copy, Default)]
-struct Asked {
+struct Requested {
     flush: bool,
     peer: bool,
-    give_back: bool,
+    returns: bool,
     farewell: bool,
 }
 
@@ -116,43 +117,43 @@
 }
 
 impl Drain {
-    /// An instance that serves.
+    /// Creates the drain of an instance that is serving.
     ///
     /// # Panics
     ///
-    /// When the chart, which is part of the program, is malformed.
+    /// If the embedded chart is malformed.
     pub fn new(settings: Settings) -> Self {
-        let chart = Chart::parse(CHART).expect("drain.json is a chart");
+        let chart = Chart::parse(CHART).expect("drain.json is a valid state chart");
         let state = chart.initial();
         Self {
             settings,
             chart,
             state,
             stopped_at: Instant::default(),
-            finished_at: Instant::default(),
-            asked: Asked::default(),
+            hand_over_started_at: Instant::default(),
+            requested: Requested::default(),
         }
     }
 
-    /// Name of the present state.
+    /// Name of the current state.
     pub fn state(&self) -> &str {
         self.chart.name(self.state)
     }
 
-    /// Whether new requests are taken.
+    /// Whether new requests are accepted.
     pub fn accepts_requests(&self) -> bool {
         matches!(self.state(), "serving" | "announcing")
     }
 
-    /// The instance is to stop. `named` says whether callers may have been given its address. A second
-    /// call changes nothing.
-    pub fn stop(&mut self, now: Instant, named: bool) -> Vec<Action> {
+    /// Starts the drain. `is_advertised` says whether callers may have been given this instance's
+    /// address. Later calls change nothing.
+    pub fn stop(&mut self, now: Instant, is_advertised: bool) -> Vec<Action> {
         if self.state() != "serving" {
             return Vec::new();
         }
         self.stopped_at = now;
-        log_event!(Event::DrainStarted, "named={named}");
-        if named {
+        log_event!(Event::DrainStarted, "named={is_advertised}");
+        if is_advertised {
             self.step("stop");
             return vec![Action::Announce];
         }
@@ -160,7 +161,8 @@
         vec![Action::Announce, Action::RefuseNew]
     }
 
-    /// Goes on with what is left open and whether the table has confirmed the farewell.
+    /// Advances the drain, given what is still open and whether the table has confirmed the
+    /// farewell.
     pub fn poll(
         &mut self,
         now: Instant,
@@ -176,10 +178,10 @@
     }
 
     /// Callers keep addresses that they were given just before the last instance learned of the
-    /// announcement. Refusing earlier would fail requests that another address would have served.
+    /// announcement. Refusing earlier would fail requests that another instance could have served.
     fn poll_announcing(&mut self, now: Instant) -> Vec<Action> {
-        let cached = self.settings.announcement_time + self.settings.address_ttl;
-        if now.since(self.stopped_at) >= cached {
+        let addresses_expire_after = self.settings.announcement_time + self.settings.address_ttl;
+        if now.since(self.stopped_at) >= addresses_expire_after {
             self.step("addresses_expired");
             return vec![Action::RefuseNew];
         }
@@ -203,9 +205,9 @@
         &mut self,
         now: Instant,
         remaining: &Remaining,
-        published: bool,
+        farewell_published: bool,
     ) -> Vec<Action> {
-        if self.asked.farewell && published {
+        if self.requested.farewell && farewell_published {
             self.step("farewell_published");
             log_event!(Event::DrainFinished, "clean=true");
             return vec![Action::Exit { clean: true }];
@@ -220,22 +222,26 @@
 
     fn hand_over(&mut self, now: Instant, remaining: &Remaining) -> Vec<Action> {
         let mut actions = Vec::new();
-        if !std::mem::replace(&mut self.asked.flush, true) {
+        if !std::mem::replace(&mut self.requested.flush, true) {
             actions.push(Action::FlushBills);
         }
-        let impatient = now.since(self.finished_at) >= self.settings.bill_timeout;
-        if remaining.bills > 0 && impatient && !std::mem::replace(&mut self.asked.peer, true) {
+        let bills_overdue = now.since(self.hand_over_started_at) >= self.settings.bill_timeout;
+        if remaining.bills > 0
+            && bills_overdue
+            && !std::mem::replace(&mut self.requested.peer, true)
+        {
             actions.push(Action::HandBillsToPeer);
         }
-        // What a bill charges must not be returned first: a successor could spend it again.
+        // Allowances must not be returned while a bill still charges them: a successor could spend
+        // them again.
         let settled = remaining.streams == 0 && remaining.bills == 0;
-        if settled && !std::mem::replace(&mut self.asked.give_back, true) {
+        if settled && !std::mem::replace(&mut self.requested.returns, true) {
             actions.extend([Action::ReturnAllowances, Action::ReleaseSlots]);
         }
-        // The farewell tells everybody that nothing of this instance is left to settle. Published with
-        // something left, it would free what a stream or a bill still stands for.
+        // The farewell states that nothing of this instance is left to settle. Published too early,
+        // it would free what a stream or a bill still uses.
         let nothing_left = *remaining == Remaining::default();
-        if nothing_left && !std::mem::replace(&mut self.asked.farewell, true) {
+        if nothing_left && !std::mem::replace(&mut self.requested.farewell, true) {
             actions.push(Action::Farewell);
         }
         actions
@@ -246,14 +252,14 @@
     }
 
     fn begin_hand_over(&mut self, now: Instant, signal: &str) {
-        self.finished_at = now;
+        self.hand_over_started_at = now;
         self.step(signal);
     }
 
     fn step(&mut self, signal: &str) {
         let before = self.state;
         let stepped = self.chart.step(&mut self.state, signal);
-        debug_assert!(stepped.is_ok(), "drain.json has no step for {signal}");
+        debug_assert!(stepped.is_ok(), "drain.json has no transition for {signal}");
         log_event!(
             Event::StateChanged,
             "chart=drain from={} to={} signal={signal}",
--- a/crates/fescuewell_membership/src/gossip.rs
+++ b/crates/fescuewell_membership/src/gossip.rs
@@ -1,8 +1,8 @@
-//! What instances tell each other: the head in force and changes of the membership.
+//! Gossip between instances: the head in force and membership updates.
 //!
-//! Each instance keeps a few partners, some of them in other zones, and also tells those that lately
-//! told it something. A new head or a change is passed on at once; besides, each round tells the
-//! head to the chosen partners, so that whatever was lost is made up for.
+//! Each instance keeps a few partners, some of them in other zones, and also sends to those that
+//! recently sent it something. A new head or update is sent at once. In addition, each round sends
+//! the head to the chosen partners, which makes up for lost messages.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -18,22 +18,22 @@
 use crate::update::Update;
 use crate::view::View;
 
-/// Changes kept for partners that have not been told yet.
-const MOST_ITEMS: usize = 64;
-/// Rounds for which a change is kept.
-const ITEM_ROUNDS: u32 = 4;
-/// Rounds of silence after which an instance that was not chosen is no partner any more.
+/// Maximum number of updates kept for partners that have not received them yet.
+const MAX_PENDING: usize = 64;
+/// Rounds for which an update is kept.
+const PENDING_ROUNDS: u32 = 4;
+/// Rounds of silence after which an instance that was not chosen is no longer a partner.
 const SILENT_ROUNDS: u32 = 3;
-/// Part of the byte rate that changes of the membership may take. After a restart of a whole large
-/// fleet they are many, and the heads behind them would wait for minutes.
+/// Share of the byte rate that membership updates may use. After a restart of a whole large fleet
+/// there are so many that heads behind them would wait for minutes.
 const UPDATE_SHARE: f64 = 0.5;
-/// Bytes of a message without changes, and of the packet around it, rounded up.
+/// Size of a message without updates, including the packet around it, rounded up.
 pub const MESSAGE_BYTES: usize = 160;
-/// Bytes of one change, rounded up.
+/// Size of one update, rounded up.
 pub const UPDATE_BYTES: usize = 200;
 
 fescuewell_core::data! {
-    /// Names one version of the document.
+    /// Identifies one version of the document.
     #[derive(Copy)]
     pub struct Head {
         /// Its version.
@@ -42,30 +42,30 @@
         pub root: Digest,
     }
 
-    /// What one instance tells another.
+    /// A gossip message.
     pub struct Message {
-        /// The head in force at the sender, which then has all objects of the document.
+        /// The head in force at the sender, which has all objects of that document.
         pub head: Option<Head>,
-        /// Changes of the membership.
+        /// Membership updates.
         #[serde(rename = "news")]
         pub updates: Vec<Update>,
     }
 
-    /// How much is told, how often and to how many.
+    /// How much is sent, how often and to how many.
     pub struct Settings {
         /// Time between two rounds.
         pub interval: Duration,
-        /// Chosen partners.
+        /// Number of chosen partners.
         pub fanout: usize,
-        /// How many of them are in other zones, where there are any.
+        /// How many of them are in other zones, if there are any.
         #[serde(rename = "far")]
         pub remote_partners: usize,
-        /// Time after which one partner is chosen anew.
+        /// Time after which one partner is replaced.
         pub partner_period: Duration,
-        /// Most changes in one message.
+        /// Maximum number of updates in one message.
         #[serde(rename = "most_news")]
         pub max_updates: usize,
-        /// Bytes a second that may be sent, packets included.
+        /// Maximum bytes sent per second, including packet overhead.
         pub bytes_per_second: u32,
     }
 }
@@ -80,11 +80,11 @@
     }
 }
 
-/// Rounds a second in a small fleet.
+/// Rounds per second in a small fleet.
 const SMALL_FLEET_ROUNDS: f64 = 2.0;
-/// Fleet size up to which rounds are that frequent.
+/// Largest fleet size that uses this frequency.
 const SMALL_FLEET: f64 = 100.0;
-/// Seconds between rounds of a larger fleet.
+/// Seconds between rounds in a larger fleet.
 const LARGE_FLEET_INTERVAL: f64 = 4.0;
 
 impl Settings {
@@ -111,23 +111,23 @@
     }
 }
 
-/// An instance that this one talks to.
+/// An instance that this one exchanges messages with.
 #[derive(Debug, Clone, Default)]
 struct Partner {
     chosen: bool,
-    heard_at: Option<Instant>,
+    last_received: Option<Instant>,
     version: Version,
 }
 
-/// A change that is being passed on.
+/// An update that is being sent to partners.
 #[derive(Debug, Clone)]
-struct Item {
+struct PendingUpdate {
     update: Update,
-    told: BTreeSet<Arc<str>>,
-    since: Instant,
+    sent_to: BTreeSet<Arc<str>>,
+    queued_at: Instant,
 }
 
-/// One instance's part in spreading heads and changes.
+/// The gossip state machine of one instance.
 ///
 /// ```
 /// use fescuewell_core::prelude::*;
@@ -135,8 +135,8 @@
 /// let mut gossip = Gossip::new(Settings::default(), "entry-1".into(), "a".into(), 7);
 /// let head = Head { version: Version(3), root: Digest(9) };
 /// let now = Instant::from_millis(5);
-/// let heard = gossip.receive(now, "entry-2", Message { head: Some(head), updates: vec![] });
-/// assert_eq!(heard.head, Some(head));
+/// let received = gossip.receive(now, "entry-2", Message { head: Some(head), updates: vec![] });
+/// assert_eq!(received.head, Some(head));
 /// ```
 #[derive(Debug)]
 pub struct Gossip {
@@ -146,16 +146,16 @@
     rng: SmallRng,
     partners: BTreeMap<Arc<str>, Partner>,
     head: Option<Head>,
-    items: VecDeque<Item>,
+    pending: VecDeque<PendingUpdate>,
     urgent: bool,
-    due_round: Instant,
-    due_choice: Instant,
+    next_round_at: Instant,
+    next_rotation_at: Instant,
     bucket: TokenBucket,
     update_bucket: TokenBucket,
 }
 
 impl Gossip {
-    /// An instance that knows nobody yet.
+    /// Creates an instance that knows no partners yet.
     pub fn new(settings: Settings, instance: Arc<str>, zone: Arc<str>, seed: u64) -> Self {
         let rate = f64::from(settings.bytes_per_second);
         let message = MESSAGE_BYTES + settings.max_updates * UPDATE_BYTES;
@@ -169,14 +169,14 @@
             rng: SmallRng::seed_from_u64(seed),
             partners: BTreeMap::new(),
             head: None,
-            items: VecDeque::new(),
+            pending: VecDeque::new(),
             urgent: false,
-            due_round: Instant::default(),
-            due_choice: Instant::default(),
+            next_round_at: Instant::default(),
+            next_rotation_at: Instant::default(),
         }
     }
 
-    /// A newer head is in force here: tell it at once. An older one changes nothing.
+    /// Sets the head in force here and sends it at once. An older head changes nothing.
     pub fn set_head(&mut self, head: Head) {
         let known = self.head.map(|known| known.version);
         if known >= Some(head.version) {
@@ -186,32 +186,32 @@
         self.urgent = true;
     }
 
-    /// Passes changes on.
+    /// Queues updates for all partners.
     pub fn broadcast(&mut self, now: Instant, updates: Vec<Update>) {
         for update in updates {
-            if self.items.len() >= MOST_ITEMS {
-                self.items.pop_front();
+            if self.pending.len() >= MAX_PENDING {
+                self.pending.pop_front();
             }
-            self.items.push_back(Item {
+            self.pending.push_back(PendingUpdate {
                 update,
-                told: BTreeSet::new(),
-                since: now,
+                sent_to: BTreeSet::new(),
+                queued_at: now,
             });
             self.urgent = true;
         }
     }
 
-    /// Takes a message. The caller passes the head on to the propagation and the changes to the
-    /// members, which say by their own news what was new to them.
+    /// Handles a message and returns it. The caller passes its head to the propagation and its
+    /// updates to the members, which queue again those that were new to them.
     pub fn receive(&mut self, now: Instant, from: &str, message: Message) -> Message {
         let partner = self.partners.entry(from.into()).or_default();
-        partner.heard_at = Some(now);
+        partner.last_received = Some(now);
         partner.version = message.head.map_or(Version(0), |head| head.version);
         let behind = self.head.is_some_and(|head| head.version > partner.version);
         self.urgent |= behind;
-        for item in &mut self.items {
-            if message.updates.contains(&item.update) {
-                item.told.insert(from.into());
+        for pending_update in &mut self.pending {
+            if message.updates.contains(&pending_update.update) {
+                pending_update.sent_to.insert(from.into());
             }
         }
         message
@@ -219,99 +219,108 @@
 
     /// The messages to send now.
     pub fn take_outgoing(&mut self, now: Instant, view: &View) -> Vec<Outgoing> {
-        let round = now >= self.due_round;
-        if !round && !self.urgent {
+        let is_round = now >= self.next_round_at;
+        if !is_round && !self.urgent {
             return Vec::new();
         }
         self.choose_partners(now, view);
         let mut outgoing = Vec::new();
-        let mut held_back = false;
-        // In the same order each time, the last ones would get nothing while the rate is used up.
+        let mut is_throttled = false;
+        // With a fixed order, the last partners would get nothing while the rate is used up.
         let mut names: Vec<Arc<str>> = self.partners.keys().cloned().collect();
         names.shuffle(&mut self.rng);
         for to in names {
-            let Some(mut message) = self.message_to(&to, round) else {
+            let Some(mut message) = self.message_to(&to, is_round) else {
                 continue;
             };
             let updates_size = message.updates.len() * UPDATE_BYTES;
             if !self.update_bucket.take(now, updates_size as f64) {
-                held_back = true;
+                is_throttled = true;
                 message.updates.clear();
-                if !self.is_due(&to, round) {
+                if !self.needs_head(&to, is_round) {
                     continue;
                 }
             }
             let size = MESSAGE_BYTES + message.updates.len() * UPDATE_BYTES;
-            // A storm of changes must not take the network from the requests. What is held back here
-            // goes out as soon as the rate allows it; the table tells it too.
+            // A burst of updates must not take bandwidth from requests. Messages held back here are
+            // sent as soon as the rate allows; the table carries the same changes.
             if !self.bucket.take(now, size as f64) {
-                held_back = true;
+                is_throttled = true;
                 continue;
             }
-            self.note_told(&to, &message);
+            self.record_sent(&to, &message);
             outgoing.push(Outgoing { to, message });
         }
-        self.urgent = held_back;
-        if round {
+        self.urgent = is_throttled;
+        if is_round {
             let jitter = self.rng.random_range(0.8..1.2);
-            self.due_round = now + self.settings.interval.mul_f64(jitter);
-            let kept = self.settings.interval * ITEM_ROUNDS;
-            self.items.retain(|item| now.since(item.since) < kept);
+            self.next_round_at = now + self.settings.interval.mul_f64(jitter);
+            let kept = self.settings.interval * PENDING_ROUNDS;
+            self.pending
+                .retain(|pending_update| now.since(pending_update.queued_at) < kept);
         }
         outgoing
     }
 
-    fn message_to(&self, to: &Arc<str>, round: bool) -> Option<Message> {
-        let untold = self.items.iter().filter(|item| !item.told.contains(to));
-        let untold = untold.take(self.settings.max_updates);
-        let updates: Vec<Update> = untold.map(|item| item.update.clone()).collect();
-        let worth_sending = self.is_due(to, round) || !updates.is_empty();
+    fn message_to(&self, to: &Arc<str>, is_round: bool) -> Option<Message> {
+        let unsent = self
+            .pending
+            .iter()
+            .filter(|pending_update| !pending_update.sent_to.contains(to));
+        let unsent = unsent.take(self.settings.max_updates);
+        let updates: Vec<Update> = unsent
+            .map(|pending_update| pending_update.update.clone())
+            .collect();
+        let worth_sending = self.needs_head(to, is_round) || !updates.is_empty();
         worth_sending.then_some(Message {
             head: self.head,
             updates,
         })
     }
 
-    /// Whether the partner is to be told the head, whatever else there is to tell.
-    fn is_due(&self, to: &Arc<str>, round: bool) -> bool {
+    /// Whether the partner must be sent the head, whatever updates there are.
+    fn needs_head(&self, to: &Arc<str>, is_round: bool) -> bool {
         let partner = &self.partners[to];
         let newer = self.head.is_some_and(|head| head.version > partner.version);
-        newer || round && partner.chosen
+        newer || is_round && partner.chosen
     }
 
-    fn note_told(&mut self, to: &Arc<str>, message: &Message) {
-        for item in &mut self.items {
-            if message.updates.contains(&item.update) {
-                item.told.insert(to.clone());
+    fn record_sent(&mut self, to: &Arc<str>, message: &Message) {
+        for pending_update in &mut self.pending {
+            if message.updates.contains(&pending_update.update) {
+                pending_update.sent_to.insert(to.clone());
             }
         }
         let Some(partner) = self.partners.get_mut(to) else {
             return;
         };
-        // Taken as received; if it was lost, the partner's next message shows its older version.
-        let told = message.head.map_or(Version(0), |head| head.version);
-        partner.version = partner.version.max(told);
+        // Assumes delivery; if the message is lost, the partner's next message shows its older
+        // version.
+        let sent = message.head.map_or(Version(0), |head| head.version);
+        partner.version = partner.version.max(sent);
     }
 
     fn choose_partners(&mut self, now: Instant, view: &View) {
-        let silent = self.settings.interval * SILENT_ROUNDS;
+        let max_silence = self.settings.interval * SILENT_ROUNDS;
         self.partners.retain(|name, partner| {
-            let heard = partner.heard_at.is_some_and(|at| now.since(at) <= silent);
+            let recent = partner
+                .last_received
+                .is_some_and(|at| now.since(at) <= max_silence);
             let live = view.peer(name).is_some_and(|peer| !peer.suspected);
-            heard || partner.chosen && live
+            recent || partner.chosen && live
         });
-        if now >= self.due_choice {
-            self.due_choice = now + self.settings.partner_period;
-            self.drop_one();
+        if now >= self.next_rotation_at {
+            self.next_rotation_at = now + self.settings.partner_period;
+            self.drop_partner();
         }
         let chosen = self.partners.values().filter(|partner| partner.chosen);
         if chosen.count() < self.settings.fanout {
-            self.choose_more(view);
+            self.choose_new_partners(view);
         }
     }
 
-    /// Changing partners now and then joins what an unlucky choice may have parted.
-    fn drop_one(&mut self) {
+    /// Replacing partners from time to time reconnects groups that an unlucky choice has separated.
+    fn drop_partner(&mut self) {
         let chosen = self.partners.iter().filter(|(_, partner)| partner.chosen);
         let chosen: Vec<Arc<str>> = chosen.map(|(name, _)| name.clone()).collect();
         let Some(name) = chosen.choose(&mut self.rng) else {
@@ -322,27 +331,31 @@
         }
     }
 
-    fn choose_more(&mut self, view: &View) {
+    fn choose_new_partners(&mut self, view: &View) {
         let others = view.live.iter().filter(|peer| {
             peer.instance != self.instance && !peer.suspected && peer.state != State::Gone
         });
-        let (near, far): (Vec<_>, Vec<_>) = others.partition(|peer| peer.zone == self.zone);
-        let mut missing_far = self.settings.remote_partners;
+        let (local, remote): (Vec<_>, Vec<_>) = others.partition(|peer| peer.zone == self.zone);
+        let mut missing_remote = self.settings.remote_partners;
         let mut missing = self.settings.fanout;
         for (name, partner) in &self.partners {
             if !partner.chosen {
                 continue;
             }
             missing = missing.saturating_sub(1);
-            if far.iter().any(|peer| peer.instance == *name) {
-                missing_far = missing_far.saturating_sub(1);
+            if remote.iter().any(|peer| peer.instance == *name) {
+                missing_remote = missing_remote.saturating_sub(1);
             }
         }
-        let far_names = self.pick(&far, missing_far.min(missing));
-        let near_names = self.pick(&near, missing - far_names.len());
-        let rest = missing - far_names.len() - near_names.len();
-        let more_far = self.pick(&far, far_names.len() + rest);
-        for name in far_names.into_iter().chain(near_names).chain(more_far) {
+        let remote_names = self.pick(&remote, missing_remote.min(missing));
+        let local_names = self.pick(&local, missing - remote_names.len());
+        let rest = missing - remote_names.len() - local_names.len();
+        let more_remote = self.pick(&remote, remote_names.len() + rest);
+        for name in remote_names
+            .into_iter()
+            .chain(local_names)
+            .chain(more_remote)
+        {
             if missing == 0 {
                 return;
             }
--- a/crates/fescuewell_membership/src/lib.rs
+++ b/crates/fescuewell_membership/src/lib.rs
@@ -1,9 +1,10 @@
-//! Membership: heartbeats, slot assignment, address answers, document propagation and drain, as pure
-//! state machines.
+//! Membership as pure state machines: heartbeats, slot assignment, address selection, document
+//! propagation and drain.
 //!
-//! Nothing here opens a socket, starts a thread or reads a clock. [`member::Members`] asks for table
-//! work as [`fescuewell_core::table::Step`]s and is told the replies; [`gossip::Gossip`] produces the
-//! messages that instances exchange; the other modules decide on the resulting [`view::View`].
+//! Nothing here opens a socket, starts a thread or reads a clock. [`member::Members`] returns table
+//! accesses as [`fescuewell_core::table::Step`]s and receives the replies; [`gossip::Gossip`]
+//! produces the messages that instances exchange; the other modules decide on the resulting
+//! [`view::View`].
 
 pub mod address;
 pub mod drain;
@@ -20,7 +21,7 @@
 pub mod update;
 pub mod view;
 
-/// The names that users of this crate need.
+/// The types that most users of this crate need.
 pub mod prelude {
     pub use crate::member::{InstanceInfo, Members};
     pub use crate::row::Row;
--- a/crates/fescuewell_membership/src/member.rs
+++ b/crates/fescuewell_membership/src/member.rs
@@ -1,9 +1,10 @@
-//! Membership as one instance keeps it: its own heartbeats and its observation of the others.
+//! The membership state machine of one instance: it writes its own heartbeats and observes those of
+//! the others.
 //!
-//! In a fleet whose rows fit into one page, every instance reads all rows each `read_interval`. In a
-//! larger one it reads a few members' rows that often, those that follow it on a ring of hashed names
-//! and those that it has reason to suspect, and goes through all rows a page at a time. Changes in
-//! between reach it as [`Update`] from peers.
+//! In a fleet whose rows fit into one page, every instance reads all rows each `read_interval`. In
+//! a larger fleet it reads only a few rows that often: those of the members that follow it on a
+//! ring of hashed names and of those that it suspects. It also scans all rows page by page. Between
+//! scans, changes arrive as [`Update`]s from peers.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -24,25 +25,25 @@
 use crate::update::Update;
 use crate::view::View;
 
-/// Most members that are watched by single reads.
-const MOST_WATCHED: usize = 8;
-/// Update kept until gossip fetches them; the table tells whatever is dropped.
-const MOST_NEWS: usize = 64;
-/// Rounds that are hurried at the start, as long as they show members that are starting too: after a
-/// restart of all, slots wait until everybody is known to be ready.
-const HURRIED_ROUNDS: u32 = 4;
-/// Pages of a hurried round are this much larger.
-const HURRIED_PAGE: u32 = 8;
-/// Pages of a hurried round are read this much more often.
-const HURRIED_SPEEDUP: u32 = 4;
+/// Maximum number of members that are watched by single reads.
+const MAX_WATCHED: usize = 8;
+/// Maximum number of updates kept for gossip; dropped ones are still learned from the table.
+const MAX_UPDATES: usize = 64;
+/// Number of fast scan rounds after the start. They end early once a round shows no other starting
+/// member. After a restart of the whole fleet, slots wait until everybody is known to be ready.
+const FAST_ROUNDS: u32 = 4;
+/// Factor by which pages of a fast round are larger.
+const FAST_PAGE_FACTOR: u32 = 8;
+/// Factor by which pages of a fast round are read more often.
+const FAST_PAGE_SPEEDUP: u32 = 4;
 
 mod judgement;
 mod reading;
 mod settling;
 
-/// What the table was asked.
+/// The table request that is outstanding.
 #[derive(Debug, Clone)]
-enum Asked {
+enum Request {
     OwnRow,
     Beat,
     Page {
@@ -90,62 +91,62 @@
     own: OwnRow,
     rng: SmallRng,
     sightings: BTreeMap<Arc<str>, Sighting>,
-    words: Statuses,
-    extra_watch: BTreeSet<Arc<str>>,
-    outstanding: Option<Asked>,
+    statuses: Statuses,
+    requested_watch: BTreeSet<Arc<str>>,
+    outstanding: Option<Request>,
     settled: VecDeque<(Arc<str>, Incarnation)>,
-    news: VecDeque<Update>,
-    due_beat: Instant,
-    due_watch: Instant,
-    due_page: Instant,
+    updates: VecDeque<Update>,
+    next_beat_at: Instant,
+    next_watch_at: Instant,
+    next_page_at: Instant,
     cursor: Option<Arc<str>>,
     round_started: Instant,
-    round_seen: BTreeSet<Arc<str>>,
-    several_pages: bool,
+    seen_this_round: BTreeSet<Arc<str>>,
+    is_multi_page: bool,
     complete: bool,
-    hurry: u32,
-    trouble_at: Option<Instant>,
-    table_answered: Instant,
-    peers_answered: BTreeMap<Arc<str>, Instant>,
+    fast_rounds: u32,
+    last_table_failure: Option<Instant>,
+    last_table_reply: Instant,
+    last_peer_responses: BTreeMap<Arc<str>, Instant>,
     isolated: bool,
     dirty: bool,
     view: View,
 }
 
 impl Members {
-    /// A member that has read and written nothing yet.
-    pub fn new(settings: Settings, me: InstanceInfo, seed: u64) -> Self {
+    /// Creates a member that has read and written nothing yet.
+    pub fn new(settings: Settings, info: InstanceInfo, seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let first = Instant::default() + settings.start_spread.mul_f64(rng.random::<f64>());
         Self {
             settings,
-            own: OwnRow::new(me),
+            own: OwnRow::new(info),
             rng,
             sightings: BTreeMap::new(),
-            words: Statuses::default(),
-            extra_watch: BTreeSet::new(),
+            statuses: Statuses::default(),
+            requested_watch: BTreeSet::new(),
             outstanding: None,
             settled: VecDeque::new(),
-            news: VecDeque::new(),
-            due_beat: first,
-            due_watch: first,
-            due_page: first,
+            updates: VecDeque::new(),
+            next_beat_at: first,
+            next_watch_at: first,
+            next_page_at: first,
             cursor: None,
             round_started: Instant::default(),
-            round_seen: BTreeSet::new(),
-            several_pages: false,
+            seen_this_round: BTreeSet::new(),
+            is_multi_page: false,
             complete: false,
-            hurry: HURRIED_ROUNDS,
-            trouble_at: None,
-            table_answered: Instant::default(),
-            peers_answered: BTreeMap::new(),
+            fast_rounds: FAST_ROUNDS,
+            last_table_failure: None,
+            last_table_reply: Instant::default(),
+            last_peer_responses: BTreeMap::new(),
             isolated: false,
             dirty: true,
             view: View::default(),
         }
     }
 
-    /// The fleet as of the last call of [`Self::next_step`] or [`Self::reply`].
+    /// The fleet as of the last change; see [`Self::next_step`] and [`Self::reply`].
     pub fn view(&self) -> &View {
         &self.view
     }
@@ -155,218 +156,220 @@
         self.own.row()
     }
 
-    /// Whether the table has confirmed a row of this state.
+    /// Whether the table has confirmed a row with this state or a later one.
     pub fn is_published(&self, state: State) -> bool {
         self.own.acked_state() >= state
     }
 
-    /// Advances this instance's state and publishes it with the next step.
+    /// Advances this instance's state and schedules a heartbeat at once to publish it.
     pub fn set_state(&mut self, now: Instant, state: State) {
         if !self.own.advance(state) {
             return;
         }
-        self.due_beat = now;
+        self.next_beat_at = now;
         self.dirty = true;
-        self.tell_own();
-        self.refresh();
+        self.broadcast_own_row();
+        self.refresh_view();
     }
 
-    /// Notes the version that is in force here.
+    /// Sets the document version in force, published with the next heartbeat.
     pub fn set_version(&mut self, version: Version) {
         self.own.set_version(version);
         self.dirty = true;
     }
 
-    /// Notes this instance's load, published with the next heartbeat.
+    /// Sets this instance's load, published with the next heartbeat.
     pub fn set_load(&mut self, load: Load) {
         self.own.set_load(load);
         self.dirty = true;
     }
 
-    /// Sets which members are watched closely besides those of the ring, such as the holders of slots
-    /// that this instance would take over.
+    /// Sets which members are watched closely besides those of the ring, such as the holders of
+    /// slots that this instance would take over.
     pub fn set_watch(&mut self, instances: BTreeSet<Arc<str>>) {
-        self.extra_watch = instances;
+        self.requested_watch = instances;
     }
 
-    /// A peer answered, over whatever connection.
+    /// Records that a peer responded, over whatever connection.
     pub fn record_peer_response(&mut self, now: Instant, instance: &str) {
-        if let Some(at) = self.peers_answered.get_mut(instance) {
+        if let Some(at) = self.last_peer_responses.get_mut(instance) {
             *at = now;
             return;
         }
-        self.peers_answered.insert(instance.into(), now);
+        self.last_peer_responses.insert(instance.into(), now);
     }
 
-    /// Takes the instance list; one that could not be had is not passed.
+    /// Applies the platform's instance list. It is not called when fetching the list failed.
     pub fn apply_instance_list(&mut self, now: Instant, list: &[Listing]) {
-        self.words.apply_list(now, list, self.settings.list_lag);
+        self.statuses.apply_list(now, list, self.settings.list_lag);
         self.dirty = true;
         for (instance, sighting) in &mut self.sightings {
-            if self.words.is_leaving(instance) {
+            if self.statuses.is_leaving(instance) {
                 sighting.suspect();
             }
         }
-        self.refresh();
+        self.refresh_view();
     }
 
-    /// A backend server said itself that it is leaving.
+    /// Records that a backend server itself reported that it is leaving.
     pub fn mark_server_leaving(&mut self, now: Instant, server: &str) {
-        self.words.mark_server_leaving(now, server);
+        self.statuses.mark_server_leaving(now, server);
         self.dirty = true;
-        self.refresh();
+        self.refresh_view();
     }
 
-    /// Takes what a peer told.
-    pub fn apply_update(&mut self, now: Instant, news: Update) {
-        match news {
-            Update::Member { instance, row } => self.learn(now, &instance, row, 0, true),
-            Update::Suspicion { instance, beat } => self.hear_suspicion(&instance, beat),
+    /// Applies an update received from a peer.
+    pub fn apply_update(&mut self, now: Instant, update: Update) {
+        match update {
+            Update::Member { instance, row } => self.apply_row(now, &instance, row, 0, true),
+            Update::Suspicion { instance, beat } => self.apply_suspicion(&instance, beat),
         }
-        self.refresh();
+        self.refresh_view();
     }
 
-    /// Update to pass on to peers since the last call.
+    /// Takes the updates to gossip that were queued since the last call.
     pub fn take_updates(&mut self) -> Vec<Update> {
-        self.news.drain(..).collect()
+        self.updates.drain(..).collect()
     }
 
-    /// The next piece of table work; at most one is outstanding.
+    /// The next table access; at most one is outstanding.
     pub fn next_step(&mut self, now: Instant) -> Option<Step> {
-        self.judge_isolation(now);
+        self.update_isolation(now);
         if self.outstanding.is_some() || self.own.is_superseded() {
             return None;
         }
-        let asked = self.choose(now)?;
-        let step = self.step(&asked);
-        self.outstanding = Some(asked);
+        let request = self.next_request(now)?;
+        let step = self.step(&request);
+        self.outstanding = Some(request);
         Some(step)
     }
 
-    /// Takes the reply to the last step.
+    /// Handles the reply to the last step.
     pub fn reply(&mut self, now: Instant, reply: Reply) {
-        let Some(asked) = self.outstanding.take() else {
+        let Some(request) = self.outstanding.take() else {
             return;
         };
         if let Reply::Failed(_) = reply {
-            self.table_failed(now, &asked);
+            self.table_failed(now, &request);
             return;
         }
-        self.table_answered = now;
-        match (asked, reply) {
-            (Asked::OwnRow, Reply::Rows(rows)) => self.own_row_read(&rows),
-            (Asked::Beat, Reply::Outcome(outcome)) => self.beat_done(now, outcome),
+        self.last_table_reply = now;
+        match (request, reply) {
+            (Request::OwnRow, Reply::Rows(rows)) => self.take_own_row(&rows),
+            (Request::Beat, Reply::Outcome(outcome)) => self.finish_beat(now, outcome),
             (
-                Asked::Page {
+                Request::Page {
                     full_if_short,
                     acked,
                     at,
                 },
                 Reply::Rows(rows),
             ) => {
-                self.page_read(now, full_if_short, acked, at, &rows);
+                self.take_page(now, full_if_short, acked, at, &rows);
             }
-            (Asked::Watch { keys, acked, at }, Reply::Rows(rows)) => {
-                self.watch_read(now, &keys, acked, at, &rows);
+            (Request::Watch { keys, acked, at }, Reply::Rows(rows)) => {
+                self.take_watched(now, &keys, acked, at, &rows);
             }
             (
-                Asked::Settle {
+                Request::Settle {
                     instance,
                     incarnation,
                 },
                 Reply::Outcome(outcome),
             ) => {
-                self.settling_done(now, instance, incarnation, outcome);
+                self.finish_settlement(now, instance, incarnation, outcome);
             }
             _ => {}
         }
-        self.judge_isolation(now);
-        self.refresh();
+        self.update_isolation(now);
+        self.refresh_view();
     }
 
-    fn choose(&mut self, now: Instant) -> Option<Asked> {
+    fn next_request(&mut self, now: Instant) -> Option<Request> {
         if !self.own.is_known() {
-            return (now >= self.due_beat).then_some(Asked::OwnRow);
+            return (now >= self.next_beat_at).then_some(Request::OwnRow);
         }
         if self.own.acked_state() == State::Gone {
             return None;
         }
         let acked = self.own.acked_beat();
-        if now >= self.due_beat {
-            self.due_beat = now + self.jittered(self.settings.beat_interval);
-            return Some(Asked::Beat);
+        if now >= self.next_beat_at {
+            self.next_beat_at = now + self.jittered(self.settings.beat_interval);
+            return Some(Request::Beat);
         }
-        if self.several_pages && now >= self.due_watch {
-            self.due_watch = now + self.jittered(self.settings.read_interval);
+        if self.is_multi_page && now >= self.next_watch_at {
+            self.next_watch_at = now + self.jittered(self.settings.read_interval);
             let keys = self.watched_keys();
-            return Some(Asked::Watch {
+            return Some(Request::Watch {
                 keys,
                 acked,
                 at: now,
             });
         }
-        if now >= self.due_page {
-            self.due_page = now + self.page_wait();
+        if now >= self.next_page_at {
+            self.next_page_at = now + self.page_wait();
             let full_if_short = self.cursor.is_none();
-            return Some(Asked::Page {
+            return Some(Request::Page {
                 full_if_short,
                 acked,
                 at: now,
             });
         }
-        self.choose_settling()
+        self.next_settlement()
     }
 
-    fn step(&mut self, asked: &Asked) -> Step {
-        match asked {
-            Asked::OwnRow => Step::Read {
-                keys: vec![row::key(&self.own.me().instance)],
+    fn step(&mut self, request: &Request) -> Step {
+        match request {
+            Request::OwnRow => Step::Read {
+                keys: vec![row::key(&self.own.info().instance)],
             },
-            Asked::Beat => Step::Commit(self.own.beat()),
-            Asked::Watch { keys, .. } => Step::Read { keys: keys.clone() },
-            Asked::Page { .. } => Step::Scan(Range {
+            Request::Beat => Step::Commit(self.own.beat()),
+            Request::Watch { keys, .. } => Step::Read { keys: keys.clone() },
+            Request::Page { .. } => Step::Scan(Range {
                 prefix: row::PREFIX.into(),
                 after: self.cursor.clone(),
                 limit: self.page_size(),
             }),
-            Asked::Settle {
+            Request::Settle {
                 instance,
                 incarnation,
-            } => self.settling_step(instance, *incarnation),
+            } => self.settlement_step(instance, *incarnation),
         }
     }
 
     fn page_size(&self) -> u32 {
-        match self.hurry {
+        match self.fast_rounds {
             0 => self.settings.page_size,
-            _ => self.settings.page_size * HURRIED_PAGE,
+            _ => self.settings.page_size * FAST_PAGE_FACTOR,
         }
     }
 
     fn page_wait(&mut self) -> Duration {
-        let interval = match (self.several_pages, self.hurry) {
+        let interval = match (self.is_multi_page, self.fast_rounds) {
             (false, _) => self.settings.read_interval,
             (true, 0) => self.settings.page_interval,
-            (true, _) => self.settings.page_interval / HURRIED_SPEEDUP,
+            (true, _) => self.settings.page_interval / FAST_PAGE_SPEEDUP,
         };
         self.jittered(interval)
     }
 
-    /// Between 0.8 and 1.2 times `interval`, so that instances that started together drift apart.
+    /// Returns between 0.8 and 1.2 times `interval`, so that instances that started together drift
+    /// apart.
     fn jittered(&mut self, interval: Duration) -> Duration {
         interval.mul_f64(self.rng.random_range(0.8..1.2))
     }
 
-    fn tell_own(&mut self) {
+    fn broadcast_own_row(&mut self) {
         let mut row = self.own.row().clone();
-        // The row is published with the next beat; peers that hear it now must not take that for old.
+        // The row is published with the next beat; a peer that receives it now must not discard it
+        // as old.
         row.beat += 1;
-        let instance = self.own.me().instance.clone();
+        let instance = self.own.info().instance.clone();
         self.push_update(Update::Member { instance, row });
     }
 
-    fn push_member_update(&mut self, spread: bool, instance: &Arc<str>, row: &Row) {
-        if !spread {
+    fn push_member_update(&mut self, propagate: bool, instance: &Arc<str>, row: &Row) {
+        if !propagate {
             return;
         }
         self.push_update(Update::Member {
@@ -375,10 +378,10 @@
         });
     }
 
-    fn push_update(&mut self, news: Update) {
-        if self.news.len() >= MOST_NEWS {
-            self.news.pop_front();
+    fn push_update(&mut self, update: Update) {
+        if self.updates.len() >= MAX_UPDATES {
+            self.updates.pop_front();
         }
-        self.news.push_back(news);
+        self.updates.push_back(update);
     }
 }
--- a/crates/fescuewell_membership/src/member/reading.rs
+++ b/crates/fescuewell_membership/src/member/reading.rs
@@ -1,4 +1,4 @@
-//! How [`Members`] takes what the table replied and what peers told.
+//! Handles table replies and updates from peers for [`Members`].
 
 use std::sync::Arc;
 
@@ -6,138 +6,139 @@
 use fescuewell_core::prelude::*;
 use fescuewell_core::table::{self, Outcome};
 
-use super::{Asked, Members};
+use super::{Members, Request};
 use crate::row::{self, Row, State};
 use crate::sighting::{Beat, Sighting};
 use crate::update::Update;
 
-/// Gap between two fresh readings, in read intervals, above which silence is not counted.
-const MOST_GAP: u32 = 3;
+/// Gap between two fresh reads, in read intervals, above which silence is not counted.
+const MAX_READ_GAP: u32 = 3;
 
 impl Members {
-    pub(super) fn table_failed(&mut self, now: Instant, asked: &Asked) {
-        self.trouble_at = Some(now);
+    pub(super) fn table_failed(&mut self, now: Instant, request: &Request) {
+        self.last_table_failure = Some(now);
         for sighting in self.sightings.values_mut() {
-            sighting.interrupt();
+            sighting.restart_count();
         }
-        if matches!(asked, Asked::OwnRow | Asked::Beat) {
-            self.due_beat = now + self.jittered(self.settings.beat_interval / 2);
+        if matches!(request, Request::OwnRow | Request::Beat) {
+            self.next_beat_at = now + self.jittered(self.settings.beat_interval / 2);
         }
-        if let Asked::Settle {
+        if let Request::Settle {
             instance,
             incarnation,
-        } = asked
+        } = request
         {
             self.settled.push_back((instance.clone(), *incarnation));
         }
-        self.judge_isolation(now);
+        self.update_isolation(now);
     }
 
-    pub(super) fn own_row_read(&mut self, rows: &[table::Row]) {
-        let exclusive = self.settings.exclusive_address;
+    pub(super) fn take_own_row(&mut self, rows: &[table::Row]) {
+        let exclusive_address = self.settings.exclusive_address;
         self.dirty = true;
         match rows.first() {
-            Some(found) => self.own.inherit(found, exclusive),
-            None => self.own.inherit_nothing(),
+            Some(found) => self.own.inherit(found, exclusive_address),
+            None => self.own.inherit_none(),
         }
     }
 
-    pub(super) fn beat_done(&mut self, now: Instant, outcome: Outcome) {
+    pub(super) fn finish_beat(&mut self, now: Instant, outcome: Outcome) {
         match outcome {
-            Outcome::Committed { revision } => self.own.committed(revision),
+            Outcome::Committed { revision } => self.own.record_commit(revision),
             Outcome::Conflict { rows } => {
                 self.dirty = true;
-                let exclusive = self.settings.exclusive_address;
-                if !self.own.conflicted(rows.first(), exclusive) {
-                    self.due_beat = now;
+                let exclusive_address = self.settings.exclusive_address;
+                if !self.own.resolve_conflict(rows.first(), exclusive_address) {
+                    self.next_beat_at = now;
                 }
             }
         }
     }
 
     fn is_fresh(&self, acked: u64, rows: &[table::Row]) -> bool {
-        // A reading may come from a replica that lags. One that does not show this instance's own last
-        // heartbeat is older than that heartbeat and proves nobody's silence.
-        let own_key = row::key(&self.own.me().instance);
+        // The read may come from a lagging replica. If it does not show this instance's own last
+        // confirmed heartbeat, it is older than that heartbeat and proves nobody's silence.
+        let own_key = row::key(&self.own.info().instance);
         let Some(found) = rows.iter().find(|found| found.key == own_key) else {
             return false;
         };
         let Ok(content) = Row::decode(&found.value) else {
             return false;
         };
-        acked > 0 && content.incarnation == self.own.me().incarnation && content.beat >= acked
+        acked > 0 && content.incarnation == self.own.info().incarnation && content.beat >= acked
     }
 
-    pub(super) fn page_read(
+    pub(super) fn take_page(
         &mut self,
         now: Instant,
         full_if_short: bool,
         acked: u64,
-        at: Instant,
+        requested_at: Instant,
         rows: &[table::Row],
     ) {
-        let last = rows.len() < self.page_size() as usize;
-        self.several_pages = !(full_if_short && last);
-        self.learn_rows(now, rows);
-        if full_if_short && last && self.is_fresh(acked, rows) {
+        let is_last = rows.len() < self.page_size() as usize;
+        self.is_multi_page = !(full_if_short && is_last);
+        self.apply_rows(now, rows);
+        if full_if_short && is_last && self.is_fresh(acked, rows) {
             let all: Vec<Arc<str>> = self.sightings.keys().cloned().collect();
-            self.observe(at, &all, rows);
+            self.observe(requested_at, &all, rows);
         }
-        if self.several_pages {
-            self.suspect_quiet(now, rows);
+        if self.is_multi_page {
+            self.suspect_silent(now, rows);
         }
-        self.note_round(now, full_if_short, last, rows);
-        self.dirty |= last && !self.complete;
-        self.complete |= last;
-        self.cursor = match last {
+        self.track_round(now, full_if_short, is_last, rows);
+        self.dirty |= is_last && !self.complete;
+        self.complete |= is_last;
+        self.cursor = match is_last {
             true => None,
             false => rows.last().map(|row| row.key.clone()),
         };
     }
 
-    /// Keeps track of which rows a round showed. A member known only from a peer's late news, whose row
-    /// was removed meanwhile, would otherwise stay for ever: no page ever shows that it is silent.
-    fn note_round(&mut self, now: Instant, first: bool, last: bool, rows: &[table::Row]) {
-        if first {
+    /// Tracks which rows a scan round has shown. A member known only from a peer's delayed update,
+    /// whose row has been removed, would otherwise stay forever, since no page shows that it is
+    /// silent.
+    fn track_round(&mut self, now: Instant, is_first: bool, is_last: bool, rows: &[table::Row]) {
+        if is_first {
             self.round_started = now;
-            self.round_seen.clear();
+            self.seen_this_round.clear();
         }
         let names = rows.iter().filter_map(|found| row::instance(&found.key));
-        self.round_seen.extend(names.map(Arc::from));
-        if !last {
+        self.seen_this_round.extend(names.map(Arc::from));
+        if !is_last {
             return;
         }
-        self.hurry = self.hurry.saturating_sub(1);
+        self.fast_rounds = self.fast_rounds.saturating_sub(1);
         let mut states = self.sightings.values().map(|sighting| sighting.row().state);
         if !states.any(|state| state == State::Starting) {
-            self.hurry = 0;
+            self.fast_rounds = 0;
         }
         for (instance, sighting) in &mut self.sightings {
-            let older = sighting.changed_at() < self.round_started;
-            if older && !self.round_seen.contains(instance) {
+            let unchanged = sighting.changed_at() < self.round_started;
+            if unchanged && !self.seen_this_round.contains(instance) {
                 self.dirty |= sighting.suspect();
             }
         }
     }
 
-    pub(super) fn watch_read(
+    pub(super) fn take_watched(
         &mut self,
         now: Instant,
         keys: &[Arc<str>],
         acked: u64,
-        at: Instant,
+        requested_at: Instant,
         rows: &[table::Row],
     ) {
-        self.learn_rows(now, rows);
+        self.apply_rows(now, rows);
         if !self.is_fresh(acked, rows) {
             return;
         }
         let names = keys.iter().filter_map(|key| row::instance(key));
         let watched: Vec<Arc<str>> = names.map(Arc::from).collect();
-        self.observe(at, &watched, rows);
+        self.observe(requested_at, &watched, rows);
     }
 
-    pub(super) fn learn_rows(&mut self, now: Instant, rows: &[table::Row]) {
+    pub(super) fn apply_rows(&mut self, now: Instant, rows: &[table::Row]) {
         for found in rows {
             let Some(instance) = row::instance(&found.key) else {
                 continue;
@@ -145,59 +146,59 @@
             let Ok(content) = Row::decode(&found.value) else {
                 continue;
             };
-            let spread = self.complete;
-            self.learn(now, instance, content, found.revision, spread);
+            let propagate = self.complete;
+            self.apply_row(now, instance, content, found.revision, propagate);
         }
     }
 
-    pub(super) fn learn(
+    pub(super) fn apply_row(
         &mut self,
         now: Instant,
         instance: &str,
         row: Row,
         revision: u64,
-        spread: bool,
+        propagate: bool,
     ) {
-        if instance == &*self.own.me().instance {
+        if instance == &*self.own.info().instance {
             return;
         }
         let Some(sighting) = self.sightings.get_mut(instance) else {
             let name: Arc<str> = instance.into();
             log_event!(Event::PeerJoined, "instance={name} zone={}", row.zone);
-            self.push_member_update(spread && row.state != State::Starting, &name, &row);
+            self.push_member_update(propagate && row.state != State::Starting, &name, &row);
             let sighting = Sighting::new(now, &name, row, revision);
             self.sightings.insert(name, sighting);
             self.dirty = true;
             return;
         };
         let before = (sighting.row().incarnation, sighting.row().state);
-        let shows = sighting.is_suspected() || !row.equals_except_beat(sighting.row());
-        let newer = sighting.learn(now, instance, row, revision);
-        self.dirty |= shows;
+        let is_visible = sighting.is_suspected() || !row.equals_except_beat(sighting.row());
+        let newer = sighting.apply_row(now, instance, row, revision);
+        self.dirty |= is_visible;
         if !newer {
             return;
         }
         let row = sighting.row();
         if (row.incarnation, row.state) != before {
             let row = row.clone();
-            self.push_member_update(spread, &instance.into(), &row);
+            self.push_member_update(propagate, &instance.into(), &row);
         }
     }
 
-    fn observe(&mut self, at: Instant, instances: &[Arc<str>], rows: &[table::Row]) {
-        let most_gap = self.settings.read_interval * MOST_GAP;
+    fn observe(&mut self, requested_at: Instant, instances: &[Arc<str>], rows: &[table::Row]) {
+        let max_gap = self.settings.read_interval * MAX_READ_GAP;
         let mut removed = Vec::new();
         for instance in instances {
             let Some(sighting) = self.sightings.get_mut(instance) else {
                 continue;
             };
             let was_lapsed = sighting.is_lapsed();
-            sighting.observe(at, most_gap, self.settings.lease);
+            sighting.observe(requested_at, max_gap, self.settings.lease);
             if sighting.is_lapsed() && !was_lapsed {
                 self.dirty = true;
                 let beat = Beat::of(sighting.row());
                 log_event!(Event::PeerLost, "instance={instance} beat={}", beat.number);
-                self.news.push_back(Update::Suspicion {
+                self.updates.push_back(Update::Suspicion {
                     instance: instance.clone(),
                     beat,
                 });
@@ -205,8 +206,8 @@
             let present = rows
                 .iter()
                 .any(|found| row::instance(&found.key) == Some(instance));
-            let over = sighting.is_lapsed() || sighting.row().state == State::Gone;
-            if over && !present {
+            let ended = sighting.is_lapsed() || sighting.row().state == State::Gone;
+            if ended && !present {
                 removed.push(instance.clone());
             }
         }
@@ -216,11 +217,15 @@
         }
     }
 
-    /// Members that nobody may be watching any more: a heartbeat that stands still between two rounds
-    /// puts them on this instance's own watch list, where they lapse or prove to be alive.
-    fn suspect_quiet(&mut self, now: Instant, rows: &[table::Row]) {
+    /// Suspects members whose heartbeat has not changed for a lease. Nobody may be watching them
+    /// any more; suspicion puts them on this instance's own watch list, where they lapse or prove
+    /// to be alive.
+    fn suspect_silent(&mut self, now: Instant, rows: &[table::Row]) {
         let lease = self.settings.lease;
-        if self.trouble_at.is_some_and(|at| now.since(at) <= lease) {
+        if self
+            .last_table_failure
+            .is_some_and(|at| now.since(at) <= lease)
+        {
             return;
         }
         for found in rows {
@@ -236,11 +241,11 @@
         }
     }
 
-    pub(super) fn hear_suspicion(&mut self, instance: &Arc<str>, beat: Beat) {
+    pub(super) fn apply_suspicion(&mut self, instance: &Arc<str>, beat: Beat) {
         let Some(sighting) = self.sightings.get_mut(instance) else {
             return;
         };
-        if !sighting.report(beat) {
+        if !sighting.apply_report(beat) {
             return;
         }
         self.dirty = true;
--- a/crates/fescuewell_membership/src/member/settling.rs
+++ b/crates/fescuewell_membership/src/member/settling.rs
@@ -1,25 +1,25 @@
-//! How [`Members`] strikes settled incarnations from the rows of others.
+//! Removes settled incarnations from the member rows of other instances.
 
 use std::sync::Arc;
 
 use fescuewell_core::prelude::*;
 use fescuewell_core::table::{Outcome, Step, Transaction};
 
-use super::{Asked, Members};
+use super::{Members, Request};
 use crate::row::{self, Row};
 
 impl Members {
-    /// Everything that a terminated holder left, its streams and allowances, is settled: its name is
-    /// struck from the member row, and the row is removed with the last name.
+    /// Records that everything a terminated holder left, its streams and allowances, is settled.
+    /// Its incarnation is removed from the member row, and the row is deleted with the last one.
     ///
-    /// Different instances may settle the incarnations that one row names, so each strikes only its
-    /// own from the row as it stands, by compare-and-swap. A row removed with an incarnation that is not
-    /// settled would leave that one's allowances charged for ever.
+    /// Different instances may settle the incarnations named by one row, so each removes only its
+    /// own from the current row, by compare-and-swap. If the row were deleted together with an
+    /// unsettled incarnation, that one's allowances would stay charged forever.
     pub fn mark_settled(&mut self, holder: &str) {
         let Some((instance, incarnation)) = row::parse_holder(holder) else {
             return;
         };
-        if instance == &*self.own.me().instance {
+        if instance == &*self.own.info().instance {
             self.own.settle(incarnation);
             self.dirty = true;
             return;
@@ -33,30 +33,31 @@
         }
     }
 
-    pub(super) fn choose_settling(&mut self) -> Option<Asked> {
+    pub(super) fn next_settlement(&mut self) -> Option<Request> {
         let (instance, incarnation) = self.settled.pop_front()?;
         if !self.sightings.contains_key(&instance) {
             return None;
         }
-        Some(Asked::Settle {
+        Some(Request::Settle {
             instance,
             incarnation,
         })
     }
 
-    pub(super) fn settling_step(&self, instance: &Arc<str>, incarnation: Incarnation) -> Step {
+    pub(super) fn settlement_step(&self, instance: &Arc<str>, incarnation: Incarnation) -> Step {
         let sighting = self.sightings.get(instance);
         let revision = sighting.map_or(0, |sighting| sighting.revision());
         let key = row::key(instance);
         let transaction = Transaction::default().with_compare(key.clone(), revision);
-        let struck = sighting.and_then(|sighting| strike(sighting.row(), incarnation));
-        Step::Commit(match struck {
+        let remaining =
+            sighting.and_then(|sighting| without_incarnation(sighting.row(), incarnation));
+        Step::Commit(match remaining {
             Some(row) => transaction.with_put(key, row.encode()),
             None => transaction.with_delete(key),
         })
     }
 
-    pub(super) fn settling_done(
+    pub(super) fn finish_settlement(
         &mut self,
         now: Instant,
         instance: Arc<str>,
@@ -65,16 +66,18 @@
     ) {
         self.dirty = true;
         match outcome {
-            Outcome::Committed { revision } => self.struck(now, &instance, incarnation, revision),
+            Outcome::Committed { revision } => {
+                self.apply_settlement(now, &instance, incarnation, revision)
+            }
             Outcome::Conflict { rows } if rows.is_empty() => self.remove(&instance),
             Outcome::Conflict { rows } => {
-                self.learn_rows(now, &rows);
+                self.apply_rows(now, &rows);
                 self.settled.push_back((instance, incarnation));
             }
         }
     }
 
-    fn struck(
+    fn apply_settlement(
         &mut self,
         now: Instant,
         instance: &Arc<str>,
@@ -84,9 +87,9 @@
         let Some(sighting) = self.sightings.get_mut(instance) else {
             return;
         };
-        match strike(sighting.row(), incarnation) {
+        match without_incarnation(sighting.row(), incarnation) {
             Some(row) => {
-                sighting.learn(now, instance, row, revision);
+                sighting.apply_row(now, instance, row, revision);
             }
             None => self.remove(instance),
         }
@@ -94,15 +97,15 @@
 
     fn remove(&mut self, instance: &Arc<str>) {
         self.sightings.remove(instance);
-        self.words.forget(instance);
+        self.statuses.forget(instance);
     }
 }
 
-/// The row without that incarnation; `None` when nothing is left in it that is not settled.
-fn strike(row: &Row, incarnation: Incarnation) -> Option<Row> {
+/// The row without that incarnation; `None` when every incarnation in it is settled.
+fn without_incarnation(row: &Row, incarnation: Incarnation) -> Option<Row> {
     let mut row = row.clone();
     row.settled |= row.incarnation == incarnation;
     row.earlier.retain(|entry| entry.incarnation != incarnation);
-    let over = row.settled && row.earlier.is_empty();
-    (!over).then_some(row)
+    let is_empty = row.settled && row.earlier.is_empty();
+    (!is_empty).then_some(row)
 }
--- a/crates/fescuewell_membership/src/own.rs
+++ b/crates/fescuewell_membership/src/own.rs
@@ -1,4 +1,4 @@
-//! This instance's own member row: what it says, at which revision it stands, and who else wrote it.
+//! This instance's own member row: its content, its revision in the table, and who else wrote it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,21 +8,21 @@
 
 use crate::row::{self, EarlierIncarnation, Load, Row, State};
 
-/// Most earlier incarnations kept in a row; those that ended are dropped first.
-const MOST_EARLIER: usize = 32;
+/// Maximum number of earlier incarnations kept in a row; those that have ended are dropped first.
+const MAX_EARLIER: usize = 32;
 
 fescuewell_core::data! {
-    /// Who this instance is; comes from settings and from the start of the process.
+    /// Identity of this instance, from its settings and the start of its process.
     pub struct InstanceInfo {
         /// Name of the instance.
         pub instance: Arc<str>,
-        /// This start of it; higher than that of every earlier start.
+        /// Incarnation of this process; higher than that of every earlier start.
         pub incarnation: Incarnation,
-        /// Where callers connect; bound.
+        /// Where callers connect; already bound.
         pub caller_address: SocketAddr,
-        /// Where peers connect; bound.
+        /// Where peers connect; already bound.
         pub peer_address: SocketAddr,
-        /// Where operators connect; bound.
+        /// Where operators connect; already bound.
         pub operator_address: SocketAddr,
         /// Availability zone.
         pub zone: Arc<str>,
@@ -31,10 +31,10 @@
     }
 }
 
-/// The own row and its standing in the table.
+/// This instance's row and its state in the table.
 #[derive(Debug, Clone)]
 pub struct OwnRow {
-    me: InstanceInfo,
+    info: InstanceInfo,
     row: Row,
     known: bool,
     committed: bool,
@@ -46,24 +46,24 @@
 }
 
 impl OwnRow {
-    /// A row that was not written yet.
-    pub fn new(me: InstanceInfo) -> Self {
+    /// A row that has not been written yet.
+    pub fn new(info: InstanceInfo) -> Self {
         let row = Row {
-            incarnation: me.incarnation,
+            incarnation: info.incarnation,
             beat: 0,
-            caller_address: me.caller_address,
-            peer_address: me.peer_address,
-            operator_address: me.operator_address,
-            zone: me.zone.clone(),
+            caller_address: info.caller_address,
+            peer_address: info.peer_address,
+            operator_address: info.operator_address,
+            zone: info.zone.clone(),
             state: State::Starting,
             version: Version(0),
-            formats: me.formats,
+            formats: info.formats,
             load: Load::default(),
             settled: false,
             earlier: Vec::new(),
         };
         Self {
-            me,
+            info,
             row,
             known: false,
             committed: false,
@@ -75,9 +75,9 @@
         }
     }
 
-    /// Who this instance is.
-    pub fn me(&self) -> &InstanceInfo {
-        &self.me
+    /// Identity of this instance.
+    pub fn info(&self) -> &InstanceInfo {
+        &self.info
     }
 
     /// The row as it would be written now.
@@ -85,12 +85,12 @@
         &self.row
     }
 
-    /// Whether the row that a predecessor left was looked for.
+    /// Whether the table has been checked for a row of a predecessor.
     pub fn is_known(&self) -> bool {
         self.known
     }
 
-    /// The last beat that the table confirmed.
+    /// Number of the last beat that the table confirmed.
     pub fn acked_beat(&self) -> u64 {
         self.acked_beat
     }
@@ -105,7 +105,7 @@
         self.superseded
     }
 
-    /// Advances the state; a step back is ignored. Returns whether it changed.
+    /// Advances the state; earlier states are ignored. Returns whether it changed.
     pub fn advance(&mut self, state: State) -> bool {
         let changed = state > self.row.state;
         if changed {
@@ -114,7 +114,7 @@
         changed
     }
 
-    /// Sets the version in force; it never goes back.
+    /// Sets the version in force; it never decreases.
     pub fn set_version(&mut self, version: Version) {
         self.row.version = self.row.version.max(version);
     }
@@ -130,52 +130,57 @@
         earlier.retain(|entry| entry.incarnation != incarnation);
     }
 
-    /// The next heartbeat as a transaction.
+    /// Builds the transaction of the next heartbeat.
     ///
-    /// It compares the revision. Without that, an older process of the same name that wakes from a
-    /// pause would write over its successor's row, and the fleet would take the successor's slots and
-    /// addresses for the old process's.
+    /// It compares the revision. Otherwise an older process of the same name that resumes after a
+    /// pause would overwrite its successor's row, and the fleet would attribute the successor's
+    /// slots and addresses to the old process.
     pub fn beat(&mut self) -> table::Transaction {
         self.row.beat += 1;
         self.sent_state = self.row.state;
-        let key = row::key(&self.me.instance);
+        let key = row::key(&self.info.instance);
         table::Transaction::default()
             .with_compare(key.clone(), self.revision)
             .with_put(key, self.row.encode())
     }
 
-    /// The last beat was committed.
-    pub fn committed(&mut self, revision: u64) {
+    /// Records that the last beat was committed.
+    pub fn record_commit(&mut self, revision: u64) {
         self.revision = revision;
         self.committed = true;
         self.acked_beat = self.row.beat;
-        // The state may have advanced since the row was sent. Taken for published, a farewell that was
-        // never written would let the process end with its allowances charged.
+        // The state may have advanced since the row was sent. If an unwritten farewell counted as
+        // published, the process would end with its allowances still charged.
         self.acked_state = self.sent_state;
     }
 
-    /// The last beat met another revision: takes what stands there now. Returns whether the beat is
-    /// in the table after all, its reply having been lost.
-    pub fn conflicted(&mut self, found: Option<&table::Row>, exclusive_address: bool) -> bool {
+    /// Handles a beat that met another revision, by adopting the stored row. Returns whether the
+    /// beat is in the table after all, because only its reply was lost.
+    pub fn resolve_conflict(
+        &mut self,
+        found: Option<&table::Row>,
+        exclusive_address: bool,
+    ) -> bool {
         let Some(found) = found else {
-            // Rows are removed only when their holder is proved to have ended and all its streams are
-            // settled. Whoever is removed has nothing left to spend and must not come back.
+            // Rows are removed only when their holder is proved to have ended and all its streams
+            // are settled. A removed instance has nothing left to spend and must not come back.
             self.superseded |= self.committed;
             self.revision = 0;
             return false;
         };
         let Ok(content) = Row::decode(&found.value) else {
-            // A newer program, with rows that this one cannot read, runs under this name.
+            // A newer program, whose rows this one cannot read, runs under this name.
             self.superseded = true;
             return false;
         };
-        if content.incarnation == self.me.incarnation {
+        if content.incarnation == self.info.incarnation {
             self.revision = found.revision;
             self.committed = true;
             self.superseded |= content.settled;
-            let left = &content.earlier;
+            let stored = &content.earlier;
             self.row.earlier.retain(|entry| {
-                left.iter()
+                stored
+                    .iter()
                     .any(|known| known.incarnation == entry.incarnation)
             });
             self.acked_beat = self.acked_beat.max(content.beat);
@@ -186,21 +191,21 @@
         false
     }
 
-    /// Takes the row that stood in the table before this incarnation first wrote.
+    /// Adopts the row that was in the table before this incarnation first wrote.
     pub fn inherit(&mut self, found: &table::Row, exclusive_address: bool) {
         self.known = true;
         self.revision = found.revision;
         let Ok(old) = Row::decode(&found.value) else {
             return;
         };
-        if old.incarnation > self.me.incarnation {
+        if old.incarnation > self.info.incarnation {
             self.superseded = true;
             return;
         }
-        if old.incarnation == self.me.incarnation {
+        if old.incarnation == self.info.incarnation {
             return;
         }
-        let ended = old.state == State::Gone || exclusive_address && self.holds_addresses_of(&old);
+        let ended = old.state == State::Gone || exclusive_address && self.has_addresses_of(&old);
         let mut earlier = old.earlier;
         if !old.settled {
             earlier.push(EarlierIncarnation {
@@ -213,17 +218,17 @@
         }
     }
 
-    /// No row stood in the table before.
-    pub fn inherit_nothing(&mut self) {
+    /// Records that there was no row in the table.
+    pub fn inherit_none(&mut self) {
         self.known = true;
         self.revision = 0;
     }
 
-    /// A process that still ran, even a stopped one, would hold its listening sockets, so that this
-    /// one could not have bound the same addresses. That holds only where no two machines ever have
-    /// one address, which is why a setting must say so.
-    fn holds_addresses_of(&self, old: &Row) -> bool {
-        old.caller_address == self.me.caller_address && old.peer_address == self.me.peer_address
+    /// A process that still exists, even a stopped one, would hold its listening sockets, so this
+    /// one could not have bound the same addresses. This holds only where no two machines ever
+    /// share an address, so a setting must confirm it.
+    fn has_addresses_of(&self, old: &Row) -> bool {
+        old.caller_address == self.info.caller_address && old.peer_address == self.info.peer_address
     }
 
     fn add_earlier(&mut self, entry: EarlierIncarnation) {
@@ -234,7 +239,7 @@
             return;
         }
         earlier.push(entry);
-        if earlier.len() <= MOST_EARLIER {
+        if earlier.len() <= MAX_EARLIER {
             return;
         }
         let victim = earlier.iter().position(|known| known.ended).unwrap_or(0);
--- a/crates/fescuewell_membership/src/pacing.rs
+++ b/crates/fescuewell_membership/src/pacing.rs
@@ -1,4 +1,4 @@
-//! Spreading accesses when everything starts, or fails, at the same moment.
+//! Spreads accesses over time when many instances start, or fail, at the same moment.
 
 use std::time::Duration;
 
@@ -6,17 +6,17 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// A point between now and `spread` later, chosen by the instance's seed.
+/// Returns a point between now and `spread` later, derived from the instance's seed.
 ///
-/// After a restart of the whole fleet, first readings and first draws that are not waited for by a
-/// request start there. Without it all instances would ask the table in the same second and it would
+/// After a restart of the whole fleet, first reads, and first draws that no request waits for,
+/// start there. Otherwise all instances would access the table in the same second and it would
 /// answer none of them in time.
 pub fn random_start(now: Instant, spread: Duration, seed: u64) -> Instant {
     let mut rng = SmallRng::seed_from_u64(seed);
     now + spread.mul_f64(rng.random::<f64>())
 }
 
-/// Limits how often something may be done, with room for a burst.
+/// A token bucket: limits a rate, and allows bursts.
 ///
 /// ```
 /// use fescuewell_core::prelude::*;
@@ -28,33 +28,33 @@
 /// ```
 #[derive(Debug, Clone)]
 pub struct TokenBucket {
-    per_second: f64,
+    rate_per_s: f64,
     burst: f64,
     tokens: f64,
-    filled_at: Option<Instant>,
+    refilled_at: Option<Instant>,
 }
 
 impl TokenBucket {
-    /// A bucket that lets `per_second` through in the long run and `burst` at once.
-    pub fn new(per_second: f64, burst: f64) -> Self {
+    /// A full bucket that refills at `rate_per_s` and holds at most `burst` tokens.
+    pub fn new(rate_per_s: f64, burst: f64) -> Self {
         Self {
-            per_second,
+            rate_per_s,
             burst,
             tokens: burst,
-            filled_at: None,
+            refilled_at: None,
         }
     }
 
-    /// Takes one passage if there is one.
+    /// Takes one token if there is one.
     pub fn take_one(&mut self, now: Instant) -> bool {
         self.take(now, 1.0)
     }
 
-    /// Takes `amount` passages if there are as many.
+    /// Takes `amount` tokens if there are that many.
     pub fn take(&mut self, now: Instant, amount: f64) -> bool {
-        let since = self.filled_at.map_or(Duration::ZERO, |at| now.since(at));
-        self.filled_at = Some(now);
-        let filled = self.tokens + since.as_secs_f64() * self.per_second;
+        let since = self.refilled_at.map_or(Duration::ZERO, |at| now.since(at));
+        self.refilled_at = Some(now);
+        let filled = self.tokens + since.as_secs_f64() * self.rate_per_s;
         self.tokens = filled.min(self.burst);
         if self.tokens < amount {
             return false;
@@ -64,40 +64,40 @@
     }
 }
 
-/// Waits between attempts that fail: doubling, with full jitter, up to a limit.
+/// Exponential backoff with jitter and a maximum.
 #[derive(Debug, Clone)]
 pub struct Backoff {
     base: Duration,
-    most: Duration,
+    max: Duration,
     failures: u32,
     rng: SmallRng,
 }
 
-/// Doublings after which the wait no longer grows.
-const MOST_DOUBLINGS: u32 = 16;
+/// Doublings after which the delay no longer grows.
+const MAX_DOUBLINGS: u32 = 16;
 
 impl Backoff {
-    /// A backoff whose first wait is at most `base`, and no wait longer than `most`.
-    pub fn new(base: Duration, most: Duration, seed: u64) -> Self {
+    /// A backoff whose first delay is at most `base`, and no delay longer than `max`.
+    pub fn new(base: Duration, max: Duration, seed: u64) -> Self {
         Self {
             base,
-            most,
+            max,
             failures: 0,
             rng: SmallRng::seed_from_u64(seed),
         }
     }
 
-    /// Notes a failure and returns how long to wait.
+    /// Records a failure and returns the delay before the next attempt.
     ///
-    /// Half of the wait is random, so that instances which failed together do not come back together.
+    /// Half of the delay is random, so that instances which failed together do not retry together.
     pub fn next_delay(&mut self) -> Duration {
-        let doubled = self.base * 2u32.pow(self.failures.min(MOST_DOUBLINGS));
+        let doubled = self.base * 2u32.pow(self.failures.min(MAX_DOUBLINGS));
         self.failures = self.failures.saturating_add(1);
-        let wait = doubled.min(self.most);
+        let wait = doubled.min(self.max);
         wait.mul_f64(self.rng.random_range(0.5..=1.0))
     }
 
-    /// Notes a success: the next failure waits for the shortest time again.
+    /// Records a success: the next failure starts with the shortest delay again.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
--- a/crates/fescuewell_membership/src/propagate.rs
+++ b/crates/fescuewell_membership/src/propagate.rs
@@ -1,7 +1,7 @@
-//! How an accepted document reaches this instance and never reverts.
+//! Propagation of accepted documents to this instance; versions never go back.
 //!
-//! The newest head comes from the table's row `head` or from a peer; the objects that the document in
-//! force does not share with the new one come from a peer that has them, or from the object store.
+//! The newest head comes from the table's row `head` or from a peer. Objects that the new document
+//! does not share with the one in force come from a peer that has them, or from the object store.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -18,49 +18,49 @@
 
 /// Key of the row that names the document in force.
 pub const HEAD_KEY: &str = "head";
-/// Failed fetches after which a newer head is collected in place of the present one.
-const MOST_FAILURES: u32 = 8;
-/// Most objects under way at once.
-const MOST_FETCHES: usize = 32;
+/// Number of failed fetches after which collection switches to a newer head, if there is one.
+const MAX_FAILURES: u32 = 8;
+/// Maximum number of concurrent fetches.
+const MAX_FETCHES: usize = 32;
 
-/// Why an object was not taken.
+/// Why an object was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rejection {
-    /// The bytes are not what the name stands for: another source may have the right ones.
+    /// The bytes do not match the name: another source may have the right ones.
     Corrupt,
-    /// This program cannot read the document, from whatever source.
+    /// This program cannot read the document, whatever the source.
     Unreadable,
 }
 
-/// Puts a document together from its objects. The document's crate knows how.
+/// Assembles a document from its objects. The document's crate implements it.
 pub trait Assembler {
-    /// Reads the row `head`.
+    /// Decodes the row `head`.
     ///
     /// # Errors
     ///
-    /// [`Rejection::Unreadable`] when it holds no head that this program can read.
+    /// [`Rejection::Unreadable`] if the row is not a head that this program can read.
     fn head(&self, row: &Row) -> Result<Head, Rejection>;
 
-    /// Begins with the document of that root, reusing objects of the one in force.
+    /// Starts the document with that root, reusing objects of the one in force.
     ///
     /// # Errors
     ///
-    /// [`Rejection::Unreadable`] when what is already here cannot be read.
+    /// [`Rejection::Unreadable`] if the objects already present cannot be read.
     fn start(&mut self, root: Digest) -> Result<(), Rejection>;
 
     /// Names of the objects to fetch next; empty when the document is complete.
     fn missing(&self) -> Vec<Arc<str>>;
 
-    /// Takes one object.
+    /// Adds one object.
     ///
     /// # Errors
     ///
-    /// When it was not taken.
+    /// If the object is rejected.
     fn supply(&mut self, name: &str, bytes: &[u8]) -> Result<(), Rejection>;
 }
 
 fescuewell_core::data! {
-    /// Where an object may come from.
+    /// Where an object is fetched from.
     #[derive(PartialOrd, Ord)]
     pub enum Source {
         /// The platform's object store.
@@ -71,40 +71,42 @@
 
     /// An object to fetch.
     pub struct FetchRequest {
-        /// Its name.
+        /// Name of the object.
         pub name: Arc<str>,
         /// Where to fetch it.
         pub from: Source,
     }
 
-    /// How often is asked and how long is waited.
+    /// Polling and fetching intervals.
     pub struct Settings {
-        /// Time between two readings of the row `head`, before jitter.
+        /// Time between two reads of the row `head`, before jitter.
         pub poll_interval: Duration,
-        /// Time after which an object is asked for elsewhere.
+        /// Time after which an object is requested from another source.
         pub fetch_timeout: Duration,
-        /// An instance that learned of a head from the table waits up to so long for a peer to have the
-        /// document before it asks the store.
+        /// Maximum time for which an instance that learned of a head from the table waits for a
+        /// peer to have the document, before it uses the store.
         pub store_wait: Duration,
     }
 }
 
-/// Head polls a second that the whole fleet may make.
-const FLEET_POLLS: f64 = 425.0;
-/// Shortest time between two polls in seconds.
-const LEAST_POLL: f64 = 1.0;
-/// Wait before the store is asked, in seconds for each instance of the fleet. While the first of them
-/// fetches and the peers pass it on, about five in a fleet of 850 ask the store in vain.
-const STORE_WAIT: f64 = 0.005;
+/// Head polls per second of the whole fleet.
+const FLEET_POLLS_PER_S: f64 = 425.0;
+/// Minimum time between two polls.
+const MIN_POLL_INTERVAL_S: f64 = 1.0;
+/// Wait before the store is used, per instance of the fleet. While the first instances fetch the
+/// document and pass it on, about five of 850 request it from the store needlessly.
+const STORE_WAIT_PER_INSTANCE_S: f64 = 0.005;
 
 impl Settings {
     /// Settings for a fleet of `instances`.
     pub fn sized(instances: u32) -> Self {
         let count = f64::from(instances);
         Self {
-            poll_interval: Duration::from_secs_f64((count / FLEET_POLLS).max(LEAST_POLL)),
+            poll_interval: Duration::from_secs_f64(
+                (count / FLEET_POLLS_PER_S).max(MIN_POLL_INTERVAL_S),
+            ),
             fetch_timeout: Duration::from_secs(1),
-            store_wait: Duration::from_secs_f64(count * STORE_WAIT),
+            store_wait: Duration::from_secs_f64(count * STORE_WAIT_PER_INSTANCE_S),
         }
     }
 }
@@ -115,32 +117,32 @@
     }
 }
 
-/// One object that was asked for.
+/// A fetch in progress.
 #[derive(Debug, Clone)]
 struct Fetch {
     from: Source,
-    at: Instant,
+    started_at: Instant,
 }
 
-/// A peer that has documents.
+/// A peer that has a document.
 #[derive(Debug, Clone, Copy, Default)]
-struct Holder {
+struct Provider {
     version: Version,
-    near: bool,
+    is_local: bool,
 }
 
-/// A document that is being collected.
+/// A document whose objects are being collected.
 #[derive(Debug, Clone)]
 struct Collection {
     head: Head,
-    store_from: Instant,
-    store_barred: Instant,
+    store_allowed_at: Instant,
+    store_retry_at: Instant,
     fetches: BTreeMap<Arc<str>, Fetch>,
-    refused: BTreeSet<(Arc<str>, Arc<str>)>,
+    failed_sources: BTreeSet<(Arc<str>, Arc<str>)>,
     failures: u32,
 }
 
-/// One instance's part in bringing a document into force.
+/// The propagation state machine of one instance.
 ///
 /// ```
 /// use fescuewell_core::prelude::*;
@@ -155,34 +157,34 @@
 pub struct Propagation {
     settings: Settings,
     rng: SmallRng,
-    due_poll: Instant,
-    polling: bool,
+    next_poll_at: Instant,
+    is_polling: bool,
     newest: Option<Head>,
     in_force: Option<Head>,
     unreadable: Option<Version>,
-    head_unreadable: bool,
+    is_head_unreadable: bool,
     collection: Option<Collection>,
     complete: Option<Head>,
-    holders: BTreeMap<Arc<str>, Holder>,
+    providers: BTreeMap<Arc<str>, Provider>,
 }
 
 impl Propagation {
-    /// An instance that knows no head.
+    /// Creates an instance that knows no head.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let first = settings.poll_interval.mul_f64(rng.random::<f64>());
         Self {
             settings,
             rng,
-            due_poll: Instant::default() + first,
-            polling: false,
+            next_poll_at: Instant::default() + first,
+            is_polling: false,
             newest: None,
             in_force: None,
             unreadable: None,
-            head_unreadable: false,
+            is_head_unreadable: false,
             collection: None,
             complete: None,
-            holders: BTreeMap::new(),
+            providers: BTreeMap::new(),
         }
     }
 
@@ -191,29 +193,29 @@
         self.in_force
     }
 
-    /// Whether this instance may serve by the document in force: there is one, and no newer one that
-    /// this program cannot read.
+    /// Whether this instance may serve with the document in force: there is one, and no newer one
+    /// that this program cannot read.
     pub fn is_ready(&self) -> bool {
         let version = self.in_force.map(|head| head.version);
-        version.is_some() && self.unreadable <= version && !self.head_unreadable
+        version.is_some() && self.unreadable <= version && !self.is_head_unreadable
     }
 
-    /// The next piece of table work.
+    /// The next table access.
     pub fn next_step(&mut self, now: Instant) -> Option<Step> {
-        if self.polling || now < self.due_poll {
+        if self.is_polling || now < self.next_poll_at {
             return None;
         }
-        self.polling = true;
+        self.is_polling = true;
         let jitter = self.rng.random_range(0.8..1.2);
-        self.due_poll = now + self.settings.poll_interval.mul_f64(jitter);
+        self.next_poll_at = now + self.settings.poll_interval.mul_f64(jitter);
         Some(Step::Read {
             keys: vec![HEAD_KEY.into()],
         })
     }
 
-    /// Takes the reply to the last step.
+    /// Handles the reply to the last step.
     pub fn reply(&mut self, now: Instant, reply: Reply, assembler: &mut dyn Assembler) {
-        self.polling = false;
+        self.is_polling = false;
         let Reply::Rows(rows) = reply else {
             return;
         };
@@ -221,52 +223,52 @@
             return;
         };
         let read = assembler.head(row);
-        self.head_unreadable = read.is_err();
+        self.is_head_unreadable = read.is_err();
         let Ok(head) = read else {
             return;
         };
         let wait = self.settings.store_wait.mul_f64(self.rng.random::<f64>());
-        self.learn(now, head, now + wait, assembler);
+        self.observe_head(now, head, now + wait, assembler);
     }
 
-    /// A peer has the document of that head in force, and so all of its objects. `near` says that it is
-    /// in this instance's zone: near peers are asked first.
+    /// Records that a peer has the document of that head in force, and so all of its objects.
+    /// `is_local` says whether it is in this instance's zone; local peers are preferred.
     pub fn record_peer_head(
         &mut self,
         now: Instant,
         from: &str,
-        near: bool,
+        is_local: bool,
         head: Head,
         assembler: &mut dyn Assembler,
     ) {
-        let holder = self.holders.entry(from.into()).or_default();
-        holder.version = head.version.max(holder.version);
-        holder.near = near;
+        let provider = self.providers.entry(from.into()).or_default();
+        provider.version = head.version.max(provider.version);
+        provider.is_local = is_local;
         let wait = self.settings.store_wait + self.settings.fetch_timeout;
-        self.learn(now, head, now + wait, assembler);
+        self.observe_head(now, head, now + wait, assembler);
     }
 
-    /// An instance is gone; it can supply nothing any more.
+    /// Forgets an instance that is gone and can supply nothing any more.
     pub fn forget(&mut self, instance: &str) {
-        self.holders.remove(instance);
+        self.providers.remove(instance);
     }
 
-    /// Objects to fetch now.
+    /// The objects to fetch now.
     pub fn next_fetches(
         &mut self,
         now: Instant,
         assembler: &mut dyn Assembler,
     ) -> Vec<FetchRequest> {
-        self.give_up_late(now, assembler);
+        self.expire_fetches(now, assembler);
         let Some(mut collection) = self.collection.take() else {
             return Vec::new();
         };
-        let mut wants = Vec::new();
+        let mut requests = Vec::new();
         for name in assembler.missing() {
             if collection.fetches.contains_key(&name) {
                 continue;
             }
-            if collection.fetches.len() >= MOST_FETCHES {
+            if collection.fetches.len() >= MAX_FETCHES {
                 break;
             }
             let Some(from) = self.source(now, &collection, &name) else {
@@ -274,16 +276,16 @@
             };
             let fetch = Fetch {
                 from: from.clone(),
-                at: now,
+                started_at: now,
             };
             collection.fetches.insert(name.clone(), fetch);
-            wants.push(FetchRequest { name, from });
+            requests.push(FetchRequest { name, from });
         }
         self.collection = Some(collection);
-        wants
+        requests
     }
 
-    /// Takes what a source gave for an object: its bytes, or nothing.
+    /// Handles the result of a fetch: the object's bytes, or `None` if it failed.
     pub fn supply(
         &mut self,
         now: Instant,
@@ -295,25 +297,26 @@
         let Some(collection) = &mut self.collection else {
             return;
         };
-        let asked = collection.fetches.get(name);
-        if asked.is_some_and(|fetch| fetch.from == from) {
+        let fetch = collection.fetches.get(name);
+        if fetch.is_some_and(|fetch| fetch.from == from) {
             collection.fetches.remove(name);
         }
         let taken = bytes.map(|bytes| assembler.supply(name, bytes));
         match taken {
             Some(Ok(())) => self.check_complete(assembler),
-            Some(Err(Rejection::Unreadable)) => self.refuse(now, assembler),
-            Some(Err(Rejection::Corrupt)) | None => self.failed(now, name, from, assembler),
+            Some(Err(Rejection::Unreadable)) => self.reject(now, assembler),
+            Some(Err(Rejection::Corrupt)) | None => self.record_failure(now, name, from, assembler),
         }
     }
 
-    /// The head whose document is complete in the assembler, once. The caller finishes and applies the
-    /// document and then calls [`Self::mark_applied`] or [`Self::mark_unreadable`].
+    /// Takes the head whose document is complete in the assembler; returned once. The caller
+    /// finishes and applies the document and then calls [`Self::mark_applied`] or
+    /// [`Self::mark_unreadable`].
     pub fn take_complete(&mut self) -> Option<Head> {
         self.complete.take()
     }
 
-    /// The document of `head` is in force now.
+    /// Records that the document of `head` is now in force.
     pub fn mark_applied(&mut self, now: Instant, head: Head, assembler: &mut dyn Assembler) {
         let version = self.in_force.map(|known| known.version);
         if version < Some(head.version) {
@@ -324,18 +327,18 @@
         self.begin_newest(now, now, assembler);
     }
 
-    /// The completed document of `head` could not be read after all.
+    /// Records that the completed document turned out to be unreadable.
     pub fn mark_unreadable(&mut self, now: Instant, assembler: &mut dyn Assembler) {
-        self.refuse(now, assembler);
+        self.reject(now, assembler);
     }
 
-    /// Versions only rise, whatever the source: a replica that lags, a peer that is behind and a store
-    /// that answers late would otherwise bring back what an operator has withdrawn.
-    fn learn(
+    /// Versions only increase, whatever the source: otherwise a lagging replica, a peer that is
+    /// behind or a late reply of the store would restore what an operator has withdrawn.
+    fn observe_head(
         &mut self,
         now: Instant,
         head: Head,
-        store_from: Instant,
+        store_allowed_at: Instant,
         assembler: &mut dyn Assembler,
     ) {
         let known = self.newest.map(|known| known.version);
@@ -343,14 +346,20 @@
             return;
         }
         self.newest = Some(head);
-        // What is being collected is finished first. Restarted with each newer head, an instance with
-        // a slow link would bring nothing into force while an operator's script makes many changes.
+        // The current collection is finished first. If it restarted with each newer head, an
+        // instance with a slow link would bring nothing into force while an operator's script makes
+        // many changes.
         if self.collection.is_none() {
-            self.begin_newest(now, store_from, assembler);
+            self.begin_newest(now, store_allowed_at, assembler);
         }
     }
 
-    fn begin_newest(&mut self, now: Instant, store_from: Instant, assembler: &mut dyn Assembler) {
+    fn begin_newest(
+        &mut self,
+        now: Instant,
+        store_allowed_at: Instant,
+        assembler: &mut dyn Assembler,
+    ) {
         let Some(head) = self.newest else {
             return;
         };
@@ -361,15 +370,15 @@
         }
         self.collection = Some(Collection {
             head,
-            store_from,
-            store_barred: now,
+            store_allowed_at,
+            store_retry_at: now,
             fetches: BTreeMap::new(),
-            refused: BTreeSet::new(),
+            failed_sources: BTreeSet::new(),
             failures: 0,
         });
         match assembler.start(head.root) {
             Ok(()) => self.check_complete(assembler),
-            Err(_) => self.refuse(now, assembler),
+            Err(_) => self.reject(now, assembler),
         }
     }
 
@@ -380,9 +389,9 @@
         self.complete = self.collection.as_ref().map(|collection| collection.head);
     }
 
-    /// A document that this program cannot read is never used in part: the instance stops being ready
-    /// until a newer head, or a newer program, comes.
-    fn refuse(&mut self, now: Instant, assembler: &mut dyn Assembler) {
+    /// Rejects a document that this program cannot read. It is never used in part: the instance is
+    /// not ready until there is a newer head, or a newer program.
+    fn reject(&mut self, now: Instant, assembler: &mut dyn Assembler) {
         let Some(collection) = self.collection.take() else {
             return;
         };
@@ -397,7 +406,7 @@
         self.begin_newest(now, now, assembler);
     }
 
-    fn failed(
+    fn record_failure(
         &mut self,
         now: Instant,
         name: &Arc<str>,
@@ -414,61 +423,63 @@
         collection.failures += 1;
         match from {
             Source::Peer(instance) => {
-                collection.refused.insert((name.clone(), instance));
+                collection.failed_sources.insert((name.clone(), instance));
             }
-            // Asked again at once, a store that is down would get one request after the other from
-            // every instance. The peers get another chance meanwhile.
+            // Retried at once, a failing store would get a continuous stream of requests from every
+            // instance. The peers are tried again meanwhile.
             Source::Store => {
-                collection.store_barred = now + wait;
-                collection.refused.clear();
+                collection.store_retry_at = now + wait;
+                collection.failed_sources.clear();
             }
         }
-        // Objects of a version that nobody has in force any more may be gone for good.
+        // Objects of a version that nobody has in force any more may no longer exist.
         let newer = self.newest.map(|head| head.version) > Some(collection.head.version);
-        if newer && collection.failures >= MOST_FAILURES {
+        if newer && collection.failures >= MAX_FAILURES {
             self.collection = None;
             self.begin_newest(now, now, assembler);
         }
     }
 
-    fn give_up_late(&mut self, now: Instant, assembler: &mut dyn Assembler) {
+    fn expire_fetches(&mut self, now: Instant, assembler: &mut dyn Assembler) {
         let timeout = self.settings.fetch_timeout;
         let Some(collection) = &mut self.collection else {
             return;
         };
-        let late = collection.fetches.iter();
-        let late = late.filter(|(_, fetch)| now.since(fetch.at) >= timeout);
-        let late: Vec<(Arc<str>, Source)> = late
+        let expired = collection.fetches.iter();
+        let expired = expired.filter(|(_, fetch)| now.since(fetch.started_at) >= timeout);
+        let expired: Vec<(Arc<str>, Source)> = expired
             .map(|(name, fetch)| (name.clone(), fetch.from.clone()))
             .collect();
-        for (name, from) in late {
+        for (name, from) in expired {
             if let Some(collection) = &mut self.collection {
                 collection.fetches.remove(&name);
             }
-            self.failed(now, &name, from, assembler);
+            self.record_failure(now, &name, from, assembler);
         }
     }
 
-    /// A peer that has the document and has not refused the object, or else the store once its time
-    /// has come or every such peer has refused.
+    /// Chooses a peer that has the document and has not failed to supply the object, preferably a
+    /// local one. Falls back to the store once its wait is over or every such peer has failed.
     fn source(&mut self, now: Instant, collection: &Collection, name: &Arc<str>) -> Option<Source> {
         let version = collection.head.version;
-        let able = self
-            .holders
+        let available = self
+            .providers
             .iter()
-            .filter(|(_, holder)| holder.version >= version);
-        let able: Vec<(&Arc<str>, &Holder)> = able.collect();
-        let refused = |instance: &Arc<str>| {
+            .filter(|(_, provider)| provider.version >= version);
+        let available: Vec<(&Arc<str>, &Provider)> = available.collect();
+        let has_failed = |instance: &Arc<str>| {
             let pair = (name.clone(), instance.clone());
-            collection.refused.contains(&pair)
+            collection.failed_sources.contains(&pair)
         };
-        let willing = able.iter().filter(|(instance, _)| !refused(instance));
-        let (near, far): (Vec<_>, Vec<_>) = willing.partition(|(_, holder)| holder.near);
-        let nearest = if near.is_empty() { far } else { near };
+        let usable = available
+            .iter()
+            .filter(|(instance, _)| !has_failed(instance));
+        let (local, remote): (Vec<_>, Vec<_>) = usable.partition(|(_, provider)| provider.is_local);
+        let nearest = if local.is_empty() { remote } else { local };
         if let Some((instance, _)) = nearest.choose(&mut self.rng) {
             return Some(Source::Peer((*instance).clone()));
         }
-        let due = now >= collection.store_from || !able.is_empty();
-        (due && now >= collection.store_barred).then_some(Source::Store)
+        let due = now >= collection.store_allowed_at || !available.is_empty();
+        (due && now >= collection.store_retry_at).then_some(Source::Store)
     }
 }
--- a/crates/fescuewell_membership/src/row.rs
+++ b/crates/fescuewell_membership/src/row.rs
@@ -6,48 +6,48 @@
 use fescuewell_core::prelude::*;
 use snafu::Snafu;
 
-/// Start of the keys of all member rows.
+/// Key prefix of all member rows.
 pub const PREFIX: &str = "member/";
 
 fescuewell_core::data! {
-    /// How far an incarnation is in its life. It only ever advances.
+    /// Lifecycle state of an incarnation; it only advances.
     #[derive(Copy, PartialOrd, Ord, Default)]
     #[serde(rename_all = "snake_case")]
     pub enum State {
-        /// It has no document in force yet.
+        /// No document is in force yet.
         #[default]
         Starting,
-        /// It takes requests.
+        /// It accepts requests.
         Ready,
-        /// It is shutting down; addresses must not name it.
+        /// It is shutting down and must not be advertised to callers.
         Draining,
-        /// Farewell: everything was handed over and the process spends nothing any more.
+        /// Its farewell: everything was handed over and the process spends nothing any more.
         Gone,
     }
 
-    /// What an instance says about its load.
+    /// The load that an instance reports.
     #[derive(Copy, Default)]
     pub struct Load {
         /// Open streams.
         pub streams: u32,
-        /// Use of its tightest limit, in thousandths; may exceed 1000 while it is over its limits.
+        /// Use of its most loaded limit, in thousandths; exceeds 1000 while it is over its limits.
         pub permille: u16,
     }
 
-    /// An incarnation that the same instance had before.
+    /// An earlier incarnation of the same instance.
     #[derive(Copy)]
     pub struct EarlierIncarnation {
-        /// Which one.
+        /// The incarnation.
         pub incarnation: Incarnation,
-        /// Whether it said farewell, or the present incarnation proved that it has ended.
+        /// Whether it published its farewell, or the current incarnation proved that it has ended.
         pub ended: bool,
     }
 
     /// Content of a member row, stored as JSON.
     pub struct Row {
-        /// Which start of the instance wrote it.
+        /// The incarnation that wrote the row.
         pub incarnation: Incarnation,
-        /// Rises with each heartbeat of this incarnation.
+        /// Heartbeat counter of this incarnation.
         pub beat: u64,
         /// Where callers connect.
         pub caller_address: SocketAddr,
@@ -57,7 +57,7 @@
         pub operator_address: SocketAddr,
         /// Its availability zone.
         pub zone: Arc<str>,
-        /// How far it is in its life.
+        /// Its lifecycle state.
         pub state: State,
         /// Version of the document that it has in force; 0 for none.
         pub version: Version,
@@ -66,41 +66,42 @@
         /// Its load.
         #[serde(default)]
         pub load: Load,
-        /// Set by others once this incarnation has ended and everything that it left is settled.
+        /// Set by other instances once this incarnation has ended and everything that it left is
+        /// settled.
         #[serde(default)]
         pub settled: bool,
-        /// Incarnations before this one that may still be charged with something.
+        /// Incarnations before this one that are not settled yet.
         #[serde(default)]
         pub earlier: Vec<EarlierIncarnation>,
     }
 }
 
-/// The row's content is not a member row that this program can read.
+/// The value is not a member row that this program can read.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-#[snafu(display("not a member row: {reason}"))]
+#[snafu(display("invalid member row: {reason}"))]
 pub struct Error {
-    /// What the JSON reader said.
+    /// The error of the JSON parser.
     pub reason: Arc<str>,
 }
 
 impl Row {
-    /// The bytes to store.
+    /// Encodes the row as it is stored.
     pub fn encode(&self) -> Arc<[u8]> {
         serde_json::to_vec(self).unwrap_or_default().into()
     }
 
-    /// Reads stored bytes. Unknown fields are ignored, since newer programs may add some.
+    /// Decodes stored bytes. Unknown fields are ignored, since newer programs may add some.
     ///
     /// # Errors
     ///
-    /// When the bytes are no member row.
+    /// If the bytes are not a member row.
     pub fn decode(bytes: &[u8]) -> Result<Self, Error> {
         serde_json::from_slice(bytes).map_err(|error| Error {
             reason: error.to_string().into(),
         })
     }
 
-    /// Whether the rows differ in nothing but the heartbeat.
+    /// Whether the rows are equal except for the heartbeat counter.
     pub fn equals_except_beat(&self, other: &Self) -> bool {
         let beat = other.beat;
         let aligned = Self {
@@ -131,7 +132,7 @@
     format!("{instance}.{:x}", incarnation.0).into()
 }
 
-/// Splits a holder into instance and incarnation; `None` when it is not one.
+/// Splits a holder name into instance and incarnation; `None` when it is not one.
 pub fn parse_holder(holder: &str) -> Option<(&str, Incarnation)> {
     let (instance, incarnation) = holder.rsplit_once('.')?;
     let incarnation = u64::from_str_radix(incarnation, 16).ok()?;
--- a/crates/fescuewell_membership/src/sighting.rs
+++ b/crates/fescuewell_membership/src/sighting.rs
@@ -1,4 +1,4 @@
-//! What this instance itself has observed of one other member.
+//! The observations of one other member by this instance.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,9 +8,9 @@
 use crate::row::{self, Row};
 
 fescuewell_core::key! {
-    /// One heartbeat of an instance; later ones are greater.
+    /// One heartbeat of an instance; later ones compare greater.
     pub struct Beat {
-        /// Its incarnation.
+        /// Incarnation that wrote it.
         pub incarnation: Incarnation,
         /// The heartbeat's number within the incarnation.
         pub number: u64,
@@ -27,7 +27,7 @@
     }
 }
 
-/// The newest known row of a member and how long its heartbeat has stood still.
+/// The newest known row of a member and the time for which its heartbeat has not changed.
 #[derive(Debug, Clone)]
 pub struct Sighting {
     holder: Arc<str>,
@@ -35,7 +35,7 @@
     revision: u64,
     first_seen: Instant,
     changed_at: Instant,
-    last_fresh: Option<Instant>,
+    last_fresh_read: Option<Instant>,
     unchanged: Duration,
     suspected: Option<Beat>,
     reported: Option<Beat>,
@@ -43,7 +43,7 @@
 }
 
 impl Sighting {
-    /// A member seen for the first time. `revision` is 0 when the news came from a peer.
+    /// Creates the sighting of a new member. `revision` is 0 when the row came from a peer.
     pub fn new(now: Instant, instance: &str, row: Row, revision: u64) -> Self {
         Self {
             holder: row::holder(instance, row.incarnation),
@@ -51,7 +51,7 @@
             revision,
             first_seen: now,
             changed_at: now,
-            last_fresh: None,
+            last_fresh_read: None,
             unchanged: Duration::ZERO,
             suspected: None,
             reported: None,
@@ -59,14 +59,15 @@
         }
     }
 
-    /// Takes a row from wherever it comes; an older one than the known changes nothing.
-    /// Returns whether it was newer.
-    pub fn learn(&mut self, now: Instant, instance: &str, row: Row, revision: u64) -> bool {
+    /// Applies a row from any source; a row older than the known one changes nothing. Returns
+    /// whether it was newer.
+    pub fn apply_row(&mut self, now: Instant, instance: &str, row: Row, revision: u64) -> bool {
         if !row.is_newer(&self.row) {
-            // A row that a peer told first has no revision until the table shows it; and others strike
-            // settled incarnations from a row without touching its heartbeat.
-            let same = !self.row.is_newer(&row);
-            if same && revision > self.revision {
+            // A row first received from a peer has no revision until it is read from the table.
+            // Besides, other instances remove settled incarnations from a row without changing its
+            // heartbeat.
+            let is_same_beat = !self.row.is_newer(&row);
+            if is_same_beat && revision > self.revision {
                 self.row = row;
                 self.revision = revision;
             }
@@ -79,55 +80,56 @@
         self.row = row;
         self.revision = revision;
         self.changed_at = now;
-        self.last_fresh = None;
+        self.last_fresh_read = None;
         self.unchanged = Duration::ZERO;
-        // Only a heartbeat later than the suspicion refutes it. This instance may have known a much older
-        // one, and would take the last before a crash for a sign of life.
+        // Only a heartbeat later than the suspicion refutes it. If this instance had known a much
+        // older one, it would otherwise take the last heartbeat before a crash for a sign of life.
         let beat = Beat::of(&self.row);
         self.suspected = self.suspected.filter(|suspected| *suspected >= beat);
         self.lapsed = false;
         true
     }
 
-    /// Counts a reading, asked for at `asked` and proved to be fresh, after its row was learned.
+    /// Counts a read that was requested at `requested_at` and proved to be fresh. Its row has
+    /// already been applied.
     ///
-    /// Only the time between two such readings counts. `most_gap` bounds what one step adds: an
-    /// observer that was itself paused (SIGSTOP, a long stop of its machine) would otherwise take its
-    /// own absence, during which the table may have been down, for the other's silence. One would
-    /// notice by live members that lapse at the moment at which the observer wakes.
-    pub fn observe(&mut self, asked: Instant, most_gap: Duration, lease: Duration) {
-        let gap = self.last_fresh.map(|last| asked.since(last));
+    /// Only the time between two such reads counts. `max_gap` bounds what one step adds: an
+    /// observer that was itself paused (SIGSTOP, a long stop of its machine) would otherwise count
+    /// its own absence, during which the table may have been down, as the member's silence. Live
+    /// members would then lapse at the moment the observer resumes.
+    pub fn observe(&mut self, requested_at: Instant, max_gap: Duration, lease: Duration) {
+        let gap = self.last_fresh_read.map(|last| requested_at.since(last));
         match gap {
-            Some(gap) if gap <= most_gap => self.unchanged += gap,
+            Some(gap) if gap <= max_gap => self.unchanged += gap,
             Some(_) => self.unchanged = Duration::ZERO,
             None => {}
         }
-        self.last_fresh = Some(asked);
-        // A watcher saw the heartbeat stand still for a lease; this reading confirms that it still does.
-        // Everybody waiting for a lease of its own would double the time until slots change hands.
+        self.last_fresh_read = Some(requested_at);
+        // A watcher saw no new heartbeat for a lease, and this read confirms it. If every instance
+        // waited for a lease of its own, slots would take twice as long to change hands.
         let confirmed = self.reported >= Some(Beat::of(&self.row));
         if confirmed || self.unchanged >= lease {
             self.lapsed = true;
         }
     }
 
-    /// Starts the count anew because the table failed: the member could not write either.
+    /// Restarts the count because the table failed: the member could not write either.
     ///
-    /// Without this, the first reading after an outage longer than the lease would lapse everybody at
-    /// once and all slots would change hands.
-    pub fn interrupt(&mut self) {
+    /// Otherwise the first read after an outage longer than the lease would lapse every member at
+    /// once, and all slots would change hands.
+    pub fn restart_count(&mut self) {
         self.unchanged = Duration::ZERO;
-        self.last_fresh = None;
+        self.last_fresh_read = None;
     }
 
-    /// Marks the member as probably dead until a heartbeat later than the last known is seen. Returns
-    /// whether it was not marked before.
+    /// Suspects the member until a heartbeat later than the last known one is seen. Returns whether
+    /// it was not suspected before.
     pub fn suspect(&mut self) -> bool {
         self.suspect_after(Beat::of(&self.row))
     }
 
-    /// Marks the member as probably dead until a heartbeat later than `beat` is seen. Returns whether
-    /// it was not marked before.
+    /// Suspects the member until a heartbeat later than `beat` is seen. Returns whether it was not
+    /// suspected before.
     pub fn suspect_after(&mut self, beat: Beat) -> bool {
         if Beat::of(&self.row) > beat {
             return false;
@@ -137,14 +139,14 @@
         before.is_none()
     }
 
-    /// `instance.incarnation`.
+    /// Name of the member's incarnation as a holder: `instance.incarnation`.
     pub fn holder(&self) -> &Arc<str> {
         &self.holder
     }
 
-    /// Takes a watcher's report that it saw the heartbeat stand still at `beat` for a lease. Returns
+    /// Applies a watcher's report that it saw no heartbeat after `beat` for a lease. Returns
     /// whether the member was not suspected before.
-    pub fn report(&mut self, beat: Beat) -> bool {
+    pub fn apply_report(&mut self, beat: Beat) -> bool {
         self.reported = self.reported.max(Some(beat));
         self.suspect_after(beat)
     }
@@ -154,12 +156,12 @@
         &self.row
     }
 
-    /// Revision of the newest known row; 0 when only a peer has told it so far.
+    /// Revision of the newest known row; 0 while it has been received only from a peer.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// When the present incarnation was first seen.
+    /// When the current incarnation was first seen.
     pub fn first_seen(&self) -> Instant {
         self.first_seen
     }
@@ -169,12 +171,12 @@
         self.changed_at
     }
 
-    /// Whether its heartbeat stood still for a whole lease while the table worked.
+    /// Whether its heartbeat did not change for a whole lease while the table worked.
     pub fn is_lapsed(&self) -> bool {
         self.lapsed
     }
 
-    /// Whether somebody, perhaps this instance, has reason to think it dead.
+    /// Whether this or another instance has reason to believe it dead.
     pub fn is_suspected(&self) -> bool {
         self.suspected.is_some() || self.lapsed
     }
--- a/crates/fescuewell_membership/src/slots.rs
+++ b/crates/fescuewell_membership/src/slots.rs
@@ -1,8 +1,8 @@
-//! Which instance should arbitrate which slot of request ids.
+//! Assigns the slots of request ids to the instances that should arbitrate them.
 //!
-//! Every instance computes the same wish from the same members; the epoch in the row `slot/{nn}`
-//! decides who really holds a slot, so that instances whose views differ for a while only disagree
-//! about wishes.
+//! Every instance computes the same wanted owners from the same members. The epoch in the row
+//! `slot/{nn}` decides who actually holds a slot, so instances whose views differ for a while
+//! disagree only about the wanted owners.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -13,10 +13,10 @@
 use crate::row::State;
 use crate::view::{Peer, View};
 
-/// Flaps after which the settling time no longer doubles.
-const MOST_FLAPS: u32 = 4;
-/// Time without a flap after which one is forgiven, in settling times.
-const FORGIVEN_AFTER: u32 = 40;
+/// Number of flaps after which the settle time no longer doubles.
+const MAX_FLAPS: u32 = 4;
+/// Settle times without a flap after which earlier flaps are forgotten.
+const FLAP_MEMORY_PERIODS: u32 = 40;
 
 fescuewell_core::data! {
     /// An instance that may hold slots.
@@ -49,13 +49,13 @@
     }
 }
 
-/// Distributes `slots` over the candidates.
+/// Assigns `slots` to the candidates.
 ///
-/// First over the zones in proportion to their candidates, then over the instances within each; in both
-/// steps the pair with the highest hash goes first and nobody takes more than an equal share, rounded
-/// up. The hash keeps most slots where they are when a candidate comes or goes; the share keeps a
-/// single instance, or a zone, from holding many more than the others. The order of the candidates
-/// does not matter.
+/// Slots are distributed first over the zones, in proportion to their candidates, and then over the
+/// instances of each zone. Both steps take pairs in descending order of their hash and limit
+/// everybody to an equal share, rounded up. The hash keeps most slots where they are when a
+/// candidate comes or goes; the limit keeps one instance, or one zone, from holding many more than
+/// the others. The order of the candidates does not matter.
 pub fn assign(slots: u16, candidates: &[Candidate]) -> Assignment {
     let mut zones: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
     for candidate in candidates {
@@ -72,11 +72,11 @@
         .iter()
         .map(|(zone, instances)| (*zone, share(instances.len())))
         .collect();
-    for (zone, slots_of_zone) in spread("zone", &all, &zone_bins) {
+    for (zone, slots_of_zone) in distribute("zone", &all, &zone_bins) {
         let instances = &zones[zone];
-        let most = slots_of_zone.len().div_ceil(instances.len());
-        let bins: Vec<(&str, usize)> = instances.iter().map(|name| (*name, most)).collect();
-        for (instance, slots_of_instance) in spread("instance", &slots_of_zone, &bins) {
+        let limit = slots_of_zone.len().div_ceil(instances.len());
+        let bins: Vec<(&str, usize)> = instances.iter().map(|name| (*name, limit)).collect();
+        for (instance, slots_of_instance) in distribute("instance", &slots_of_zone, &bins) {
             let shared: Arc<str> = instance.into();
             for slot in slots_of_instance {
                 owners[slot as usize] = Some(shared.clone());
@@ -86,8 +86,12 @@
     Assignment { owners }
 }
 
-/// Gives each slot to a bin, none more than its limit; pairs of the highest score first.
-fn spread<'a>(salt: &str, slots: &[u16], bins: &[(&'a str, usize)]) -> BTreeMap<&'a str, Vec<u16>> {
+/// Assigns each slot to a bin, in descending order of the pairs' scores and up to each bin's limit.
+fn distribute<'a>(
+    salt: &str,
+    slots: &[u16],
+    bins: &[(&'a str, usize)],
+) -> BTreeMap<&'a str, Vec<u16>> {
     let mut pairs = Vec::with_capacity(slots.len() * bins.len());
     for &slot in slots {
         for (index, (name, _)) in bins.iter().enumerate() {
@@ -95,46 +99,47 @@
         }
     }
     pairs.sort_unstable_by(|a, b| b.cmp(a));
-    let mut placed = BTreeSet::new();
+    let mut assigned = BTreeSet::new();
     let mut result: BTreeMap<&str, Vec<u16>> = BTreeMap::new();
     for (_, slot, index) in pairs {
-        let (name, most) = bins[index];
+        let (name, limit) = bins[index];
         let held = result.entry(name).or_default();
-        if placed.contains(&slot) || held.len() >= most {
+        if assigned.contains(&slot) || held.len() >= limit {
             continue;
         }
         held.push(slot);
-        placed.insert(slot);
+        assigned.insert(slot);
     }
     result
 }
 
-/// The state whose members hold the slots: ready ones, or draining ones once nobody is ready.
+/// The state that a member needs to hold slots: ready, or draining once nobody is ready.
 ///
-/// When a whole fleet is stopped at once, the streams that are still open have to be billed by somebody.
-/// With no candidate left nobody holds the slots, all instances wait with their bills until
-/// the limit of their drain, and the bills are lost with them.
-fn last_state(live: &[Peer]) -> State {
+/// When a whole fleet is stopped at once, open streams still have to be billed. Without a candidate
+/// nobody would hold the slots; all instances would wait with their bills until their drain limit,
+/// and the bills would be lost.
+fn eligible_state(live: &[Peer]) -> State {
     match live.iter().any(|peer| peer.state == State::Ready) {
         true => State::Ready,
         false => State::Draining,
     }
 }
 
-/// A suspicion moves the wishes at once, so that with the loss of a zone nobody waits until each of its
-/// members has lapsed. Taking a slot still needs the lapse of its holder, and a holder that is wrongly
-/// suspected goes on wishing for its own, since nobody suspects itself.
-fn may_hold(peer: &Peer, last: State) -> bool {
-    !peer.suspected && (peer.state == State::Ready || peer.state == last)
+/// A suspicion changes the wanted owners at once, so that after the loss of a zone nobody waits
+/// until each of its members has lapsed. Taking a slot still requires that its holder has lapsed,
+/// and a holder that is wrongly suspected still wants its own slots, since no instance suspects
+/// itself.
+fn can_hold(peer: &Peer, eligible: State) -> bool {
+    !peer.suspected && (peer.state == State::Ready || peer.state == eligible)
 }
 
 fn score(salt: &str, slot: u16, name: &str) -> u128 {
     Digest::of(format!("{salt}/{slot}/{name}").as_bytes()).0
 }
 
-/// How steady a member has been.
+/// How stable a member has been.
 #[derive(Debug, Clone)]
-struct Standing {
+struct MemberHistory {
     present_since: Option<Instant>,
     left_at: Option<Instant>,
     flaps: u32,
@@ -142,67 +147,67 @@
     zone: Arc<str>,
 }
 
-/// Keeps the assignment, with hysteresis.
+/// Maintains the assignment, with hysteresis against flapping members.
 ///
 /// ```
 /// use fescuewell_core::prelude::*;
 /// use fescuewell_membership::{slots::Assigner, view::View};
-/// let mut keeper = Assigner::new("entry-1".into(), 16, std::time::Duration::from_secs(3));
-/// keeper.update(Instant::from_millis(0), &View::default());
-/// assert!(keeper.own_slots().is_empty());
+/// let mut assigner = Assigner::new("entry-1".into(), 16, std::time::Duration::from_secs(3));
+/// assigner.update(Instant::from_millis(0), &View::default());
+/// assert!(assigner.own_slots().is_empty());
 /// ```
 #[derive(Debug, Clone)]
 pub struct Assigner {
     instance: Arc<str>,
     slots: u16,
-    settle: Duration,
-    standings: BTreeMap<Arc<str>, Standing>,
+    settle_time: Duration,
+    histories: BTreeMap<Arc<str>, MemberHistory>,
     candidates: Vec<Candidate>,
     assignment: Assignment,
-    successions: BTreeSet<Arc<str>>,
-    unchecked: BTreeSet<Arc<str>>,
-    doubted: BTreeSet<Arc<str>>,
+    predecessors: BTreeSet<Arc<str>>,
+    unchecked_owners: BTreeSet<Arc<str>>,
+    suspected_owners: BTreeSet<Arc<str>>,
     watch: BTreeSet<Arc<str>>,
 }
 
 impl Assigner {
-    /// A keeper for `instance`. A member counts once it has been ready for `settle`; for each time
-    /// that it came and went lately, twice as long.
-    pub fn new(instance: Arc<str>, slots: u16, settle: Duration) -> Self {
+    /// Creates the assigner of `instance`. A member becomes a candidate once it has been ready for
+    /// `settle_time`; the time doubles with each recent flap.
+    pub fn new(instance: Arc<str>, slots: u16, settle_time: Duration) -> Self {
         Self {
             instance,
             slots,
-            settle,
-            standings: BTreeMap::new(),
+            settle_time,
+            histories: BTreeMap::new(),
             candidates: Vec::new(),
             assignment: Assignment::default(),
-            successions: BTreeSet::new(),
-            unchecked: BTreeSet::new(),
-            doubted: BTreeSet::new(),
+            predecessors: BTreeSet::new(),
+            unchecked_owners: BTreeSet::new(),
+            suspected_owners: BTreeSet::new(),
             watch: BTreeSet::new(),
         }
     }
 
-    /// Takes the present view. Returns whether the assignment changed.
+    /// Updates the assignment from the view. Returns whether it changed.
     pub fn update(&mut self, now: Instant, view: &View) -> bool {
-        // Before the first round through the rows is over, the few members known would seem to have to
-        // hold everything, and slots would move twice at every start.
+        // Until all rows have been read once, the few members known would seem to own everything,
+        // and slots would move twice at every start.
         if !view.complete {
             return false;
         }
-        self.note_present(now, &view.live);
-        self.note_absent(now, &view.live);
-        self.note_doubted(&view.live);
+        self.update_present(now, &view.live);
+        self.update_absent(now, &view.live);
+        self.update_suspected(&view.live);
         let candidates = self.admitted();
         let changed = candidates != self.candidates;
         if changed {
             self.assignment = assign(self.slots, &candidates);
             self.candidates = candidates;
-            self.successions.clear();
-            self.unchecked = self.assignment.owners.iter().flatten().cloned().collect();
+            self.predecessors.clear();
+            self.unchecked_owners = self.assignment.owners.iter().flatten().cloned().collect();
         }
-        self.check_succession();
-        self.watch = &self.doubted | &self.successions;
+        self.check_next_owner();
+        self.watch = &self.suspected_owners | &self.predecessors;
         changed
     }
 
@@ -216,81 +221,83 @@
         &self.assignment
     }
 
-    /// Owners that this instance would probably succeed or that are suspected, to be watched closely.
+    /// Owners to watch closely: those that this instance would succeed, and those that are
+    /// suspected.
     pub fn watch(&self) -> &BTreeSet<Arc<str>> {
         &self.watch
     }
 
-    fn note_present(&mut self, now: Instant, live: &[Peer]) {
-        let last = last_state(live);
+    fn update_present(&mut self, now: Instant, live: &[Peer]) {
+        let eligible = eligible_state(live);
         for peer in live {
-            if !may_hold(peer, last) {
+            if !can_hold(peer, eligible) {
                 continue;
             }
-            let known = self.standings.entry(peer.instance.clone());
-            let standing = known.or_insert_with(|| Standing {
+            let known = self.histories.entry(peer.instance.clone());
+            let history = known.or_insert_with(|| MemberHistory {
                 present_since: None,
                 left_at: None,
                 flaps: 0,
                 admitted: false,
                 zone: peer.zone.clone(),
             });
-            standing.zone = peer.zone.clone();
-            let since = *standing.present_since.get_or_insert(now);
-            if now.since(since) >= self.settle * FORGIVEN_AFTER {
-                standing.flaps = 0;
+            history.zone = peer.zone.clone();
+            let since = *history.present_since.get_or_insert(now);
+            if now.since(since) >= self.settle_time * FLAP_MEMORY_PERIODS {
+                history.flaps = 0;
             }
-            let wait = self.settle * 2u32.pow(standing.flaps.min(MOST_FLAPS));
-            standing.admitted |= now.since(since) >= wait;
+            let wait = self.settle_time * 2u32.pow(history.flaps.min(MAX_FLAPS));
+            history.admitted |= now.since(since) >= wait;
         }
     }
 
-    /// Members that are suspected, lapsed, drain or are gone lose their slots at once. One that restarted under its
-    /// name, and is about to be ready again, keeps them for a settling time: its new incarnation
-    /// takes them over from the old one, which moves them once in place of twice.
-    fn note_absent(&mut self, now: Instant, live: &[Peer]) {
-        let last = last_state(live);
+    /// Members that are suspected, lapsed, draining or gone lose their slots at once. A member that
+    /// restarted under the same name keeps them for one settle time: its new incarnation takes them
+    /// over from the old one, so that they move once instead of twice.
+    fn update_absent(&mut self, now: Instant, live: &[Peer]) {
+        let eligible = eligible_state(live);
         let peers: BTreeMap<&str, &Peer> =
             live.iter().map(|peer| (&*peer.instance, peer)).collect();
-        for (instance, standing) in &mut self.standings {
+        for (instance, history) in &mut self.histories {
             let peer = peers.get(&**instance);
-            if peer.is_some_and(|peer| may_hold(peer, last)) {
-                standing.left_at = None;
+            if peer.is_some_and(|peer| can_hold(peer, eligible)) {
+                history.left_at = None;
                 continue;
             }
-            let left_at = *standing.left_at.get_or_insert(now);
+            let left_at = *history.left_at.get_or_insert(now);
             let starting = peer.is_some_and(|peer| peer.state == State::Starting);
-            let restarting = starting && now.since(left_at) < self.settle;
+            let restarting = starting && now.since(left_at) < self.settle_time;
             if restarting {
                 continue;
             }
-            if standing.present_since.take().is_some() {
-                standing.flaps += 1;
+            if history.present_since.take().is_some() {
+                history.flaps += 1;
             }
-            standing.admitted = false;
+            history.admitted = false;
         }
-        let memory = self.settle * FORGIVEN_AFTER;
-        self.standings
-            .retain(|_, standing| standing.left_at.is_none_or(|at| now.since(at) < memory));
+        let max_age = self.settle_time * FLAP_MEMORY_PERIODS;
+        self.histories
+            .retain(|_, history| history.left_at.is_none_or(|at| now.since(at) < max_age));
     }
 
     fn admitted(&self) -> Vec<Candidate> {
         let admitted = self
-            .standings
+            .histories
             .iter()
-            .filter(|(_, standing)| standing.admitted);
+            .filter(|(_, history)| history.admitted);
         admitted
-            .map(|(instance, standing)| Candidate {
+            .map(|(instance, history)| Candidate {
                 instance: instance.clone(),
-                zone: standing.zone.clone(),
+                zone: history.zone.clone(),
             })
             .collect()
     }
 
-    /// Finds out for one more owner whether its slots would come here if it went. One with each update:
-    /// in a large fleet all at once would hold up the requests of this instance for a tenth of a second.
-    fn check_succession(&mut self) {
-        let Some(owner) = self.unchecked.pop_first() else {
+    /// Checks for one more owner whether its slots would move to this instance if it went away.
+    /// Checks one per update: in a large fleet, checking all at once would block this instance's
+    /// requests for a tenth of a second.
+    fn check_next_owner(&mut self) {
+        let Some(owner) = self.unchecked_owners.pop_first() else {
             return;
         };
         let rest = self
@@ -299,21 +306,22 @@
             .filter(|other| other.instance != owner);
         let rest: Vec<Candidate> = rest.cloned().collect();
         let after = assign(self.slots, &rest).slots_of(&self.instance);
-        let heir = after
+        let is_successor = after
             .iter()
             .any(|slot| self.assignment.owner(*slot) == Some(&owner));
-        if heir && owner != self.instance {
-            self.successions.insert(owner);
+        if is_successor && owner != self.instance {
+            self.predecessors.insert(owner);
         }
     }
 
-    /// Owners that somebody suspects, for as long as they are: their slots cannot be taken before this
-    /// instance has confirmed the suspicion by a reading.
-    fn note_doubted(&mut self, live: &[Peer]) {
+    /// Suspected owners, for as long as they are suspected: their slots cannot be taken before this
+    /// instance has confirmed the suspicion by a read.
+    fn update_suspected(&mut self, live: &[Peer]) {
         let owners: BTreeSet<&Arc<str>> = self.assignment.owners.iter().flatten().collect();
         let suspected = live.iter().filter(|peer| peer.suspected);
         let known = suspected.map(|peer| &peer.instance);
-        let doubted = known.filter(|name| owners.contains(name) || self.doubted.contains(*name));
-        self.doubted = doubted.cloned().collect();
+        let suspected_owners =
+            known.filter(|name| owners.contains(name) || self.suspected_owners.contains(*name));
+        self.suspected_owners = suspected_owners.cloned().collect();
     }
 }
--- a/crates/fescuewell_membership/src/update.rs
+++ b/crates/fescuewell_membership/src/update.rs
@@ -1,4 +1,4 @@
-//! Changes of the membership that instances pass on to each other.
+//! Membership updates that instances gossip to each other.
 
 use std::sync::Arc;
 
@@ -6,16 +6,16 @@
 use crate::sighting::Beat;
 
 fescuewell_core::data! {
-    /// One change, small enough to travel with a digest.
+    /// One membership change, small enough to be sent along with a head.
     pub enum Update {
-        /// A member joined, or stepped on in its life: its row as of then.
+        /// A member joined, or its state or incarnation changed.
         Member {
             /// Name of the instance.
             instance: Arc<str>,
-            /// Its row.
+            /// Its row after the change.
             row: Row,
         },
-        /// A member's heartbeat stood still at `beat` for the sender.
+        /// The sender saw no heartbeat of the member after `beat` for a whole lease.
         Suspicion {
             /// Name of the instance.
             instance: Arc<str>,
