--- a/crates/fescuewell_membership/examples/membership_figures.rs
+++ b/crates/fescuewell_membership/examples/membership_figures.rs
@@ -1,8 +1,9 @@
-//! Measures membership at 9 and 850 instances in virtual time: how fast a head converges, what control
-//! traffic and table accesses cost, how a crash is noticed, and what the decisions cost in real time.
+//! Measures membership at 9 and 850 instances in virtual time: how fast a head converges, what
+//! control traffic and table accesses cost, how fast a crash is detected, and the real time that
+//! decisions take.
 //!
-//! Run with `cargo run --release -p fescuewell_membership --example membership_figures`; with the word
-//! `faults` after `--` it leaves out what takes longest.
+//! Run with `cargo run --release -p fescuewell_membership --example membership_figures`; the
+//! argument `faults` after `--` skips the slowest measurements.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -10,15 +11,15 @@
 use std::time::{Duration, Instant as Wall};
 
 use common::network::{Network, SLOTS};
-use common::{instance, me};
+use common::{info, instance};
 use fescuewell_core::prelude::*;
 use fescuewell_membership::address::{self, Caller};
 use fescuewell_membership::row;
 use fescuewell_membership::slots::{self, Candidate};
 
 const CHANGES: u64 = 12;
-const IDLE: Duration = Duration::from_secs(60);
-const BUSY_INTERVAL: Duration = Duration::from_millis(2_160);
+const TRAFFIC_DURATION: Duration = Duration::from_secs(60);
+const CHANGE_INTERVAL: Duration = Duration::from_millis(2_160);
 
 fn main() {
     let faults_only = std::env::args().any(|word| word == "faults");
@@ -30,24 +31,24 @@
 fn measure(count: usize, regions: usize, faults_only: bool) {
     println!("== {count} instances, {regions} region(s)");
     let mut network = Network::new(count, regions, 1);
-    network.store.forgets = true;
+    network.store.skip_history = true;
     network.accept(1);
-    start(&mut network);
+    measure_start(&mut network);
     if !faults_only {
-        load(&mut network);
+        measure_load(&mut network);
     }
-    crash(&mut network);
-    lose_zone(&mut network);
-    real_costs(&network);
+    measure_crash(&mut network);
+    measure_zone_loss(&mut network);
+    measure_decision_costs(&network);
 }
 
-fn load(network: &mut Network) {
-    converge(network);
-    idle(network, "idle", None);
-    idle(network, "40,000 changes a day", Some(BUSY_INTERVAL));
+fn measure_load(network: &mut Network) {
+    measure_convergence(network);
+    measure_traffic(network, "idle", None);
+    measure_traffic(network, "40,000 changes a day", Some(CHANGE_INTERVAL));
 }
 
-fn start(network: &mut Network) {
+fn measure_start(network: &mut Network) {
     let mut busiest = 0;
     let mut complete_after = None;
     for second in 1..=600u64 {
@@ -64,34 +65,34 @@
         }
     }
     println!(
-        "restart of all: everybody knows everybody and has the document after {complete_after:?} s"
+        "restart of all: every instance sees all others and has the document after {complete_after:?} s"
     );
     println!("restart of all: most table reads in one second {busiest}");
 }
 
-fn converge(network: &mut Network) {
-    let mut times = Vec::new();
+fn measure_convergence(network: &mut Network) {
+    let mut samples = Vec::new();
     let reads = network.object_reads;
     for version in 2..2 + CHANGES {
         network.run(Duration::from_millis(7_137));
-        let began = network.now;
+        let started_at = network.now;
         network.accept(version);
-        let end = began + Duration::from_secs(60);
+        let end = started_at + Duration::from_secs(60);
         network.run_while(end, |network| !network.all_have(version));
         assert!(network.all_have(version));
-        times.push(network.now.since(began));
+        samples.push(network.now.since(started_at));
     }
-    times.sort();
+    samples.sort();
     let reads = (network.object_reads - reads) as f64 / CHANGES as f64;
     println!(
         "a change in force everywhere, {CHANGES} changes: median {:?}, worst {:?}; store object reads a change {reads:.1}",
-        times[times.len() / 2],
-        times[times.len() - 1],
+        samples[samples.len() / 2],
+        samples[samples.len() - 1],
     );
 }
 
-fn idle(network: &mut Network, label: &str, every: Option<Duration>) {
-    let began = network.now;
+fn measure_traffic(network: &mut Network, label: &str, change_interval: Option<Duration>) {
+    let started_at = network.now;
     let (reads, writes) = (network.store.reads, network.store.writes);
     for node in &mut network.nodes {
         node.sent = 0;
@@ -102,14 +103,14 @@
         .propagation
         .in_force()
         .map_or(0, |head| head.version.0);
-    while network.now.since(began) < IDLE {
-        network.run(every.unwrap_or(IDLE));
-        if every.is_some() {
+    while network.now.since(started_at) < TRAFFIC_DURATION {
+        network.run(change_interval.unwrap_or(TRAFFIC_DURATION));
+        if change_interval.is_some() {
             version += 1;
             network.accept(version);
         }
     }
-    let seconds = network.now.since(began).as_secs_f64();
+    let seconds = network.now.since(started_at).as_secs_f64();
     let count = network.nodes.len() as f64;
     let rate = |total: u64| total as f64 / seconds;
     let control: Vec<u64> = network
@@ -128,19 +129,19 @@
     );
 }
 
-fn crash(network: &mut Network) {
-    let mut wishes: Vec<&slots::Assignment> = Vec::new();
+fn measure_crash(network: &mut Network) {
+    let mut assignments: Vec<&slots::Assignment> = Vec::new();
     for node in &network.nodes {
-        if !wishes.contains(&node.keeper.assignment()) {
-            wishes.push(node.keeper.assignment());
+        if !assignments.contains(&node.assigner.assignment()) {
+            assignments.push(node.assigner.assignment());
         }
     }
     println!(
-        "different wishes for the slots among the instances: {}",
-        wishes.len()
+        "different slot assignments among the instances: {}",
+        assignments.len()
     );
     let owner = network.nodes[0]
-        .keeper
+        .assigner
         .assignment()
         .owner(SlotKey(0))
         .cloned()
@@ -150,14 +151,14 @@
         .expect("known");
     let holder = row::holder(&owner, Incarnation(1));
     let reads = network.store.reads;
-    let began = network.now;
+    let started_at = network.now;
     network.stopped.insert(victim);
     let mut first = None;
-    let mut named = None;
+    let mut unadvertised = None;
     let mut successor = None;
     for _ in 0..4_000 {
         network.run(Duration::from_millis(100));
-        let now = network.now.since(began);
+        let now = network.now.since(started_at);
         let others = || {
             network
                 .nodes
@@ -168,8 +169,8 @@
         let lapsed = others()
             .filter(|(_, node)| node.members.view().lapsed.contains(&holder))
             .count();
-        let wants = others().any(|(_, node)| node.keeper.own_slots().contains(&SlotKey(0)));
-        let trusts = others().any(|(_, node)| {
+        let wants = others().any(|(_, node)| node.assigner.own_slots().contains(&SlotKey(0)));
+        let advertises = others().any(|(_, node)| {
             node.members
                 .view()
                 .peer(&owner)
@@ -177,13 +178,13 @@
         });
         first = first.or((lapsed > 0).then_some(now));
         successor = successor.or(wants.then_some(now));
-        named = named.or((!trusts).then_some(now));
+        unadvertised = unadvertised.or((!advertises).then_some(now));
         if lapsed + 1 == network.nodes.len() && successor.is_some() {
             println!(
-                "crash of a slot owner: first lapse seen after {first:?}, a successor wants the slot after {successor:?}"
+                "crash of a slot owner: first lapse seen after {first:?}, a successor is assigned the slot after {successor:?}"
             );
             println!(
-                "crash: nobody names it to callers after {named:?}; lapsed for all after {now:?}"
+                "crash: no instance advertises it to callers after {unadvertised:?}; lapsed for all after {now:?}"
             );
             let reads = (network.store.reads - reads) as f64 / now.as_secs_f64();
             println!("crash: table reads meanwhile {reads:.1}/s");
@@ -191,54 +192,55 @@
         }
     }
     println!(
-        "crash: not lapsed for everybody within 400 s; first {first:?}, successor {successor:?}, unnamed {named:?}"
+        "crash: not lapsed for all instances within 400 s; first {first:?}, successor {successor:?}, unadvertised {unadvertised:?}"
     );
 }
 
-/// Stops a whole zone and waits until each of its slots is wanted by exactly one instance elsewhere.
-fn lose_zone(network: &mut Network) {
+/// Stops a whole zone and waits until each of its slots is assigned to exactly one instance
+/// elsewhere.
+fn measure_zone_loss(network: &mut Network) {
     let zone = network.nodes[1].zone.clone();
-    let lost: Vec<usize> = (0..network.nodes.len())
+    let stopped: Vec<usize> = (0..network.nodes.len())
         .filter(|index| network.nodes[*index].zone == zone)
         .collect();
-    let (reads, began) = (network.store.reads, network.now);
-    network.stopped.extend(&lost);
+    let (reads, started_at) = (network.store.reads, network.now);
+    network.stopped.extend(&stopped);
     for _ in 0..600 {
         network.run(Duration::from_secs(1));
-        let mut wanting = vec![0u32; usize::from(SLOTS)];
+        let mut owner_counts = vec![0u32; usize::from(SLOTS)];
         for (index, node) in network.nodes.iter().enumerate() {
             if network.stopped.contains(&index) {
                 continue;
             }
-            for slot in node.keeper.own_slots() {
-                wanting[usize::from(slot.0)] += 1;
+            for slot in node.assigner.own_slots() {
+                owner_counts[usize::from(slot.0)] += 1;
             }
         }
-        if wanting.iter().all(|count| *count == 1) {
+        if owner_counts.iter().all(|count| *count == 1) {
             break;
         }
     }
-    let took = network.now.since(began);
-    let reads = (network.store.reads - reads) as f64 / took.as_secs_f64();
+    let duration = network.now.since(started_at);
+    let reads = (network.store.reads - reads) as f64 / duration.as_secs_f64();
     println!(
-        "loss of a zone ({} instances): each slot wanted by one other after {took:?}; table reads meanwhile {reads:.1}/s",
-        lost.len()
+        "loss of a zone ({} instances): each slot assigned to one other instance after {duration:?}; table reads meanwhile {reads:.1}/s",
+        stopped.len()
     );
 }
 
-fn timed<Work>(label: &str, times: u32, mut work: Work)
+fn timed<Work>(label: &str, samples: u32, mut work: Work)
 where
     Work: FnMut(),
 {
-    let began = Wall::now();
-    for _ in 0..times {
+    let started_at = Wall::now();
+    for _ in 0..samples {
         work();
     }
-    let each = began.elapsed() / times;
+    let each = started_at.elapsed() / samples;
     println!("{label}: {each:?}");
 }
 
-fn real_costs(network: &Network) {
+fn measure_decision_costs(network: &Network) {
     let view = network.nodes[0].members.view();
     let candidates: Vec<Candidate> = view
         .live
@@ -258,21 +260,21 @@
         zone: Some("0a".into()),
         rate: 100,
     };
-    timed("answer with addresses", 1_000, || {
+    timed("select addresses", 1_000, || {
         std::hint::black_box(address::resolve(&settings, &caller, view));
     });
-    let mut keeper = network.nodes[0].keeper.clone();
+    let mut assigner = network.nodes[0].assigner.clone();
     let now = network.now;
     timed("update slots, nothing changed", 1_000, || {
-        std::hint::black_box(keeper.update(now, view));
+        std::hint::black_box(assigner.update(now, view));
     });
-    let own = fescuewell_membership::member::Members::new(common::settings(), me(0, 1), 1);
+    let own = fescuewell_membership::member::Members::new(common::settings(), info(0, 1), 1);
     println!("member row: {} bytes", own.own_row().encode().len());
     let resident = resident_bytes() / network.nodes.len() as u64;
     println!("resident memory of this program by instance: {resident} bytes");
 }
 
-/// The program's resident memory, from the operating system's account of this process.
+/// Resident memory of this process, as reported by the operating system.
 fn resident_bytes() -> u64 {
     const PAGE: u64 = 4_096;
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
--- a/crates/fescuewell_membership/src/member.rs
+++ b/crates/fescuewell_membership/src/member.rs
@@ -47,14 +47,14 @@
     OwnRow,
     Beat,
     Page {
-        full_if_short: bool,
-        acked: u64,
-        at: Instant,
+        is_first_page: bool,
+        acked_beat: u64,
+        requested_at: Instant,
     },
     Watch {
         keys: Vec<Arc<str>>,
-        acked: u64,
-        at: Instant,
+        acked_beat: u64,
+        requested_at: Instant,
     },
     Settle {
         instance: Arc<str>,
@@ -146,7 +146,7 @@
         }
     }
 
-    /// The fleet as of the last change; see [`Self::next_step`] and [`Self::reply`].
+    /// The fleet as of the last call that changed it.
     pub fn view(&self) -> &View {
         &self.view
     }
@@ -259,16 +259,23 @@
             (Request::Beat, Reply::Outcome(outcome)) => self.finish_beat(now, outcome),
             (
                 Request::Page {
-                    full_if_short,
-                    acked,
-                    at,
+                    is_first_page,
+                    acked_beat,
+                    requested_at,
                 },
                 Reply::Rows(rows),
             ) => {
-                self.take_page(now, full_if_short, acked, at, &rows);
+                self.take_page(now, is_first_page, acked_beat, requested_at, &rows);
             }
-            (Request::Watch { keys, acked, at }, Reply::Rows(rows)) => {
-                self.take_watched(now, &keys, acked, at, &rows);
+            (
+                Request::Watch {
+                    keys,
+                    acked_beat,
+                    requested_at,
+                },
+                Reply::Rows(rows),
+            ) => {
+                self.take_watched(now, &keys, acked_beat, requested_at, &rows);
             }
             (
                 Request::Settle {
@@ -292,7 +299,7 @@
         if self.own.acked_state() == State::Gone {
             return None;
         }
-        let acked = self.own.acked_beat();
+        let acked_beat = self.own.acked_beat();
         if now >= self.next_beat_at {
             self.next_beat_at = now + self.jittered(self.settings.beat_interval);
             return Some(Request::Beat);
@@ -302,17 +309,17 @@
             let keys = self.watched_keys();
             return Some(Request::Watch {
                 keys,
-                acked,
-                at: now,
+                acked_beat,
+                requested_at: now,
             });
         }
         if now >= self.next_page_at {
             self.next_page_at = now + self.page_wait();
-            let full_if_short = self.cursor.is_none();
+            let is_first_page = self.cursor.is_none();
             return Some(Request::Page {
-                full_if_short,
-                acked,
-                at: now,
+                is_first_page,
+                acked_beat,
+                requested_at: now,
             });
         }
         self.next_settlement()
--- a/crates/fescuewell_membership/src/member/reading.rs
+++ b/crates/fescuewell_membership/src/member/reading.rs
@@ -55,7 +55,7 @@
         }
     }
 
-    fn is_fresh(&self, acked: u64, rows: &[table::Row]) -> bool {
+    fn is_fresh(&self, acked_beat: u64, rows: &[table::Row]) -> bool {
         // The read may come from a lagging replica. If it does not show this instance's own last
         // confirmed heartbeat, it is older than that heartbeat and proves nobody's silence.
         let own_key = row::key(&self.own.info().instance);
@@ -65,28 +65,30 @@
         let Ok(content) = Row::decode(&found.value) else {
             return false;
         };
-        acked > 0 && content.incarnation == self.own.info().incarnation && content.beat >= acked
+        acked_beat > 0
+            && content.incarnation == self.own.info().incarnation
+            && content.beat >= acked_beat
     }
 
     pub(super) fn take_page(
         &mut self,
         now: Instant,
-        full_if_short: bool,
-        acked: u64,
+        is_first_page: bool,
+        acked_beat: u64,
         requested_at: Instant,
         rows: &[table::Row],
     ) {
         let is_last = rows.len() < self.page_size() as usize;
-        self.is_multi_page = !(full_if_short && is_last);
+        self.is_multi_page = !(is_first_page && is_last);
         self.apply_rows(now, rows);
-        if full_if_short && is_last && self.is_fresh(acked, rows) {
+        if is_first_page && is_last && self.is_fresh(acked_beat, rows) {
             let all: Vec<Arc<str>> = self.sightings.keys().cloned().collect();
             self.observe(requested_at, &all, rows);
         }
         if self.is_multi_page {
             self.suspect_silent(now, rows);
         }
-        self.track_round(now, full_if_short, is_last, rows);
+        self.track_round(now, is_first_page, is_last, rows);
         self.dirty |= is_last && !self.complete;
         self.complete |= is_last;
         self.cursor = match is_last {
@@ -98,8 +100,14 @@
     /// Tracks which rows a scan round has shown. A member known only from a peer's delayed update,
     /// whose row has been removed, would otherwise stay forever, since no page shows that it is
     /// silent.
-    fn track_round(&mut self, now: Instant, is_first: bool, is_last: bool, rows: &[table::Row]) {
-        if is_first {
+    fn track_round(
+        &mut self,
+        now: Instant,
+        is_first_page: bool,
+        is_last: bool,
+        rows: &[table::Row],
+    ) {
+        if is_first_page {
             self.round_started = now;
             self.seen_this_round.clear();
         }
@@ -125,12 +133,12 @@
         &mut self,
         now: Instant,
         keys: &[Arc<str>],
-        acked: u64,
+        acked_beat: u64,
         requested_at: Instant,
         rows: &[table::Row],
     ) {
         self.apply_rows(now, rows);
-        if !self.is_fresh(acked, rows) {
+        if !self.is_fresh(acked_beat, rows) {
             return;
         }
         let names = keys.iter().filter_map(|key| row::instance(key));
--- a/crates/fescuewell_membership/tests/address.rs
+++ b/crates/fescuewell_membership/tests/address.rs
@@ -1,4 +1,5 @@
-//! Addresses for callers: near, spread, shifted by load, never of an instance that leaves.
+//! Address selection: local zone first, spread by rate, weighted by load, without leaving
+//! instances.
 
 mod common;
 
@@ -13,7 +14,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-fn seen(count: usize) -> Fleet {
+fn started_fleet(count: usize) -> Fleet {
     let mut fleet = Fleet::new(count, &settings());
     fleet.run(Duration::from_secs(5));
     fleet
@@ -28,15 +29,15 @@
     }
 }
 
-fn ask(view: &View, caller: &Caller) -> Response {
+fn request(view: &View, caller: &Caller) -> Response {
     resolve(&Settings::default(), caller, view)
 }
 
 #[test]
 fn the_nearest_zone_comes_first_and_others_stand_by() {
-    let fleet = seen(9);
+    let fleet = started_fleet(9);
 
-    let answer = ask(fleet.members[0].view(), &caller("signwise", 1));
+    let answer = request(fleet.members[0].view(), &caller("signwise", 1));
 
     let zones: Vec<&str> = answer
         .addresses
@@ -50,56 +51,56 @@
 
 #[test]
 fn the_same_view_gives_the_same_answer_on_each_instance() {
-    let fleet = seen(9);
-    let first = ask(fleet.members[0].view(), &caller("signwise", 30));
+    let fleet = started_fleet(9);
+    let first = request(fleet.members[0].view(), &caller("signwise", 30));
 
     for member in &fleet.members {
-        assert_eq!(ask(member.view(), &caller("signwise", 30)), first);
+        assert_eq!(request(member.view(), &caller("signwise", 30)), first);
     }
 }
 
 #[test]
 fn an_account_spreads_over_more_instances_as_its_rate_grows() {
-    let fleet = seen(30);
+    let fleet = started_fleet(30);
     let view = fleet.members[0].view();
 
-    let few = ask(view, &caller("signwise", 10)).addresses;
-    let many = ask(view, &caller("signwise", 150)).addresses;
+    let few = request(view, &caller("signwise", 10)).addresses;
+    let many = request(view, &caller("signwise", 150)).addresses;
 
-    let near = |addresses: &[fescuewell_membership::address::Address]| {
+    let local = |addresses: &[fescuewell_membership::address::Address]| {
         addresses
             .iter()
             .filter(|address| &*address.zone == "a")
             .count()
     };
-    assert_eq!((near(&few), near(&many)), (2, 6));
+    assert_eq!((local(&few), local(&many)), (2, 6));
 }
 
 #[test]
 fn clients_of_a_large_account_are_told_different_parts() {
-    let fleet = seen(60);
+    let fleet = started_fleet(60);
     let view = fleet.members[0].view();
-    let mut told: BTreeMap<_, u32> = BTreeMap::new();
+    let mut counts: BTreeMap<_, u32> = BTreeMap::new();
 
     for client in 0..400 {
         let caller = Caller {
             client: format!("10.0.0.{client}").into(),
             ..caller("signwise", 400)
         };
-        let first = ask(view, &caller).addresses.remove(0);
-        *told.entry(first.address).or_default() += 1;
+        let first = request(view, &caller).addresses.remove(0);
+        *counts.entry(first.address).or_default() += 1;
     }
 
-    assert_eq!(told.len(), 20, "all of the zone's instances carry it");
-    assert!(told.values().all(|count| *count < 60), "{told:?}");
+    assert_eq!(counts.len(), 20, "all instances of the zone are used");
+    assert!(counts.values().all(|count| *count < 60), "{counts:?}");
 }
 
 #[test]
 fn a_busy_instance_gets_less() {
-    // Symptom: a few heavy callers hold one instance at its limit while others idle. Sequence: they
-    // hash to it and ask again when their answer expires. Cause: answers that ignore the load.
-    let mut fleet = seen(9);
-    let before = ask(fleet.members[0].view(), &caller("signwise", 1));
+    // Responses that ignored the load would send a few heavy callers, which hash to one instance,
+    // back to it whenever their addresses expire: it would stay at its limit while others idle.
+    let mut fleet = started_fleet(9);
+    let before = request(fleet.members[0].view(), &caller("signwise", 1));
     let busy = before.addresses[0].address;
     for member in &mut fleet.members {
         if member.own_row().caller_address == busy {
@@ -111,7 +112,7 @@
     }
     fleet.run(Duration::from_secs(4));
 
-    let after = ask(fleet.members[0].view(), &caller("signwise", 1));
+    let after = request(fleet.members[0].view(), &caller("signwise", 1));
 
     let weight = |answer: &Response| {
         let all: u32 = answer
@@ -135,14 +136,14 @@
 
 #[test]
 fn the_loss_of_a_zone_leaves_full_answers() {
-    // Symptom: callers of a lost zone have nowhere to go. Sequence: all instances of a zone stop.
-    let mut fleet = seen(9);
+    // All instances of the caller's zone stop; its callers must still get a full set of addresses.
+    let mut fleet = started_fleet(9);
     for index in [0, 3, 6] {
         fleet.stopped[index] = true;
     }
     fleet.run(Duration::from_secs(10));
 
-    let answer = ask(fleet.members[1].view(), &caller("signwise", 1));
+    let answer = request(fleet.members[1].view(), &caller("signwise", 1));
 
     assert_eq!(answer.addresses.len(), 4);
     assert!(
@@ -155,8 +156,8 @@
 
 #[test]
 fn an_instance_that_leaves_is_not_named_once_it_is_known() {
-    // Symptom: callers are sent to an instance that shuts down. Sequence: members drain, lapse, or are
-    // called leaving by the list, while others beat on.
+    // Members drain, lapse or are listed as leaving while others send heartbeats; callers must not
+    // be sent to an instance that shuts down.
     let config = Config {
         cases: 40,
         failure_persistence: None,
@@ -166,29 +167,33 @@
     let mut runner = TestRunner::new_with_rng(config, rng);
     let kinds = prop::collection::vec(0u8..4, 8);
     let checked = runner.run(&kinds, |kinds| {
-        let mut fleet = seen(9);
+        let mut fleet = started_fleet(9);
         let mut leaving = Vec::new();
         for (index, kind) in (1..).zip(kinds) {
             let now = fleet.now;
             match kind {
                 1 => fleet.members[index].set_state(now, State::Draining),
                 2 => fleet.stopped[index] = true,
-                3 => fleet.tell_list(&[listing(&instance(index), Role::Entry, Listed::Leaving)]),
+                3 => fleet.apply_instance_list(&[listing(
+                    &instance(index),
+                    Role::Entry,
+                    Listed::Leaving,
+                )]),
                 _ => continue,
             }
             leaving.push(fleet.members[index].own_row().caller_address);
         }
         fleet.run(Duration::from_secs(10));
         for account in ["signwise", "reef", "brolga"] {
-            let answer = ask(fleet.members[0].view(), &caller(account, 200));
+            let answer = request(fleet.members[0].view(), &caller(account, 200));
             prop_assert!(!answer.addresses.is_empty());
-            let named = |address: &std::net::SocketAddr| {
+            let is_listed = |address: &std::net::SocketAddr| {
                 answer
                     .addresses
                     .iter()
                     .any(|known| known.address == *address)
             };
-            prop_assert!(!leaving.iter().any(named));
+            prop_assert!(!leaving.iter().any(is_listed));
         }
         Ok(())
     });
@@ -197,13 +202,13 @@
 
 #[test]
 fn a_wrong_suspicion_of_all_does_not_empty_the_answer() {
-    let mut fleet = seen(3);
+    let mut fleet = started_fleet(3);
     let list: Vec<_> = (0..3)
         .map(|index| listing(&instance(index), Role::Entry, Listed::Leaving))
         .collect();
-    fleet.tell_list(&list);
+    fleet.apply_instance_list(&list);
 
-    let answer = ask(fleet.members[0].view(), &caller("signwise", 1));
+    let answer = request(fleet.members[0].view(), &caller("signwise", 1));
 
     assert!(!answer.addresses.is_empty());
 }
--- a/crates/fescuewell_membership/tests/common/mod.rs
+++ b/crates/fescuewell_membership/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! Fixtures: an in-memory table with faults, and a fleet of members that share it in virtual time.
+//! Fixtures: an in-memory table with fault injection, and a fleet of members that share it in
+//! virtual time.
 
 #![allow(dead_code)]
 
@@ -14,7 +15,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-/// What may go wrong with one access.
+/// Fault of one table access.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     None,
@@ -23,23 +24,23 @@
     StaleRead,
 }
 
-/// A table whose past is kept, so that a reading can be as stale as a test wants.
+/// A table that keeps its history, so that reads can be stale.
 #[derive(Debug, Default)]
 pub struct Store {
     pub rows: BTreeMap<Arc<str>, Row>,
-    past: Vec<BTreeMap<Arc<str>, Row>>,
-    /// Keeps no past, where no reading is stale and there are many rows.
-    pub forgets: bool,
+    history: Vec<BTreeMap<Arc<str>, Row>>,
+    /// Skips the history, for fleets with many rows and no stale reads.
+    pub skip_history: bool,
     revision: u64,
     pub reads: u64,
     pub writes: u64,
     pub bytes: u64,
 }
 
-const KEPT_PAST: usize = 40;
+const MAX_HISTORY: usize = 40;
 
 impl Store {
-    pub fn carry_out(&mut self, step: &Step, fault: Fault) -> Reply {
+    pub fn execute(&mut self, step: &Step, fault: Fault) -> Reply {
         let lost = || {
             Reply::Failed(Error::Unknown {
                 reason: "lost".into(),
@@ -66,7 +67,7 @@
     }
 
     fn source(&self, stale: bool) -> &BTreeMap<Arc<str>, Row> {
-        match (stale, self.past.first()) {
+        match (stale, self.history.first()) {
             (true, Some(oldest)) => oldest,
             _ => &self.rows,
         }
@@ -102,23 +103,23 @@
     }
 
     pub fn commit(&mut self, transaction: &Transaction) -> Reply {
-        let held = |key: &Arc<str>| self.rows.get(key).map_or(0, |row| row.revision);
-        let fits = transaction
+        let current = |key: &Arc<str>| self.rows.get(key).map_or(0, |row| row.revision);
+        let is_current = transaction
             .compares
             .iter()
-            .all(|compare| held(&compare.key) == compare.revision);
-        if !fits {
+            .all(|compare| current(&compare.key) == compare.revision);
+        if !is_current {
             let keys = transaction.compares.iter().map(|compare| &compare.key);
             let rows = keys.filter_map(|key| self.rows.get(key).cloned()).collect();
             return Reply::Outcome(Outcome::Conflict { rows });
         }
         self.revision += 1;
         self.writes += 1;
-        if !self.forgets {
-            self.past.push(self.rows.clone());
+        if !self.skip_history {
+            self.history.push(self.rows.clone());
         }
-        if self.past.len() > KEPT_PAST {
-            self.past.remove(0);
+        if self.history.len() > MAX_HISTORY {
+            self.history.remove(0);
         }
         for write in &transaction.writes {
             self.write(write);
@@ -152,14 +153,14 @@
         .sum()
 }
 
-/// Length of one turn of virtual time.
-pub const TURN: Duration = Duration::from_millis(100);
+/// One tick of virtual time.
+pub const TICK: Duration = Duration::from_millis(100);
 
 pub fn instance(index: usize) -> Arc<str> {
     format!("entry-{index:03}").into()
 }
 
-pub fn me(index: usize, incarnation: u64) -> InstanceInfo {
+pub fn info(index: usize, incarnation: u64) -> InstanceInfo {
     let port = |base: usize| format!("127.0.0.1:{}", base + index).parse().unwrap();
     InstanceInfo {
         instance: instance(index),
@@ -179,10 +180,10 @@
     }
 }
 
-/// Decides what goes wrong with an access of the member of that index.
+/// Chooses the fault of a table access by the member with that index.
 pub type Faults = Box<dyn FnMut(usize, &mut SmallRng) -> Fault>;
 
-/// Members in virtual time; a stopped one is neither asked nor told anything.
+/// Members in virtual time. A stopped member neither accesses the table nor receives anything.
 pub struct Fleet {
     pub now: Instant,
     pub store: Store,
@@ -194,7 +195,7 @@
 
 impl Fleet {
     pub fn new(count: usize, settings: &Settings) -> Self {
-        let start = |index| Members::new(settings.clone(), me(index, 1), index as u64 + 1);
+        let start = |index| Members::new(settings.clone(), info(index, 1), index as u64 + 1);
         let mut members: Vec<Members> = (0..count).map(start).collect();
         for member in &mut members {
             member.set_state(Instant::default(), row::State::Ready);
@@ -209,36 +210,36 @@
         }
     }
 
-    pub fn turn(&mut self) {
-        self.now = self.now + TURN;
+    pub fn tick(&mut self) {
+        self.now = self.now + TICK;
         for index in 0..self.members.len() {
             if self.stopped[index] {
                 continue;
             }
-            self.serve(index);
+            self.run_steps(index);
         }
     }
 
-    fn serve(&mut self, index: usize) {
-        const STEPS_A_TURN: usize = 4;
-        for _ in 0..STEPS_A_TURN {
+    fn run_steps(&mut self, index: usize) {
+        const STEPS_PER_TICK: usize = 4;
+        for _ in 0..STEPS_PER_TICK {
             let Some(step) = self.members[index].next_step(self.now) else {
                 return;
             };
             let fault = (self.fault)(index, &mut self.rng);
-            let reply = self.store.carry_out(&step, fault);
+            let reply = self.store.execute(&step, fault);
             self.members[index].reply(self.now, reply);
         }
     }
 
     pub fn run(&mut self, duration: Duration) {
-        let turns = duration.as_millis() / TURN.as_millis();
-        for _ in 0..turns {
-            self.turn();
+        let ticks = duration.as_millis() / TICK.as_millis();
+        for _ in 0..ticks {
+            self.tick();
         }
     }
 
-    pub fn tell_list(&mut self, list: &[Listing]) {
+    pub fn apply_instance_list(&mut self, list: &[Listing]) {
         for (member, stopped) in self.members.iter_mut().zip(&self.stopped) {
             if !stopped {
                 member.apply_instance_list(self.now, list);
--- a/crates/fescuewell_membership/tests/common/network.rs
+++ b/crates/fescuewell_membership/tests/common/network.rs
@@ -1,4 +1,5 @@
-//! Instances that poll, gossip and fetch over links with seeded delays, in virtual time.
+//! A simulated network in virtual time: instances poll, gossip and fetch over links with seeded
+//! delays.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -15,14 +16,15 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use super::{Fault, Store, instance, me};
+use super::{Fault, Store, info, instance};
 
-/// Objects of every document: a root, a directory and a leaf, each known only from the one before.
+/// Names and sizes of the objects of every document: a root, a directory and a leaf, each known
+/// only from the previous one.
 const OBJECTS: [(&str, usize); 3] = [("root", 350), ("directory", 700), ("leaf", 2_000)];
 
-/// A stand-in for the document's assembly, with objects that are named after their version.
+/// Test assembler whose objects are named after their version.
 #[derive(Debug, Default)]
-pub struct Shelf {
+pub struct TestAssembler {
     pub objects: BTreeSet<Arc<str>>,
     version: u128,
     pub unreadable: BTreeSet<u128>,
@@ -32,13 +34,13 @@
     format!("{version}-{}", OBJECTS[part].0).into()
 }
 
-/// Content of the object of that name.
+/// Content of the object with that name.
 pub fn bytes(name: &str) -> Vec<u8> {
     let part = OBJECTS.iter().find(|(part, _)| name.ends_with(part));
     vec![0; part.map_or(0, |(_, size)| *size)]
 }
 
-impl Assembler for Shelf {
+impl Assembler for TestAssembler {
     fn head(&self, row: &Row) -> Result<Head, Rejection> {
         let text = std::str::from_utf8(&row.value).map_err(|_| Rejection::Unreadable)?;
         let version: u64 = text.parse().map_err(|_| Rejection::Unreadable)?;
@@ -77,20 +79,20 @@
     }
 }
 
-/// One instance without its router.
+/// One instance, without its router.
 pub struct Node {
     pub members: Members,
     pub gossip: Gossip,
     pub propagation: Propagation,
-    pub shelf: Shelf,
-    pub keeper: Assigner,
+    pub assembler: TestAssembler,
+    pub assigner: Assigner,
     pub region: usize,
     pub zone: Arc<str>,
     pub sent: u64,
     pub received: u64,
     pub object_bytes: u64,
     pub applied: Vec<Version>,
-    keeper_due: Instant,
+    next_assign_at: Instant,
 }
 
 enum Event {
@@ -100,7 +102,7 @@
         message: Message,
     },
     TableReply {
-        head: bool,
+        is_head: bool,
         reply: Reply,
     },
     Object {
@@ -112,11 +114,11 @@
 
 /// Which links and services work.
 pub struct Faults {
-    /// Whether this instance reaches the table and the object store.
+    /// Whether the instance reaches the table and the object store.
     pub store: Box<dyn Fn(usize) -> bool>,
-    /// Whether these two reach each other.
+    /// Whether the two instances reach each other.
     pub peers: Box<dyn Fn(usize, usize) -> bool>,
-    /// How much of what the table answers is stale, in percent.
+    /// Percentage of table replies that are stale.
     pub stale_percent: u32,
 }
 
@@ -135,37 +137,37 @@
     rng: SmallRng,
 }
 
-/// Slots of request ids.
+/// Number of slots of request ids.
 pub const SLOTS: u16 = 64;
-const KEEP: Duration = Duration::from_millis(500);
-/// In a fleet of hundreds, so that the simulation does not spend its time there.
-const LARGE_FLEET_KEEP: Duration = Duration::from_secs(5);
+const ASSIGN_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval in a fleet of hundreds, which keeps the simulation fast.
+const LARGE_FLEET_ASSIGN_INTERVAL: Duration = Duration::from_secs(5);
 const LARGE_FLEET: usize = 100;
-const WAKE: Duration = Duration::from_millis(50);
-/// Bytes around a message: UDP and IP headers, QUIC header and tag.
-pub const PACKET_BYTES: usize = 60;
+const WAKE_INTERVAL: Duration = Duration::from_millis(50);
+/// Overhead per message: UDP and IP headers, QUIC header and tag.
+pub const PACKET_OVERHEAD_BYTES: usize = 60;
 
 impl Network {
     pub fn new(count: usize, regions: usize, seed: u64) -> Self {
         let size = count as u32;
         let node = |index: usize| {
-            let mut own = me(index, 1);
+            let mut own = info(index, 1);
             let region = index % regions;
             own.zone = format!("{region}{}", ["a", "b", "c"][index / regions % 3]).into();
             let seed = seed + index as u64 * 3;
             let settings = gossip::Settings::sized(size);
             Node {
                 zone: own.zone.clone(),
-                keeper: Assigner::new(own.instance.clone(), SLOTS, Duration::from_secs(3)),
+                assigner: Assigner::new(own.instance.clone(), SLOTS, Duration::from_secs(3)),
                 gossip: Gossip::new(settings, own.instance.clone(), own.zone.clone(), seed),
                 members: Members::new(Settings::sized(size), own, seed + 1),
                 propagation: Propagation::new(propagate::Settings::sized(size), seed + 2),
-                shelf: Shelf::default(),
+                assembler: TestAssembler::default(),
                 region,
                 sent: 0,
                 received: 0,
                 object_bytes: 0,
-                keeper_due: Instant::default(),
+                next_assign_at: Instant::default(),
                 applied: Vec::new(),
             }
         };
@@ -208,12 +210,12 @@
         self.run_while(end, |_| true);
     }
 
-    /// Runs until `end`, or until `going` is no longer so; looks after each event.
-    pub fn run_while<Going>(&mut self, end: Instant, going: Going)
+    /// Runs until `end` or until `condition` is false, which is checked before each event.
+    pub fn run_while<Condition>(&mut self, end: Instant, condition: Condition)
     where
-        Going: Fn(&Self) -> bool,
+        Condition: Fn(&Self) -> bool,
     {
-        while going(self) {
+        while condition(self) {
             let Some(Reverse((at, ..))) = self.events.peek() else {
                 return;
             };
@@ -222,7 +224,7 @@
             }
             self.step();
         }
-        if going(self) {
+        if condition(self) {
             self.now = end;
         }
     }
@@ -237,9 +239,9 @@
             return;
         }
         match self.payloads.remove(&sequence) {
-            Some(Event::Wake) => self.schedule(WAKE, index, Event::Wake),
-            Some(Event::Message { from, message }) => self.take_message(index, from, message),
-            Some(Event::TableReply { head, reply }) => self.take_reply(index, head, reply),
+            Some(Event::Wake) => self.schedule(WAKE_INTERVAL, index, Event::Wake),
+            Some(Event::Message { from, message }) => self.handle_message(index, from, message),
+            Some(Event::TableReply { is_head, reply }) => self.handle_reply(index, is_head, reply),
             Some(Event::Object {
                 name,
                 content,
@@ -249,77 +251,78 @@
                 let content = content.as_deref();
                 node.object_bytes += content.map_or(0, <[u8]>::len) as u64;
                 node.propagation
-                    .supply(at, &name, content, from, &mut node.shelf);
+                    .supply(at, &name, content, from, &mut node.assembler);
             }
             None => {}
         }
-        self.act(index);
+        self.poll(index);
     }
 
-    fn take_message(&mut self, index: usize, from: usize, message: Message) {
+    fn handle_message(&mut self, index: usize, from: usize, message: Message) {
         let now = self.now;
-        let near = self.nodes[from].zone == self.nodes[index].zone;
+        let is_local = self.nodes[from].zone == self.nodes[index].zone;
         let from = instance(from);
         let node = &mut self.nodes[index];
         node.members.record_peer_response(now, &from);
-        let heard = node.gossip.receive(now, &from, message);
-        if let Some(head) = heard.head {
+        let received = node.gossip.receive(now, &from, message);
+        if let Some(head) = received.head {
             node.propagation
-                .record_peer_head(now, &from, near, head, &mut node.shelf);
+                .record_peer_head(now, &from, is_local, head, &mut node.assembler);
         }
-        for update in heard.updates {
+        for update in received.updates {
             node.members.apply_update(now, update);
         }
     }
 
-    fn take_reply(&mut self, index: usize, head: bool, reply: Reply) {
+    fn handle_reply(&mut self, index: usize, is_head: bool, reply: Reply) {
         let now = self.now;
         let node = &mut self.nodes[index];
-        match head {
-            true => node.propagation.reply(now, reply, &mut node.shelf),
+        match is_head {
+            true => node.propagation.reply(now, reply, &mut node.assembler),
             false => node.members.reply(now, reply),
         }
     }
 
-    fn act(&mut self, index: usize) {
+    fn poll(&mut self, index: usize) {
         let now = self.now;
-        let keep = if self.nodes.len() < LARGE_FLEET {
-            KEEP
+        let assign_interval = if self.nodes.len() < LARGE_FLEET {
+            ASSIGN_INTERVAL
         } else {
-            LARGE_FLEET_KEEP
+            LARGE_FLEET_ASSIGN_INTERVAL
         };
         if let Some(step) = self.nodes[index].members.next_step(now) {
-            self.ask_table(index, false, &step);
+            self.access_table(index, false, &step);
         }
         if let Some(step) = self.nodes[index].propagation.next_step(now) {
-            self.ask_table(index, true, &step);
+            self.access_table(index, true, &step);
         }
         let node = &mut self.nodes[index];
         if let Some(head) = node.propagation.take_complete() {
-            node.propagation.mark_applied(now, head, &mut node.shelf);
+            node.propagation
+                .mark_applied(now, head, &mut node.assembler);
             node.applied.push(head.version);
             node.gossip.set_head(head);
             node.members.set_version(head.version);
             node.members.set_state(now, State::Ready);
         }
-        if now >= node.keeper_due {
-            node.keeper_due = now + keep;
-            node.keeper.update(now, node.members.view());
-            node.members.set_watch(node.keeper.watch().clone());
+        if now >= node.next_assign_at {
+            node.next_assign_at = now + assign_interval;
+            node.assigner.update(now, node.members.view());
+            node.members.set_watch(node.assigner.watch().clone());
         }
-        let wants = node.propagation.next_fetches(now, &mut node.shelf);
+        let fetches = node.propagation.next_fetches(now, &mut node.assembler);
         let updates = node.members.take_updates();
         node.gossip.broadcast(now, updates);
         let outgoing = node.gossip.take_outgoing(now, node.members.view());
-        for want in wants {
-            self.fetch(index, want.name, want.from);
+        for request in fetches {
+            self.fetch(index, request.name, request.from);
         }
         for outgoing in outgoing {
             self.send(index, &outgoing.to, outgoing.message);
         }
     }
 
-    fn ask_table(&mut self, index: usize, head: bool, step: &Step) {
+    fn access_table(&mut self, index: usize, is_head: bool, step: &Step) {
         let stale = self.rng.random_range(0..100) < self.faults.stale_percent;
         let fault = match ((self.faults.store)(index), stale) {
             (false, _) => Fault::Unreachable,
@@ -327,30 +330,30 @@
             (true, false) => Fault::None,
         };
         let before = self.store.bytes;
-        let reply = self.store.carry_out(step, fault);
+        let reply = self.store.execute(step, fault);
         self.nodes[index].received += self.store.bytes - before;
         let delay = Duration::from_micros(self.rng.random_range(3_000..12_000));
-        self.schedule(delay, index, Event::TableReply { head, reply });
+        self.schedule(delay, index, Event::TableReply { is_head, reply });
     }
 
     fn fetch(&mut self, index: usize, name: Arc<str>, from: Source) {
         let (content, delay) = match &from {
             Source::Store => {
                 self.object_reads += 1;
-                let there = (self.faults.store)(index) && self.objects.contains(&name);
+                let exists = (self.faults.store)(index) && self.objects.contains(&name);
                 let delay = Duration::from_micros(self.rng.random_range(10_000..40_000));
-                (there.then(|| bytes(&name)), delay)
+                (exists.then(|| bytes(&name)), delay)
             }
             Source::Peer(peer) => {
                 let peer = self.index[peer];
-                let there = self.nodes[peer].shelf.objects.contains(&name);
-                let there = there && !self.stopped.contains(&peer);
-                let reached = (self.faults.peers)(index, peer);
-                if there && reached {
+                let exists = self.nodes[peer].assembler.objects.contains(&name);
+                let exists = exists && !self.stopped.contains(&peer);
+                let is_reachable = (self.faults.peers)(index, peer);
+                if exists && is_reachable {
                     self.nodes[peer].object_bytes += bytes(&name).len() as u64;
                 }
                 (
-                    (there && reached).then(|| bytes(&name)),
+                    (exists && is_reachable).then(|| bytes(&name)),
                     self.delay(index, peer) * 2,
                 )
             }
@@ -367,7 +370,7 @@
     }
 
     fn send(&mut self, index: usize, to: &Arc<str>, message: Message) {
-        let size = encoded(&message) + PACKET_BYTES;
+        let size = encoded_len(&message) + PACKET_OVERHEAD_BYTES;
         self.nodes[index].sent += size as u64;
         let to = self.index[to];
         if !(self.faults.peers)(index, to) {
@@ -382,10 +385,14 @@
         self.schedule(delay, to, event);
     }
 
-    /// One way: 0.3 to 1.5 ms within a region, 30 to 90 ms between regions.
+    /// One-way delay: 0.3 to 1.5 ms within a region, 30 to 90 ms between regions.
     fn delay(&mut self, from: usize, to: usize) -> Duration {
-        let near = self.nodes[from].region == self.nodes[to].region;
-        let range = if near { 300..1_500 } else { 30_000..90_000 };
+        let same_region = self.nodes[from].region == self.nodes[to].region;
+        let range = if same_region {
+            300..1_500
+        } else {
+            30_000..90_000
+        };
         Duration::from_micros(self.rng.random_range(range))
     }
 
@@ -407,6 +414,6 @@
     }
 }
 
-pub fn encoded(message: &Message) -> usize {
+pub fn encoded_len(message: &Message) -> usize {
     postcard::to_allocvec(message).unwrap().len()
 }
--- a/crates/fescuewell_membership/tests/member.rs
+++ b/crates/fescuewell_membership/tests/member.rs
@@ -1,4 +1,4 @@
-//! Heartbeats, lapse, termination and isolation, with members that share a faulty table.
+//! Heartbeats, lapse, termination and isolation of members that share a faulty table.
 
 mod common;
 
@@ -14,17 +14,17 @@
 use fescuewell_membership::update::Update;
 use rand::Rng;
 
-/// Goes on until that member asks to write that row; the step is left to the caller.
+/// Advances until the member commits to that row, and returns the step without executing it.
 fn next_commit_to(fleet: &mut Fleet, index: usize, key: &str) -> Step {
     loop {
-        fleet.now = fleet.now + TURN;
+        fleet.now = fleet.now + TICK;
         let Some(step) = fleet.members[index].next_step(fleet.now) else {
             continue;
         };
         if matches!(&step, Step::Commit(transaction) if &*transaction.compares[0].key == key) {
             return step;
         }
-        let reply = fleet.store.carry_out(&step, Fault::None);
+        let reply = fleet.store.execute(&step, Fault::None);
         fleet.members[index].reply(fleet.now, reply);
     }
 }
@@ -48,8 +48,8 @@
 
 #[test]
 fn silence_lapses_and_a_return_is_seen() {
-    // Symptom: a paused instance keeps its slots for ever, or loses them for ever. Sequence: it is
-    // stopped for longer than the lease and then goes on. Cause: its heartbeat stands still.
+    // An instance paused for longer than the lease must lose its slots, and be seen again once it
+    // resumes.
     let mut fleet = Fleet::new(3, &settings());
     fleet.run(seconds(5));
     let holder = fleet.holder(2);
@@ -58,13 +58,13 @@
     fleet.run(seconds(4));
     assert!(
         fleet.members[0].view().lapsed.is_empty(),
-        "before the lease is over"
+        "lapsed before the lease ended"
     );
     fleet.run(seconds(5));
     assert!(fleet.members[0].view().lapsed.contains(&holder));
     assert!(
         fleet.members[0].view().terminated.is_empty(),
-        "a lapse frees nothing"
+        "a lapse alone must not terminate"
     );
     fleet.stopped[2] = false;
     fleet.run(seconds(3));
@@ -75,8 +75,8 @@
 
 #[test]
 fn an_outage_of_the_table_lapses_nobody() {
-    // Symptom: all slots change hands when the table comes back. Sequence: the table is down for an
-    // hour, so nobody's heartbeat changes. Cause: the outage was counted as everybody's silence.
+    // No heartbeat changes during a table outage of an hour. If the outage counted as silence, all
+    // slots would change hands when the table comes back.
     let mut fleet = Fleet::new(9, &settings());
     fleet.run(seconds(5));
 
@@ -85,7 +85,7 @@
     fleet.fault = Box::new(|_, _| Fault::None);
 
     for _ in 0..100 {
-        fleet.turn();
+        fleet.tick();
         for member in &fleet.members {
             assert!(member.view().lapsed.is_empty());
         }
@@ -94,13 +94,13 @@
 
 #[test]
 fn an_outage_of_writes_alone_lapses_nobody() {
-    // Symptom: mutual lapse while the table serves reads. Sequence: the table refuses writes for a
-    // minute. Cause: readings succeed and show heartbeats that stand still, for a reason of the table's.
+    // The table refuses writes but serves reads for a minute, so fresh reads show unchanged
+    // heartbeats. Members must not lapse each other for that.
     let mut fleet = Fleet::new(5, &settings());
     fleet.run(seconds(5));
 
     for _ in 0..600 {
-        fleet.now = fleet.now + TURN;
+        fleet.now = fleet.now + TICK;
         for index in 0..fleet.members.len() {
             let Some(step) = fleet.members[index].next_step(fleet.now) else {
                 continue;
@@ -111,7 +111,7 @@
             } else {
                 Fault::None
             };
-            let reply = fleet.store.carry_out(&step, fault);
+            let reply = fleet.store.execute(&step, fault);
             fleet.members[index].reply(fleet.now, reply);
         }
         for member in &fleet.members {
@@ -122,8 +122,9 @@
 
 #[test]
 fn an_observer_that_was_paused_lapses_nobody() {
-    // Symptom: an instance takes over everything when it wakes. Sequence: it is stopped; meanwhile the
-    // others cannot write, since the table is down until just before it wakes. Cause: it took its own absence for silence.
+    // An observer is paused while the others cannot write, since the table is down until just
+    // before it resumes. If it counted its own absence as their silence, it would take over
+    // everything.
     let mut fleet = Fleet::new(3, &settings());
     fleet.run(seconds(5));
 
@@ -139,8 +140,8 @@
 
 #[test]
 fn stale_readings_lapse_nobody_and_turn_nothing_back() {
-    // Symptom: a live member lapses, or a draining one is named to callers again. Sequence: a lagging
-    // replica answers with rows from before. Cause: an old row was taken for the present one.
+    // A lagging replica returns old rows. Taken for current, they would lapse a live member or
+    // advertise a draining one to callers again.
     let mut fleet = Fleet::new(3, &settings());
     fleet.run(seconds(10));
     let now = fleet.now;
@@ -155,7 +156,7 @@
         }
     });
     for _ in 0..300 {
-        fleet.turn();
+        fleet.tick();
         let view = fleet.members[0].view();
         assert!(view.lapsed.is_empty());
         assert_eq!(view.peer(&instance(2)).unwrap().state, State::Draining);
@@ -176,7 +177,7 @@
     let silent = fleet.holder(5);
 
     for _ in 0..3_000 {
-        fleet.turn();
+        fleet.tick();
         for member in &fleet.members[..5] {
             assert!(member.view().lapsed.iter().all(|holder| *holder == silent));
         }
@@ -190,8 +191,9 @@
 
 #[test]
 fn only_a_later_heartbeat_refutes_a_suspicion() {
-    // Symptom: a crashed member is named to callers again. Sequence: its watchers tell that it stands
-    // still; an instance that knew an older heartbeat reads the last one. Cause: taken for a new one.
+    // A watcher reports a crashed member as silent; an instance that knew an older heartbeat then
+    // reads the last one. Taken for a new one, it would put the crashed member back into responses
+    // to callers.
     let mut fleet = Fleet::new(2, &settings());
     fleet.run(seconds(5));
     fleet.stopped = vec![true, false];
@@ -208,11 +210,11 @@
         beat,
     };
     fleet.members[0].apply_update(now, report);
-    assert!(is_suspected(&fleet), "told by its watcher");
+    assert!(is_suspected(&fleet), "suspected by its watcher");
     fleet.run(seconds(2));
     assert!(
         fleet.members[0].view().peer(&instance(1)).is_none(),
-        "confirmed by an own reading"
+        "confirmed by a read of its own"
     );
     fleet.stopped[1] = false;
     fleet.run(seconds(3));
@@ -227,13 +229,13 @@
 
 #[test]
 fn a_newer_incarnation_wins() {
-    // Symptom: two processes of one name write over each other's row. Sequence: the first is stopped,
-    // a second one starts under its name, the first goes on. Cause: writes without a condition.
+    // A process is paused, a second one starts under its name, then the first resumes. With
+    // unconditional writes, the two would overwrite each other's row.
     let mut fleet = Fleet::new(2, &settings());
     fleet.run(seconds(5));
     fleet.stopped[0] = true;
     fleet.run(seconds(1));
-    let mut second = Members::new(settings(), me(0, 2), 99);
+    let mut second = Members::new(settings(), info(0, 2), 99);
     second.set_state(fleet.now, State::Ready);
     fleet.members.push(second);
     fleet.stopped.push(false);
@@ -262,7 +264,7 @@
         };
         let mut fleet = Fleet::new(2, &settings);
         fleet.run(seconds(5));
-        fleet.members[0] = Members::new(settings, me(0, 2), 99);
+        fleet.members[0] = Members::new(settings, info(0, 2), 99);
         fleet.run(seconds(5));
 
         let first = row::holder(&instance(0), Incarnation(1));
@@ -276,16 +278,19 @@
 
 #[test]
 fn the_list_ends_nobody_who_beats_and_no_one_too_early() {
-    // Symptom: allowances of a running process are freed. Sequence: an instance is replaced under its
-    // name; the list still says "terminated" about its predecessor. Cause: the list's lag.
+    // An instance is replaced under its name while the lagging list still says "terminated" for its
+    // predecessor. Trusting that would free the allowances of a running process.
     let mut fleet = Fleet::new(2, &settings());
     fleet.run(seconds(5));
     let holder = fleet.holder(1);
     let list = [listing(&instance(1), Role::Entry, Listed::Terminated)];
 
     fleet.run(seconds(120));
-    fleet.tell_list(&list);
-    assert!(fleet.members[0].view().terminated.is_empty(), "it beats");
+    fleet.apply_instance_list(&list);
+    assert!(
+        fleet.members[0].view().terminated.is_empty(),
+        "it still sends heartbeats"
+    );
     fleet.stopped[1] = true;
     fleet.run(seconds(8));
 
@@ -301,11 +306,11 @@
     let list = [listing(&instance(1), Role::Entry, Listed::Terminated)];
 
     fleet.run(seconds(20));
-    fleet.tell_list(&list);
+    fleet.apply_instance_list(&list);
     assert!(fleet.members[0].view().terminated.is_empty());
     assert!(fleet.members[0].view().lapsed.contains(&holder));
     fleet.run(seconds(60));
-    fleet.tell_list(&list);
+    fleet.apply_instance_list(&list);
 
     assert!(fleet.members[0].view().terminated.contains(&holder));
 }
@@ -339,18 +344,18 @@
     };
     let mut fleet = Fleet::new(2, &settings);
     fleet.run(seconds(5));
-    fleet.members[0] = Members::new(settings, me(0, 2), 99);
+    fleet.members[0] = Members::new(settings, info(0, 2), 99);
     fleet.run(seconds(5));
     let first = row::holder(&instance(0), Incarnation(1));
 
     fleet.members[1].mark_settled(&first);
-    let strike = next_commit_to(&mut fleet, 1, &row::key(&instance(0)));
+    let settlement = next_commit_to(&mut fleet, 1, &row::key(&instance(0)));
     fleet.stopped[1] = true;
     fleet.run(seconds(2));
-    let reply = fleet.store.carry_out(&strike, Fault::None);
+    let reply = fleet.store.execute(&settlement, Fault::None);
     assert!(
         matches!(reply, Reply::Outcome(Outcome::Conflict { .. })),
-        "it beat meanwhile"
+        "its heartbeat changed the row meanwhile"
     );
     let now = fleet.now;
     fleet.members[1].reply(now, reply);
@@ -367,15 +372,15 @@
 
 #[test]
 fn a_farewell_counts_only_once_it_is_written() {
-    // Symptom: a process ends without a farewell and its allowances stay charged. Sequence: the state
-    // advances while a heartbeat is under way. Cause: the reply was taken for the new state's.
+    // The state advances while a heartbeat is in flight. If its reply counted for the new state,
+    // the process would end without a farewell and leave its allowances charged.
     let mut fleet = Fleet::new(1, &settings());
     fleet.run(seconds(5));
     let step = next_commit_to(&mut fleet, 0, &row::key(&instance(0)));
     let now = fleet.now;
 
     fleet.members[0].set_state(now, State::Gone);
-    let reply = fleet.store.carry_out(&step, Fault::None);
+    let reply = fleet.store.execute(&step, Fault::None);
     fleet.members[0].reply(now, reply);
 
     assert!(!fleet.members[0].is_published(State::Gone));
@@ -385,11 +390,12 @@
 
 #[test]
 fn a_row_stays_until_all_its_incarnations_are_settled() {
-    // Symptom: an allowance stays charged for ever. Sequence: an instance is killed, restarts and says
-    // farewell; the farewell is settled and its row removed. Cause: the row named the killed one too.
+    // An instance is killed, restarts and publishes its farewell. If settling the farewell removed
+    // the row, which also names the killed incarnation, that one's allowances would stay charged
+    // forever.
     let mut fleet = Fleet::new(2, &settings());
     fleet.run(seconds(5));
-    fleet.members[1] = Members::new(settings(), me(1, 2), 9);
+    fleet.members[1] = Members::new(settings(), info(1, 2), 9);
     fleet.run(seconds(5));
     let now = fleet.now;
     fleet.members[1].set_state(now, State::Gone);
@@ -401,7 +407,7 @@
     fleet.run(seconds(3));
     assert!(fleet.members[0].view().lapsed.contains(&holders[0]));
     assert!(fleet.store.rows.contains_key(&row::key(&instance(1))));
-    fleet.tell_list(&list);
+    fleet.apply_instance_list(&list);
     assert!(fleet.members[0].view().terminated.contains(&holders[0]));
     assert!(!fleet.members[0].view().terminated.contains(&holders[1]));
     fleet.members[0].mark_settled(&holders[0]);
@@ -412,8 +418,8 @@
 
 #[test]
 fn a_process_whose_row_was_removed_stops() {
-    // Symptom: an instance that was declared ended goes on spending. Sequence: it is cut off, its
-    // streams are settled, its row is removed, it comes back. Cause: it would write a new row.
+    // An instance is cut off, its streams are settled and its row is removed. If it came back and
+    // wrote a new row, it would spend although it was declared ended.
     let mut fleet = Fleet::new(1, &settings());
     fleet.run(seconds(5));
     fleet.store.rows.clear();
@@ -426,15 +432,16 @@
 
 #[test]
 fn isolation_needs_both_silences() {
-    // Symptom: false refusals in an outage of the store, or an old document served for ever by an
-    // instance that is cut off. Sequence: the table goes silent, later the peers too.
+    // The table goes silent first and the peers later. Isolation by the table alone would refuse
+    // requests in every store outage; without isolation, an instance that is cut off would serve an
+    // old document forever.
     let mut fleet = Fleet::new(2, &settings());
     fleet.run(seconds(5));
     fleet.fault = Box::new(|_, _| Fault::Unreachable);
     for _ in 0..1_200 {
         let now = fleet.now;
         fleet.members[0].record_peer_response(now, &instance(1));
-        fleet.turn();
+        fleet.tick();
         assert!(!fleet.members[0].view().isolated);
     }
 
@@ -448,9 +455,9 @@
 
 #[test]
 fn a_leaving_server_is_known_at_once_and_outlasts_the_lists_lag() {
-    // Symptom: work goes to a backend server that said it leaves. Sequence: it refuses with "leaving";
-    // a list from before still calls it live. Cause: the list lags.
-    let mut member = Members::new(settings(), me(0, 1), 1);
+    // A server refuses with "leaving", but an older list still says "live". Trusting the lagging
+    // list would send work to the server.
+    let mut member = Members::new(settings(), info(0, 1), 1);
     let at = Instant::from_millis;
     let live = [listing("engine-1", Role::Engine, Listed::Live)];
     member.mark_server_leaving(at(1_000), "engine-1");
--- a/crates/fescuewell_membership/tests/slots.rs
+++ b/crates/fescuewell_membership/tests/slots.rs
@@ -1,4 +1,4 @@
-//! Slot assignment: balance, few moves, no flapping, one wanted owner in the end.
+//! Slot assignment: balanced, stable, resistant to flapping, and converging to one owner per slot.
 
 mod common;
 
@@ -63,14 +63,14 @@
 fn a_member_that_goes_moves_little_more_than_its_own_slots() {
     let all = candidates(9);
     let before = assign(SLOTS, &all);
-    for gone in 0..9 {
+    for removed in 0..9 {
         let mut rest = all.clone();
-        rest.remove(gone);
+        rest.remove(removed);
 
         let after = assign(SLOTS, &rest);
 
-        let own = before.slots_of(&instance(gone)).len();
-        assert!(moved(&before, &after) <= 3 * own, "{gone}");
+        let own = before.slots_of(&instance(removed)).len();
+        assert!(moved(&before, &after) <= 3 * own, "{removed}");
     }
 }
 
@@ -82,28 +82,28 @@
     assert_eq!(assign(SLOTS, &reversed), assign(SLOTS, &candidates(9)));
 }
 
-fn keepers(count: usize) -> Vec<Assigner> {
-    let settle = Duration::from_secs(3);
-    let keeper = |index| Assigner::new(instance(index), SLOTS, settle);
-    (0..count).map(keeper).collect()
+fn assigners(count: usize) -> Vec<Assigner> {
+    let settle_time = Duration::from_secs(3);
+    let assigner = |index| Assigner::new(instance(index), SLOTS, settle_time);
+    (0..count).map(assigner).collect()
 }
 
-fn turn(fleet: &mut Fleet, keepers: &mut [Assigner]) {
-    fleet.turn();
-    for (index, keeper) in keepers.iter_mut().enumerate() {
+fn tick(fleet: &mut Fleet, assigners: &mut [Assigner]) {
+    fleet.tick();
+    for (index, assigner) in assigners.iter_mut().enumerate() {
         if fleet.stopped[index] {
             continue;
         }
         let now = fleet.now;
-        keeper.update(now, fleet.members[index].view());
-        fleet.members[index].set_watch(keeper.watch().clone());
+        assigner.update(now, fleet.members[index].view());
+        fleet.members[index].set_watch(assigner.watch().clone());
     }
 }
 
 #[test]
 fn wishes_converge_to_one_owner_for_each_slot_after_any_faults() {
     let mut fleet = Fleet::new(9, &settings());
-    let mut keepers = keepers(9);
+    let mut assigners = assigners(9);
     fleet.fault = Box::new(|_, rng| match rng.random_range(0..10) {
         0 => Fault::Unreachable,
         1 => Fault::LostReply,
@@ -114,43 +114,43 @@
         fleet.stopped[round % 9] = true;
         fleet.stopped[(round * 5 + 2) % 9] = false;
         for _ in 0..60 {
-            turn(&mut fleet, &mut keepers);
+            tick(&mut fleet, &mut assigners);
         }
     }
 
     fleet.fault = Box::new(|_, _| Fault::None);
     for _ in 0..900 {
-        turn(&mut fleet, &mut keepers);
+        tick(&mut fleet, &mut assigners);
     }
 
     let running: Vec<usize> = (0..9).filter(|index| !fleet.stopped[*index]).collect();
-    assert!(running.len() < 9, "somebody is stopped for good");
+    assert!(running.len() < 9, "at least one instance stays stopped");
     for slot in (0..SLOTS).map(SlotKey) {
         let wanting = running
             .iter()
-            .filter(|index| keepers[**index].own_slots().contains(&slot));
+            .filter(|index| assigners[**index].own_slots().contains(&slot));
         assert_eq!(wanting.count(), 1, "{slot:?}");
     }
 }
 
 #[test]
 fn a_flapping_member_moves_slots_ever_less_often() {
-    // Symptom: slots change hands every few seconds. Sequence: a member is stopped for longer than its
-    // lease and goes on, again and again. Cause: it gets its slots back as soon as it is seen.
+    // A member pauses for longer than its lease and resumes, repeatedly. If it got its slots back
+    // as soon as it was seen, they would change hands every few seconds.
     let mut fleet = Fleet::new(6, &settings());
-    let mut keepers = keepers(6);
+    let mut assigners = assigners(6);
     for _ in 0..100 {
-        turn(&mut fleet, &mut keepers);
+        tick(&mut fleet, &mut assigners);
     }
     let mut changes = 0;
-    let mut last = keepers[0].assignment().clone();
+    let mut last = assigners[0].assignment().clone();
 
     for flap in 0..24 {
         fleet.stopped[5] = flap % 2 == 0;
         for _ in 0..120 {
-            turn(&mut fleet, &mut keepers);
-            changes += usize::from(*keepers[0].assignment() != last);
-            last.clone_from(keepers[0].assignment());
+            tick(&mut fleet, &mut assigners);
+            changes += usize::from(*assigners[0].assignment() != last);
+            last.clone_from(assigners[0].assignment());
         }
     }
 
@@ -160,21 +160,21 @@
 #[test]
 fn a_restart_under_the_same_name_keeps_its_slots() {
     let mut fleet = Fleet::new(6, &settings());
-    let mut keepers = keepers(6);
+    let mut assigners = assigners(6);
     for _ in 0..100 {
-        turn(&mut fleet, &mut keepers);
+        tick(&mut fleet, &mut assigners);
     }
-    let before = keepers[0].assignment().clone();
+    let before = assigners[0].assignment().clone();
 
-    fleet.members[5] = fescuewell_membership::member::Members::new(settings(), me(5, 2), 50);
+    fleet.members[5] = fescuewell_membership::member::Members::new(settings(), info(5, 2), 50);
     for _ in 0..20 {
-        turn(&mut fleet, &mut keepers);
+        tick(&mut fleet, &mut assigners);
     }
     let now = fleet.now;
     fleet.members[5].set_state(now, fescuewell_membership::row::State::Ready);
     for _ in 0..100 {
-        turn(&mut fleet, &mut keepers);
-        assert_eq!(*keepers[0].assignment(), before);
+        tick(&mut fleet, &mut assigners);
+        assert_eq!(*assigners[0].assignment(), before);
     }
 }
 
@@ -182,25 +182,28 @@
 fn owners_are_watched_by_those_that_would_follow() {
     const COUNT: usize = 24;
     let mut fleet = Fleet::new(COUNT, &settings());
-    let mut keepers = keepers(COUNT);
+    let mut assigners = assigners(COUNT);
     for _ in 0..90 {
-        turn(&mut fleet, &mut keepers);
+        tick(&mut fleet, &mut assigners);
     }
     let mut watched = 0;
 
     for slot in (0..SLOTS).map(SlotKey) {
-        let owner = keepers[0]
+        let owner = assigners[0]
             .assignment()
             .owner(slot)
             .expect("an owner")
             .clone();
         let mut rest = candidates(COUNT);
         rest.retain(|candidate| candidate.instance != owner);
-        let heir = assign(SLOTS, &rest).owner(slot).expect("an heir").clone();
-        let keeper = (0..COUNT)
-            .find(|index| instance(*index) == heir)
+        let successor = assign(SLOTS, &rest)
+            .owner(slot)
+            .expect("a successor")
+            .clone();
+        let assigner = (0..COUNT)
+            .find(|index| instance(*index) == successor)
             .expect("known");
-        watched += usize::from(keepers[keeper].watch().contains(&owner));
+        watched += usize::from(assigners[assigner].watch().contains(&owner));
     }
 
     assert_eq!(watched, SLOTS as usize);
@@ -209,9 +212,9 @@
 #[test]
 fn a_suspected_owner_is_watched_and_its_slots_are_wished_elsewhere() {
     let mut fleet = Fleet::new(9, &settings());
-    let mut keepers = keepers(9);
+    let mut assigners = assigners(9);
     for _ in 0..100 {
-        turn(&mut fleet, &mut keepers);
+        tick(&mut fleet, &mut assigners);
     }
     let left = fleet.now;
     fleet.stopped[4] = true;
@@ -229,14 +232,14 @@
         );
     }
 
-    let before = keepers[0].assignment().slots_of(&instance(4));
+    let before = assigners[0].assignment().slots_of(&instance(4));
     for _ in 0..2 {
-        keepers[0].update(left, fleet.members[0].view());
+        assigners[0].update(left, fleet.members[0].view());
     }
 
     assert!(
-        keepers[0].watch().contains(&instance(4)),
-        "to confirm it soon"
+        assigners[0].watch().contains(&instance(4)),
+        "watched, so that the suspicion is confirmed soon"
     );
-    assert!(!before.is_empty() && keepers[0].assignment().slots_of(&instance(4)).is_empty());
+    assert!(!before.is_empty() && assigners[0].assignment().slots_of(&instance(4)).is_empty());
 }
