--- a/crates/fescuewell_membership/src/propagate.rs
+++ b/crates/fescuewell_membership/src/propagate.rs
@@ -89,7 +89,7 @@
     }
 }
 
-/// Head polls per second of the whole fleet.
+/// Maximum head polls per second of the whole fleet.
 const FLEET_POLLS_PER_S: f64 = 425.0;
 /// Minimum time between two polls.
 const MIN_POLL_INTERVAL_S: f64 = 1.0;
--- a/crates/fescuewell_membership/src/settings.rs
+++ b/crates/fescuewell_membership/src/settings.rs
@@ -36,9 +36,9 @@
 
 /// Minimum time between two heartbeats, and between two reads.
 const MIN_INTERVAL_S: f64 = 1.0;
-/// Heartbeat writes per second of the whole fleet.
+/// Maximum heartbeat writes per second of the whole fleet.
 const FLEET_BEATS_PER_S: f64 = 60.0;
-/// Reads of watched rows per second of the whole fleet; each covers about three rows.
+/// Maximum reads of watched rows per second of the whole fleet; each covers about three rows.
 const FLEET_READS_PER_S: f64 = 85.0;
 /// Heartbeat intervals in a lease: a member lapses after missing that many, with room for one slow
 /// write.
@@ -49,7 +49,7 @@
 const PAGE_ROWS: u32 = 64;
 /// Rows per page of a larger fleet: about 8 kB, with rows of about 250 bytes.
 const LARGE_FLEET_PAGE_ROWS: u32 = 32;
-/// First accesses per second of the whole fleet when all of it starts at once.
+/// Maximum first accesses per second of the whole fleet when all of it starts at once.
 const FLEET_STARTS_PER_S: f64 = 85.0;
 
 impl Settings {
--- a/crates/fescuewell_membership/src/slots.rs
+++ b/crates/fescuewell_membership/src/slots.rs
@@ -53,7 +53,7 @@
 ///
 /// Slots are distributed first over the zones, in proportion to their candidates, and then over the
 /// instances of each zone. Both steps take pairs in descending order of their hash and limit
-/// everybody to an equal share, rounded up. The hash keeps most slots where they are when a
+/// every zone or instance to an equal share, rounded up. The hash keeps most slots where they are when a
 /// candidate comes or goes; the limit keeps one instance, or one zone, from holding many more than
 /// the others. The order of the candidates does not matter.
 pub fn assign(slots: u16, candidates: &[Candidate]) -> Assignment {
