--- a/crates/fescuewell_gateway/src/control/watch.rs
+++ b/crates/fescuewell_gateway/src/control/watch.rs
@@ -14,7 +14,7 @@
 use fescuewell_forward::crash::Evidence;
 use fescuewell_forward::evacuation::Order;
 use fescuewell_forward::relay::{Digest, Outbox};
-use fescuewell_forward::server::{Entry, Movement, Said};
+use fescuewell_forward::server::{Change, Entry, Update};
 use fescuewell_http::upstream::{self, Reach};
 use tokio::time::Instant;
 
@@ -24,7 +24,7 @@
 use crate::store::Error;
 
 /// Maximum time a long poll waits for changes. It is short because a dead connection is noticed
-/// only when the reply is overdue, and a change must take effect within two seconds.
+/// only when the response is overdue, and a change must take effect within two seconds.
 const WATCH_WAIT: Duration = Duration::from_millis(700);
 /// Timeout of a long poll.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(1_100);
@@ -91,7 +91,7 @@
     }
     let gateway = &control.gateway;
     let known = gateway.table().map(|table| table.configuration().version);
-    let reported = gateway.state().cursor.configuration();
+    let reported = gateway.state().cursor.configuration_version();
     reported > known.unwrap_or(version) || read_at.elapsed() >= FOLLOWER_REREAD_INTERVAL
 }
 
@@ -102,7 +102,10 @@
     log_invalid(control, response.content.invalid_configuration);
     let mut state = control.gateway.state();
     let orders = response.content.evacuations;
-    for order in state.registry.evacuations(response.version, orders, now_ms) {
+    for order in state
+        .registry
+        .apply_evacuations(response.version, orders, now_ms)
+    {
         log_evacuation(&order);
     }
 }
@@ -140,7 +143,7 @@
             .gateway
             .state()
             .registry
-            .evacuate(order.clone(), now_ms)
+            .apply_evacuation(order.clone(), now_ms)
         {
             log_evacuation(&order);
         }
@@ -174,16 +177,16 @@
         known.unwrap_or_default(),
         configuration.routes.len(),
         configuration.services.len(),
-        configuration.tenants.len()
+        configuration.accounts.len()
     );
     {
         let mut state = gateway.state();
-        for tenant in &configuration.tenants {
-            state.quota.set_prepaid(&tenant.name, tenant.prepaid);
+        for account in &configuration.accounts {
+            state.quota.set_prepaid(&account.name, account.prepaid);
         }
         let services = configuration.services.iter();
         let warmups = services.filter_map(|service| Some((service.name.clone(), service.warmup?)));
-        state.registry.set_warmups(warmups);
+        state.registry.set_warmup_limits(warmups);
     }
     gateway.set_table(Table::new(configuration));
     gateway.sync_quota();
@@ -213,7 +216,7 @@
         };
         let mut outbox = Outbox::default();
         outbox.restart(response.version);
-        control.gateway.state().cursor.read(response.version);
+        control.gateway.state().cursor.advance(response.version);
         apply_list(control, response);
         let reread_at = Instant::now() + reread_interval(control);
         while Instant::now() < reread_at {
@@ -243,7 +246,7 @@
     for change in response.content {
         // Row by row, because a server may appear and disappear within one response.
         let now_ms = gateway.now_ms();
-        if gateway.state().registry.is_news(&change, now_ms) {
+        if gateway.state().registry.is_change(&change, now_ms) {
             rows.push(change.clone());
         }
         apply_change(control, change);
@@ -252,7 +255,7 @@
     outbox.add(rows, version, version.max(response.version), now_ms);
     {
         let mut state = gateway.state();
-        state.cursor.read(response.version);
+        state.cursor.advance(response.version);
         if !state.directory.is_reader(&gateway.settings.name) {
             // Until readers are heard from again, it reads only for itself.
             return Ok(());
@@ -278,7 +281,7 @@
     {
         let mut state = gateway.state();
         let store_ms = state.quota.store_time(now_ms);
-        if !state.cursor.take(&digest, store_ms, now_ms) {
+        if !state.cursor.apply(&digest, store_ms, now_ms) {
             return;
         }
     }
@@ -292,7 +295,7 @@
     let gateway = &control.gateway;
     let now_ms = gateway.now_ms();
     let state = gateway.state();
-    !state.directory.is_reader(&gateway.settings.name) && state.cursor.is_fed(now_ms)
+    !state.directory.is_reader(&gateway.settings.name) && state.cursor.is_following(now_ms)
 }
 
 /// Returns the interval between full reads of the server list, chosen to stay within the bandwidth
@@ -322,14 +325,14 @@
     MIN_POLL_INTERVAL.max(Duration::from_secs_f64(share))
 }
 
-fn apply_list(control: &Control, response: Versioned<Vec<Movement>>) {
+fn apply_list(control: &Control, response: Versioned<Vec<Update>>) {
     let count = response.content.len();
     let now_ms = control.gateway.now_ms();
     let mut guard = control.gateway.state();
     let state = &mut *guard;
     let changed = state
         .registry
-        .snapshot(response.version, response.content, now_ms);
+        .apply_snapshot(response.version, response.content, now_ms);
     state.health.retain(|id| state.registry.is_known(id));
     state.warmup.retain(|id| state.registry.is_cold(id, now_ms));
     log_event!(
@@ -344,17 +347,17 @@
     handle_ended(control, ended);
 }
 
-fn apply_change(control: &Control, movement: Movement) {
-    let id = movement.id.clone();
-    let version = movement.version;
+fn apply_change(control: &Control, update: Update) {
+    let id = update.id.clone();
+    let version = update.version;
     let now_ms = control.gateway.now_ms();
     let mut state = control.gateway.state();
     let was_ready = state.registry.is_ready(&id, now_ms);
-    if !state.registry.change(movement.clone(), now_ms) {
+    if !state.registry.apply(update.clone(), now_ms) {
         return;
     }
     let is_ready = state.registry.is_ready(&id, now_ms);
-    log_unreadable_rows(&[movement]);
+    log_unreadable_rows(&[update]);
     if was_ready && !is_ready {
         log_event!(Event::ServerLeaving, "server={id} version={version}");
     } else if !was_ready && is_ready {
@@ -367,16 +370,16 @@
 
 /// Logs rows that do not describe a server, once per version. They are skipped so that they do not
 /// hide the other rows.
-fn log_unreadable_rows(changes: &[Movement]) {
-    for movement in changes {
-        let Said::Unreadable { reason } = &movement.said else {
+fn log_unreadable_rows(changes: &[Update]) {
+    for update in changes {
+        let Change::Unreadable { reason } = &update.change else {
             continue;
         };
         log_event!(
             Event::ServerUnreadable,
             "server={} version={} reason={}",
-            movement.id,
-            movement.version,
+            update.id,
+            update.version,
             reason.replace(' ', "_")
         );
     }
--- a/crates/fescuewell_gateway/src/front.rs
+++ b/crates/fescuewell_gateway/src/front.rs
@@ -44,7 +44,8 @@
     gateway.record_arrival(request.body.len());
     match admit(gateway, request) {
         Ok(job) => {
-            // If the caller disconnects, dropping the job also cancels the request to the backend server.
+            // If the caller disconnects, dropping the job also cancels the request to the backend
+            // server.
             let id = job.id().clone();
             tokio::select! {
                 biased;
@@ -96,9 +97,9 @@
         return Err(refuse(Code::NoSuchPath, version));
     };
     let mut account = None;
-    if table.has_tenants() && !route.public {
+    if table.has_accounts() && !route.public {
         let key = metadata.account_key.as_deref().unwrap_or_default();
-        let Some(found) = table.tenant(key) else {
+        let Some(found) = table.account(key) else {
             return Err(refuse(Code::Unauthorized, version));
         };
         account = Some(found.clone());
--- a/crates/fescuewell_gateway/src/gateway.rs
+++ b/crates/fescuewell_gateway/src/gateway.rs
@@ -12,14 +12,14 @@
 use fescuewell_forward::admission;
 use fescuewell_forward::choice::Load;
 use fescuewell_forward::config::Table;
-use fescuewell_forward::crash::{Quarantine, Watch};
+use fescuewell_forward::crash::{Detector, Quarantine};
 use fescuewell_forward::directory::Directory;
 use fescuewell_forward::health::Health;
 use fescuewell_forward::message::Key;
 use fescuewell_forward::quota::Quota;
 use fescuewell_forward::relay;
 use fescuewell_forward::retry::Budget;
-use fescuewell_forward::server::{LAPSING_SILENCE_MS, Registry};
+use fescuewell_forward::server::{ENTRY_EXPIRY_OUTAGE_MS, Registry};
 use fescuewell_forward::warmup::Warmup;
 use fescuewell_forward::window::Window;
 use fescuewell_http::listener::Gate;
@@ -42,12 +42,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
 pub enum Stage {
-    /// The configuration, the grants of the previous process or the quarantined requests have not been
-    /// loaded.
+    /// The configuration, the grants of the previous process or the quarantined requests have not
+    /// been loaded.
     Starting,
     /// Accepts requests.
     Ready,
-    /// Shutdown was requested: requests are still served, and callers are asked to use other instances.
+    /// Shutdown was requested: requests are still served, and callers are asked to use other
+    /// instances.
     Draining,
 }
 
@@ -63,7 +64,7 @@
     /// Health scores of backend servers.
     pub health: Health,
     /// Suspected and detected crashes of backend servers.
-    pub crashes: Watch,
+    pub crashes: Detector,
     /// Requests that crash backend servers.
     pub quarantine: Quarantine,
     /// In-flight requests per backend server.
@@ -83,8 +84,8 @@
 }
 
 impl State {
-    /// Returns the cold servers of a service that this instance may use, each with the number of instances
-    /// that share its request rate; see [`fescuewell_forward::warmup`].
+    /// Returns the cold servers of a service that this instance may use, each with the number of
+    /// instances that share its request rate; see [`fescuewell_forward::warmup`].
     pub fn cold_shares(
         &mut self,
         service: &str,
@@ -96,7 +97,7 @@
             if !self.registry.is_cold(&entry.id, now_ms) {
                 continue;
             }
-            if let Some(share) = self.warmup.share(&entry.id, instance) {
+            if let Some(share) = self.warmup.assigned_count(&entry.id, instance) {
                 shares.insert(entry.id.clone(), share);
             }
         }
@@ -128,11 +129,11 @@
     pub probe_requests: flume::Receiver<ProbeRequest>,
 }
 
-/// Maximum time that a request waits for tokens from other instances. A lender that does not respond costs 30
-/// ms, one that responds a few.
+/// Maximum time that a request waits for tokens from other instances. A lender that does not
+/// respond costs 30 ms, one that responds a few.
 ///
-/// Without this limit a request would wait forever if nothing receives borrow requests, because the instance
-/// has no address for peer messages.
+/// Without this limit a request would wait forever if nothing receives borrow requests, because the
+/// instance has no address for peer messages.
 const BORROW_TIMEOUT: Duration = Duration::from_millis(150);
 /// Maximum number of pending borrow requests. More could not be served before they time out.
 const MAX_BORROW_REQUESTS: usize = 256;
@@ -173,7 +174,8 @@
 }
 
 impl Gateway {
-    /// Creates a gateway without any state, and the receivers of its requests to the control thread.
+    /// Creates a gateway without any state, and the receivers of its requests to the control
+    /// thread.
     ///
     /// # Errors
     ///
@@ -195,7 +197,7 @@
             cursor: relay::Cursor::default(),
             warmup: Warmup::default(),
             health: Health::default(),
-            crashes: Watch::default(),
+            crashes: Detector::default(),
             quarantine: Quarantine::default(),
             load: Load::default(),
             quota: Quota::new(settings.name.clone(), 0),
@@ -313,8 +315,8 @@
             let now_ms = self.now_ms();
             let last_response_ms = self.last_store_response_ms.swap(now_ms, Ordering::Relaxed);
             let silence_ms = now_ms.saturating_sub(last_response_ms);
-            if silence_ms >= LAPSING_SILENCE_MS {
-                self.state().registry.store_returned(silence_ms, now_ms);
+            if silence_ms >= ENTRY_EXPIRY_OUTAGE_MS {
+                self.state().registry.store_recovered(silence_ms, now_ms);
             }
         }
         let has_changed = self.store_up.swap(up, Ordering::Relaxed) != up;
@@ -335,7 +337,8 @@
             .store(self.now_ms(), Ordering::Relaxed);
     }
 
-    /// Returns the time since the last message of another instance, or since the start before the first one.
+    /// Returns the time since the last message of another instance, or since the start before the
+    /// first one.
     pub fn time_since_peer_message(&self) -> Duration {
         let last_ms = self.last_peer_message_ms.load(Ordering::Relaxed);
         Duration::from_millis(self.now_ms().saturating_sub(last_ms))
@@ -364,8 +367,8 @@
         self.request_plan();
     }
 
-    /// Borrows the tokens that a request lacks from other instances. Returns `true` if the account now has
-    /// enough.
+    /// Borrows the tokens that a request lacks from other instances. Returns `true` if the account
+    /// now has enough.
     pub async fn borrow_tokens(&self, account: &Arc<str>, tokens: u64) -> bool {
         let (reply, response) = oneshot::channel();
         let request = BorrowRequest {
@@ -391,15 +394,15 @@
         self.fleet_key_era.load(Ordering::Relaxed)
     }
 
-    /// Sets the key, as read in an era of the store. The stored key is replaced only if the store has lost
-    /// it.
+    /// Sets the key, as read in an era of the store. The stored key is replaced only if the store
+    /// has lost it.
     pub fn set_fleet_key(&self, key: Key, era: u32) {
         self.fleet_key.store(Some(Arc::new(key)));
         self.fleet_key_era.store(era, Ordering::Relaxed);
     }
 
-    /// Notifies waiting requests that the available tokens may have changed: a journal or a plan was written,
-    /// or a loan arrived.
+    /// Notifies waiting requests that the available tokens may have changed: a journal or a plan
+    /// was written, or a loan arrived.
     pub fn notify_token_changes(&self) {
         self.token_changes.send_modify(|count| *count += 1);
     }
--- a/crates/fescuewell_gateway/src/gateway/crash.rs
+++ b/crates/fescuewell_gateway/src/gateway/crash.rs
@@ -31,7 +31,8 @@
         self.quarantine.verdict(request, self.store_ms(now_ms))
     }
 
-    /// Reports a lost exchange with a server. Returns `None` if the server is draining or no longer listed.
+    /// Reports a lost exchange with a server. Returns `None` if the server is draining or no longer
+    /// listed.
     pub fn report_loss(
         &mut self,
         server: &Entry,
@@ -39,7 +40,7 @@
         loss: Loss,
         now_ms: u64,
     ) -> Option<Finding> {
-        if self.registry.is_reborn(server) {
+        if self.registry.has_restarted(server) {
             let has_crashed = self.crashes.has_crashed(server.incarnation());
             return has_crashed.then_some(Finding::Crashed);
         }
--- a/crates/fescuewell_gateway/tests/common/mod.rs
+++ b/crates/fescuewell_gateway/tests/common/mod.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use fescuewell_forward::config::{Configuration, Tenant};
+use fescuewell_forward::config::{Account, Configuration};
 use fescuewell_forward::quota::row::Journal;
-use fescuewell_forward::server::Movement;
+use fescuewell_forward::server::Update;
 use fescuewell_gateway::control::Control;
 use fescuewell_gateway::dialect::{Dialect, HeaderNames, RequestMetadata};
 use fescuewell_gateway::gateway::Gateway;
@@ -28,15 +28,15 @@
 pub const ACCOUNT: &str = "group";
 /// Name of the instance.
 pub const INSTANCE: &str = "entry-1";
-/// Duration of one store call while the store replies.
+/// Duration of one store call while the store responds.
 const LATENCY: Duration = Duration::from_millis(4);
 
 /// How the store handles calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Behaviour {
-    /// Replies to each call.
+    /// Responds to each call.
     Answer,
-    /// Never replies to a call that arrives now, even after the store is back.
+    /// Never responds to a call that arrives now, even after the store is back.
     Silent,
     /// Rejects each call immediately.
     Refuse,
@@ -60,7 +60,7 @@
 
 impl MemoryStore {
     pub fn new(prepaid: u64) -> Arc<Self> {
-        let tenant = Tenant {
+        let account = Account {
             name: ACCOUNT.into(),
             keys: vec!["key".into()],
             priority: None,
@@ -77,7 +77,7 @@
             started: Instant::now(),
             configuration: Configuration {
                 version: 1,
-                tenants: vec![Arc::new(tenant)],
+                accounts: vec![Arc::new(account)],
                 ..Configuration::default()
             },
         })
@@ -92,7 +92,7 @@
         self.content().ledger_delay = delay;
     }
 
-    /// Returns how often a partition of a table was read, including reads without a reply.
+    /// Returns how often a partition of a table was read, including reads without a response.
     pub fn read_count(&self, table: &str) -> usize {
         let content = self.content();
         content.read_counts.get(table).copied().unwrap_or_default()
@@ -260,11 +260,11 @@
         })
     }
 
-    fn list_servers(&self) -> BoxFuture<'_, Versioned<Vec<Movement>>> {
+    fn list_servers(&self) -> BoxFuture<'_, Versioned<Vec<Update>>> {
         Box::pin(self.versioned(Vec::new()))
     }
 
-    fn watch_servers(&self, _: u64, wait: Duration) -> BoxFuture<'_, Versioned<Vec<Movement>>> {
+    fn watch_servers(&self, _: u64, wait: Duration) -> BoxFuture<'_, Versioned<Vec<Update>>> {
         Box::pin(async move {
             tokio::time::sleep(wait).await;
             self.versioned(Vec::new()).await
--- a/crates/fescuewell_node/src/catalog.rs
+++ b/crates/fescuewell_node/src/catalog.rs
@@ -9,7 +9,7 @@
 use fescuewell_core::prelude::*;
 use fescuewell_document::model::{Document, Server, ServerRole};
 use fescuewell_queue::admission::{GroupPolicy, KindPolicy};
-use fescuewell_routing::server::Policy as ServerPolicy;
+use fescuewell_routing::server::Spec as ServerSpec;
 
 use crate::request::Work;
 
@@ -227,7 +227,7 @@
                 name: group.name.clone(),
                 outage: Duration::from_secs(u64::from(group.allowance.outage_seconds)),
                 share_percent: group.allowance.share_percent,
-                least: group.allowance.least,
+                min_allowance: group.allowance.least,
             })
         });
         policies.collect()
@@ -260,10 +260,10 @@
     }
 
     /// What routing needs to know of the backend servers.
-    pub fn server_policies(&self) -> Vec<ServerPolicy> {
+    pub fn server_policies(&self) -> Vec<ServerSpec> {
         let servers = self.document.servers.iter();
         let policies = servers.filter_map(|server| {
-            Some(ServerPolicy {
+            Some(ServerSpec {
                 key: self.servers.get(&server.name)?,
                 name: server.name.clone(),
                 zone: server.zone.clone(),
--- a/crates/fescuewell_node/src/event.rs
+++ b/crates/fescuewell_node/src/event.rs
@@ -3,11 +3,11 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use fescuewell_claims::message::Answer;
+use fescuewell_claims::message::StoredResponse;
 use fescuewell_core::platform::Listing;
 use fescuewell_core::prelude::*;
 use fescuewell_core::table;
-use fescuewell_placement::order::{Answer as OrderAnswer, Order};
+use fescuewell_placement::order::{Order, Response as OrderResponse};
 use fescuewell_routing::load::Report;
 
 use crate::message::Message;
@@ -44,7 +44,7 @@
         /// Whether it came to its own end rather than being cancelled or failing.
         pub complete: bool,
         /// The answer of a call that may not be repeated, when the server keeps it.
-        pub answer: Option<Answer>,
+        pub answer: Option<StoredResponse>,
         /// Tokens used until now.
         pub used: Tokens,
     }
@@ -140,7 +140,7 @@
             /// The order.
             order: Order,
             /// What became of it.
-            answer: OrderAnswer,
+            answer: OrderResponse,
         },
         /// A cache event of a backend server.
         Cache {
--- a/crates/fescuewell_node/src/pump.rs
+++ b/crates/fescuewell_node/src/pump.rs
@@ -3,9 +3,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fescuewell_budget::message::News;
-use fescuewell_claims::courier::{Event as CourierEvent, Outgoing};
-use fescuewell_claims::message::{Known, Reply};
+use fescuewell_budget::message::Notification;
+use fescuewell_claims::client::{Event as ClientEvent, Outgoing};
+use fescuewell_claims::message::{Reply, RequestState};
 use fescuewell_core::prelude::*;
 use fescuewell_core::table;
 use fescuewell_membership::drain::{Action as DrainAction, Remaining};
@@ -96,7 +96,7 @@
             request,
         };
         if !self.send_to(&instance, message) {
-            self.courier.failed(self.now, correlation);
+            self.courier.send_failed(self.now, correlation);
         }
     }
 
@@ -121,7 +121,7 @@
     }
 
     fn carry_answers(&mut self) -> bool {
-        let answers = self.arbiter.take_answers();
+        let answers = self.arbiter.take_replies();
         let moved = !answers.is_empty();
         for (number, reply) in answers {
             let Some(asker) = self.askers.remove(&number) else {
@@ -159,27 +159,27 @@
         moved
     }
 
-    fn courier_event(&mut self, event: CourierEvent) {
+    fn courier_event(&mut self, event: ClientEvent) {
         match event {
-            CourierEvent::ClaimAnswered {
+            ClientEvent::ClaimAnswered {
                 ticket,
                 attempt,
                 result,
             } => {
                 self.claim_answered(Ticket(ticket), attempt, result);
             }
-            CourierEvent::ClaimTimedOut { ticket, .. }
-            | CourierEvent::ClaimUnavailable { ticket, .. } => {
+            ClientEvent::ClaimTimedOut { ticket, .. }
+            | ClientEvent::ClaimUnavailable { ticket, .. } => {
                 self.claim_unavailable(Ticket(ticket))
             }
-            CourierEvent::BillDurable {
+            ClientEvent::BillDurable {
                 ticket, charged, ..
             } => self.billed(Ticket(ticket), charged),
-            CourierEvent::LookedUp { ticket, known } => self.looked_up(Ticket(ticket), known),
+            ClientEvent::LookedUp { ticket, known } => self.looked_up(Ticket(ticket), known),
         }
     }
 
-    fn claim_answered(&mut self, ticket: Ticket, attempt: u32, result: Result<bool, Known>) {
+    fn claim_answered(&mut self, ticket: Ticket, attempt: u32, result: Result<bool, RequestState>) {
         let record = self.book.get(ticket);
         let is_present = record
             .and_then(|record| record.grant)
@@ -193,23 +193,23 @@
     }
 
     fn carry_news(&mut self) {
-        for news in self.ledger.news() {
-            match news {
-                News::Funded(group) => self.hold_again(group),
-                News::Refused(group, shortage) => {
+        for notification in self.ledger.take_notifications() {
+            match notification {
+                Notification::Funded(group) => self.hold_again(group),
+                Notification::Refused(group, shortage) => {
                     for ticket in self.waiting_for_money(group) {
                         self.out_of_money(ticket, shortage);
                     }
                 }
-                News::Drawn { group, amount } => {
+                Notification::Drawn { group, amount } => {
                     let text = format!("group={} amount={amount}", self.catalog.group_name(group));
                     self.log(Event::AllowanceDrawn, text);
                 }
-                News::Returned { group, amount } => {
+                Notification::Returned { group, amount } => {
                     let text = format!("group={} amount={amount}", self.catalog.group_name(group));
                     self.log(Event::AllowanceReturned, text);
                 }
-                News::Lost(group) => {
+                Notification::Lost(group) => {
                     let text = format!("group={} grant=lost", self.catalog.group_name(group));
                     self.log(Event::InternalFault, text);
                 }
@@ -234,7 +234,7 @@
     }
 
     fn carry_budget_messages(&mut self) {
-        for outgoing in self.ledger.outbox() {
+        for outgoing in self.ledger.take_outbox() {
             let instance = instance_of(&outgoing.to).to_owned();
             let message = Message::Budget {
                 from: self.me.holder.clone(),
@@ -245,7 +245,7 @@
     }
 
     fn carry_document(&mut self) {
-        for want in self.propagation.wants(self.now, &mut self.collector) {
+        for want in self.propagation.next_fetches(self.now, &mut self.collector) {
             match want.from {
                 Source::Store => self.actions.push(Action::Fetch { name: want.name }),
                 Source::Peer(instance) => {
@@ -260,7 +260,7 @@
             Ok(document) => {
                 self.put_in_force(head.version, document);
                 self.propagation
-                    .applied(self.now, head, &mut self.collector);
+                    .mark_applied(self.now, head, &mut self.collector);
                 self.gossip.set_head(head);
             }
             Err(error) => {
@@ -268,7 +268,8 @@
                     Event::DocumentRefused,
                     format!("version={} reason={error}", head.version.0),
                 );
-                self.propagation.unreadable(self.now, &mut self.collector);
+                self.propagation
+                    .mark_unreadable(self.now, &mut self.collector);
             }
         }
     }
@@ -315,7 +316,7 @@
     /// Takes a message of another instance.
     pub(crate) fn hear(&mut self, from: &Arc<str>, message: Message) {
         let now = self.now;
-        self.members.peer_answered(now, from);
+        self.members.record_peer_response(now, from);
         match message {
             Message::Ask {
                 correlation,
@@ -368,10 +369,10 @@
             let peer = self.members.view().peer(from);
             let near = peer.is_some_and(|peer| peer.zone == self.me.zone);
             self.propagation
-                .hear(now, from, near, head, &mut self.collector);
+                .record_peer_head(now, from, near, head, &mut self.collector);
         }
-        for news in message.news.clone() {
-            self.members.hear(now, news);
+        for news in message.updates.clone() {
+            self.members.apply_update(now, news);
         }
         self.gossip.receive(now, from, message);
     }
@@ -394,7 +395,9 @@
     fn review_servers(&mut self) {
         for change in self.router.tick(self.now) {
             let (event, server, why) = match change {
-                Change::Ejected { server, why } => (Event::ServerEjected, server, why.to_string()),
+                Change::Ejected { server, cause } => {
+                    (Event::ServerEjected, server, cause.to_string())
+                }
                 Change::Returned { server } => {
                     (Event::ServerReturned, server, "why=progress".into())
                 }
@@ -440,7 +443,7 @@
         // A draining instance goes on holding what falls to it, until it has given everything back: when
         // all instances drain at once there is nobody else to record their last bills.
         if self.keeper.update(now, view) && !self.has_released_slots {
-            self.arbiter.want(now, &self.keeper.mine());
+            self.arbiter.set_wanted(now, &self.keeper.own_slots());
         }
         self.members.set_watch(self.keeper.watch().clone());
         for slot in 0..self.settings.slots {
@@ -448,14 +451,14 @@
             let owner = self.keeper.assignment().owner(slot).cloned();
             self.courier.set_holder(now, slot, owner);
         }
-        let news = self.members.take_news();
-        self.gossip.spread(now, news);
+        let news = self.members.take_updates();
+        self.gossip.broadcast(now, news);
         for outgoing in self.gossip.take_outgoing(now, self.members.view()) {
             self.send_to(&outgoing.to, Message::Gossip(outgoing.message));
         }
         self.review_sweeps();
         let view = self.members.view();
-        if view.superseded || view.leave_wanted {
+        if view.superseded || view.drain_requested {
             self.terminate();
         }
     }
@@ -494,7 +497,7 @@
                 DrainAction::ReturnAllowances => self.ledger.close(self.now),
                 DrainAction::ReleaseSlots => {
                     self.has_released_slots = true;
-                    self.arbiter.want(self.now, &[]);
+                    self.arbiter.set_wanted(self.now, &[]);
                 }
                 DrainAction::Farewell => self.members.set_state(self.now, State::Gone),
                 DrainAction::Exit { .. } => self.actions.push(Action::Exit),
@@ -519,7 +522,7 @@
         self.courier.lookup(self.now, ticket.0, key.digest());
     }
 
-    fn looked_up(&mut self, ticket: Ticket, known: Option<Known>) {
+    fn looked_up(&mut self, ticket: Ticket, known: Option<RequestState>) {
         if !self.lookups.remove(&ticket) {
             return;
         }
@@ -527,15 +530,15 @@
         self.decide(ticket, verdict);
     }
 
-    fn verdict_of_lookup(&self, known: Option<Known>) -> crate::request::Verdict {
+    fn verdict_of_lookup(&self, known: Option<RequestState>) -> crate::request::Verdict {
         use crate::request::Verdict;
         let assignment = match known {
-            Some(Known::InProgress { assignment, .. }) => assignment,
-            Some(Known::Done {
-                answer: Some(answer),
+            Some(RequestState::InProgress { assignment, .. }) => assignment,
+            Some(RequestState::Done {
+                response: Some(answer),
                 ..
             }) => return Verdict::Stored(answer),
-            Some(Known::Done { assignment, .. }) => assignment,
+            Some(RequestState::Done { assignment, .. }) => assignment,
             _ => None,
         };
         let place = assignment
