--- a/crates/fescuewell_bench/src/capacity/rig.rs
+++ b/crates/fescuewell_bench/src/capacity/rig.rs
@@ -195,7 +195,7 @@
             let end = End::Done {
                 cost: Tokens(407),
                 output: 300,
-                answer: None,
+                response: None,
             };
             self.handle(NodeEvent::Ended { ticket, end });
         }
@@ -235,7 +235,7 @@
             at_age: Duration::ZERO,
         };
         let loaded = (0..world::MODELS).map(world::model_name).collect();
-        self.handle(NodeEvent::Reported {
+        self.handle(NodeEvent::LoadReported {
             server: format!("server-{server}").into(),
             report,
             loaded,
@@ -275,15 +275,17 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Table { duty, step } => {
+            Action::Table { component, step } => {
                 let reply = table::carry_out(&self.table, &step);
                 self.count_step(&step, &reply);
-                self.waiting.push_back(NodeEvent::Table { duty, reply });
+                self.waiting
+                    .push_back(NodeEvent::TableReply { component, reply });
             }
             Action::Fetch { name } => {
                 let content = self.objects.get(&name).map(|bytes| bytes.to_vec());
                 self.counts.object_bytes += content.as_ref().map_or(0, |bytes| bytes.len() as u64);
-                self.waiting.push_back(NodeEvent::Fetched { name, content });
+                self.waiting
+                    .push_back(NodeEvent::ObjectFetched { name, content });
             }
             Action::Send {
                 instance, message, ..
@@ -311,12 +313,12 @@
     fn answer(&mut self, instance: Arc<str>, message: &Message) {
         match message {
             Message::Gossip(_) => self.counts.gossip_bytes += wire_bytes(message),
-            Message::WantChunk { name } => {
+            Message::ChunkRequest { name } => {
                 let content = self.objects.get(name).map(|bytes| bytes.to_vec());
                 self.counts.object_bytes += content.as_ref().map_or(0, |bytes| bytes.len() as u64);
                 let name = name.clone();
                 let message = Message::Chunk { name, content };
-                self.waiting.push_back(NodeEvent::Peer {
+                self.waiting.push_back(NodeEvent::PeerMessage {
                     from: instance,
                     message,
                 });
@@ -367,7 +369,7 @@
             news: Vec::new(),
         });
         self.counts.gossip_bytes += wire_bytes(&message);
-        self.handle(NodeEvent::Peer { from, message });
+        self.handle(NodeEvent::PeerMessage { from, message });
     }
 }
 
--- a/crates/fescuewell_node/src/admit.rs
+++ b/crates/fescuewell_node/src/admit.rs
@@ -101,12 +101,12 @@
         // With one bound for all, waiting bulk work would fill it, and urgent requests would be refused
         // although there are places for them on the backend servers.
         let most = match self.catalog.is_urgent(kind) {
-            true => self.settings.most_requests,
-            false => self.settings.most_requests * BULK_PERCENT / 100,
+            true => self.settings.max_requests,
+            false => self.settings.max_requests * BULK_PERCENT / 100,
         };
         // The bills of requests under way must find room even if the table stays away for an hour;
         // taking one more would mean to drop one of them.
-        if self.courier.is_full() || self.book.len() >= most {
+        if self.claims_client.is_full() || self.book.len() >= most {
             let refusal = Refusal::new(Code::Overloaded);
             return Err(refusal.with_retry_after(std::time::Duration::from_secs(1)));
         }
@@ -123,7 +123,7 @@
             // Nothing is held and nothing will be sent, so there is nothing to bill either.
             ask.hold = Tokens::ZERO;
         }
-        let attempt = self.courier.claim(self.now, ticket.0, &ask);
+        let attempt = self.claims_client.claim(self.now, ticket.0, &ask);
         if let Some(record) = self.book.get_mut(ticket) {
             record.grant = Some(Grant {
                 attempt,
--- a/crates/fescuewell_node/src/dispatch.rs
+++ b/crates/fescuewell_node/src/dispatch.rs
@@ -104,7 +104,7 @@
             return;
         };
         let digest = record.arrival.key.digest();
-        let owner = self.courier.owner(grant.attempt);
+        let owner = self.claims_client.owner(grant.attempt);
         let stream = fescuewell_claims::stream::id(&owner, digest);
         let assignment = Assignment {
             server: place.name.clone(),
@@ -142,7 +142,7 @@
             server: place.name,
             stream,
         };
-        self.courier.assign(now, digest, grant.attempt, told);
+        self.claims_client.assign(now, digest, grant.attempt, told);
         self.log(Event::RouteChosen, text);
         self.decide(ticket, Verdict::Run(assignment));
     }
--- a/crates/fescuewell_node/src/event.rs
+++ b/crates/fescuewell_node/src/event.rs
@@ -16,7 +16,7 @@
 fescuewell_core::message! {
     /// Which machine asked for a piece of table work. Each has at most one step outstanding.
     #[derive(Copy, Eq, Hash, PartialOrd, Ord)]
-    pub enum Duty {
+    pub enum Component {
         /// Allowances.
         Budget,
         /// Slots: claims and bills.
@@ -44,15 +44,15 @@
         /// Whether it came to its own end rather than being cancelled or failing.
         pub complete: bool,
         /// The answer of a call that may not be repeated, when the server keeps it.
-        pub answer: Option<StoredResponse>,
+        pub response: Option<StoredResponse>,
         /// Tokens used until now.
         pub used: Tokens,
     }
 
     /// What a backend server says of its models, read back by whoever gives orders.
-    pub struct ReadBack {
+    pub struct ModelReport {
         /// When the question was sent. An order that was sent later cannot show in the answer.
-        pub asked: Instant,
+        pub requested_at: Instant,
         /// Models that it serves.
         pub loaded: Vec<Arc<str>>,
         /// Models that it is loading.
@@ -97,30 +97,30 @@
             ticket: Ticket,
         },
         /// A message from another instance.
-        Peer {
+        PeerMessage {
             /// Its name, proved by its certificate.
             from: Arc<str>,
             /// What it says.
             message: Message,
         },
         /// An answer of the table.
-        Table {
+        TableReply {
             /// Who asked.
-            duty: Duty,
+            component: Component,
             /// The answer.
             reply: table::Reply,
         },
         /// The platform's instance list.
-        Listed(Vec<Listing>),
+        InstancesListed(Vec<Listing>),
         /// A piece of the document from the object store; `None` when it gave no answer.
-        Fetched {
+        ObjectFetched {
             /// Its name.
             name: Arc<str>,
             /// Its bytes.
             content: Option<Vec<u8>>,
         },
         /// A load report of a backend server.
-        Reported {
+        LoadReported {
             /// Name of the backend server.
             server: Arc<str>,
             /// What it says.
@@ -129,21 +129,21 @@
             loaded: Vec<Arc<str>>,
         },
         /// A backend server said which models it has.
-        Models {
+        ModelsReported {
             /// Name of the backend server.
             server: Arc<str>,
             /// What it said.
-            said: ReadBack,
+            report: ModelReport,
         },
         /// What became of an order.
-        Ordered {
+        OrderResponse {
             /// The order.
             order: Order,
             /// What became of it.
-            answer: OrderAnswer,
+            response: OrderAnswer,
         },
         /// A cache event of a backend server.
-        Cache {
+        CacheEvent {
             /// Name of the backend server.
             server: Arc<str>,
             /// Sequence number there.
@@ -152,12 +152,12 @@
             event: fescuewell_routing::prefix::Event,
         },
         /// A backend server said that it is leaving.
-        Leaving {
+        ServerLeaving {
             /// Name of the backend server.
             server: Arc<str>,
         },
         /// The streams that a backend server has of a holder; `None` when it gave no answer.
-        Streams {
+        StreamsListed {
             /// Name of the backend server.
             server: Arc<str>,
             /// The holder that was asked for.
@@ -192,7 +192,7 @@
         /// Do a piece of table work.
         Table {
             /// Who asks.
-            duty: Duty,
+            component: Component,
             /// What to do.
             step: table::Step,
         },
@@ -227,11 +227,11 @@
             address: SocketAddr,
             /// Fencing number.
             epoch: Epoch,
-            /// The order, to come back with [`Event::Ordered`].
+            /// The order, to come back with [`Event::OrderResponse`].
             order: Order,
         },
         /// A newer document is in force: the listener's index follows.
-        InForce {
+        ApplyDocument {
             /// Its version.
             version: Version,
             /// The document.
--- a/crates/fescuewell_node/src/lib.rs
+++ b/crates/fescuewell_node/src/lib.rs
@@ -24,7 +24,7 @@
 
 /// The names that a driver of nodes uses.
 pub mod prelude {
-    pub use crate::event::{Action, Duty, Event as NodeEvent, ReadBack, StreamRecord};
+    pub use crate::event::{Action, Component, Event as NodeEvent, ModelReport, StreamRecord};
     pub use crate::message::Message;
     pub use crate::node::Node;
     pub use crate::request::{Arrival, Assignment, End, Ticket, Verdict, Work};
--- a/crates/fescuewell_node/src/message.rs
+++ b/crates/fescuewell_node/src/message.rs
@@ -9,7 +9,7 @@
     /// One message between two instances; the transport proves who sent it.
     pub enum Message {
         /// A question to the holder of a slot.
-        Ask {
+        SlotRequest {
             /// Matches the answer to the question, unique per asking holder.
             correlation: u64,
             /// Which slot is asked.
@@ -17,8 +17,8 @@
             /// The question.
             request: Request,
         },
-        /// The answer to [`Message::Ask`].
-        Answer {
+        /// The answer to [`Message::SlotRequest`].
+        SlotReply {
             /// From the question.
             correlation: u64,
             /// The answer.
@@ -34,7 +34,7 @@
         /// Membership digest and document heads.
         Gossip(fescuewell_membership::gossip::Message),
         /// Asks for a piece of the document.
-        WantChunk {
+        ChunkRequest {
             /// Its content-addressed name.
             name: Arc<str>,
         },
--- a/crates/fescuewell_node/src/node.rs
+++ b/crates/fescuewell_node/src/node.rs
@@ -22,7 +22,7 @@
 
 use crate::assembly::Collector;
 use crate::catalog::Catalog;
-use crate::event::{Action, Duty, Event as Happening};
+use crate::event::{Action, Component, Event as NodeEvent};
 use crate::limits::Limits;
 use crate::placing::Placing;
 use crate::pump::Asker;
@@ -56,7 +56,7 @@
     pub(crate) book: Book,
     pub(crate) ledger: Ledger,
     pub(crate) arbiter: Arbiter,
-    pub(crate) courier: Client,
+    pub(crate) claims_client: Client,
     pub(crate) admission: Admission,
     pub(crate) retries: retry::Budget,
     pub(crate) quarantine: Quarantine,
@@ -77,7 +77,7 @@
     pub(crate) next_asker: u64,
     pub(crate) lookups: BTreeSet<Ticket>,
     pub(crate) reclaims: BTreeSet<Ticket>,
-    pub(crate) busy: BTreeSet<Duty>,
+    pub(crate) busy: BTreeSet<Component>,
     pub(crate) needs_dispatch: bool,
     pub(crate) next_review: Instant,
     pub(crate) refusals: BTreeMap<Code, u64>,
@@ -101,7 +101,7 @@
             book: Book::default(),
             ledger: Ledger::new(settings.budget.clone(), holder.clone(), seed ^ 1),
             arbiter: Arbiter::new(settings.arbiter.clone(), holder.clone(), seed ^ 2),
-            courier: Client::new(settings.courier.clone(), holder.clone(), seed ^ 3),
+            claims_client: Client::new(settings.claims_client.clone(), holder.clone(), seed ^ 3),
             admission: Admission::new(settings.queue.clone(), seed ^ 4),
             retries: retry::Budget::new(settings.retry),
             quarantine: Quarantine::default(),
@@ -110,7 +110,7 @@
             crowded_at: Instant::default(),
             router: Router::new(settings.routing, zone.clone(), seed ^ 5),
             members: Members::new(settings.members.clone(), me, seed ^ 6),
-            keeper: Keeper::new(instance.clone(), settings.slots, settings.slot_settle),
+            keeper: Keeper::new(instance.clone(), settings.slots, settings.min_ready_time),
             gossip: Gossip::new(settings.gossip.clone(), instance, zone, seed ^ 7),
             propagation: Propagation::new(settings.propagation.clone(), seed ^ 8),
             collector: Collector::default(),
@@ -132,33 +132,35 @@
     }
 
     /// Takes an event at a time that never goes back; returns what to do.
-    pub fn handle(&mut self, now: Instant, event: Happening) -> Vec<Action> {
+    pub fn handle(&mut self, now: Instant, event: NodeEvent) -> Vec<Action> {
         self.now = now;
         self.apply(event);
         self.pump();
         std::mem::take(&mut self.actions)
     }
 
-    fn apply(&mut self, event: Happening) {
+    fn apply(&mut self, event: NodeEvent) {
         let now = self.now;
         match event {
-            Happening::Arrived(arrival) => self.arrive(arrival),
-            Happening::Resume { ticket, key } => self.look_up(ticket, &key),
-            Happening::Progress { ticket, tokens } => self.progress(ticket, tokens),
-            Happening::Ended { ticket, end } => {
+            NodeEvent::Arrived(arrival) => self.arrive(arrival),
+            NodeEvent::Resume { ticket, key } => self.look_up(ticket, &key),
+            NodeEvent::Progress { ticket, tokens } => self.progress(ticket, tokens),
+            NodeEvent::Ended { ticket, end } => {
                 self.note_demand(ticket, &end);
                 self.ended(ticket, end);
             }
-            Happening::Withdrawn { ticket } => self.withdraw(ticket),
-            Happening::StreamGone { ticket } => self.stream_gone(ticket),
-            Happening::Peer { from, message } => self.hear(&from, message),
-            Happening::Table { duty, reply } => self.table_replied(duty, reply),
-            Happening::Listed(list) => {
+            NodeEvent::Withdrawn { ticket } => self.withdraw(ticket),
+            NodeEvent::StreamGone { ticket } => self.stream_gone(ticket),
+            NodeEvent::PeerMessage { from, message } => self.hear(&from, message),
+            NodeEvent::TableReply { component, reply } => self.table_replied(component, reply),
+            NodeEvent::InstancesListed(list) => {
                 self.members.instance_list(now, &list);
                 self.sweeping.note_servers(&list);
             }
-            Happening::Fetched { name, content } => self.object_fetched(&name, content.as_deref()),
-            Happening::Reported {
+            NodeEvent::ObjectFetched { name, content } => {
+                self.object_fetched(&name, content.as_deref())
+            }
+            NodeEvent::LoadReported {
                 server,
                 report,
                 loaded,
@@ -169,9 +171,9 @@
                     self.needs_dispatch = true;
                 }
             }
-            Happening::Models { server, said } => self.read_back(&server, said),
-            Happening::Ordered { order, answer } => self.order_answered(&order, answer),
-            Happening::Cache {
+            NodeEvent::ModelsReported { server, report } => self.observe_models(&server, report),
+            NodeEvent::OrderResponse { order, response } => self.order_answered(&order, response),
+            NodeEvent::CacheEvent {
                 server,
                 sequence,
                 event,
@@ -180,16 +182,16 @@
                     self.router.cache_event(now, key, sequence, event);
                 }
             }
-            Happening::Leaving { server } => self.members.server_leaves(now, &server),
-            Happening::Streams {
+            NodeEvent::ServerLeaving { server } => self.members.server_leaves(now, &server),
+            NodeEvent::StreamsListed {
                 server,
                 holder,
                 streams,
             } => {
                 self.streams_listed(&server, &holder, streams);
             }
-            Happening::Tick => self.review(),
-            Happening::Terminate => self.terminate(),
+            NodeEvent::Tick => self.review(),
+            NodeEvent::Terminate => self.terminate(),
         }
     }
 
@@ -207,16 +209,16 @@
         }
     }
 
-    fn table_replied(&mut self, duty: Duty, reply: table::Reply) {
-        self.busy.remove(&duty);
+    fn table_replied(&mut self, component: Component, reply: table::Reply) {
+        self.busy.remove(&component);
         let now = self.now;
-        match duty {
-            Duty::Budget => self.ledger.reply(now, reply),
-            Duty::Claims => self.arbiter.reply(now, reply),
-            Duty::Members => self.members.reply(now, reply),
-            Duty::Head => self.propagation.reply(now, reply, &mut self.collector),
-            Duty::Reclaim => self.sweeping.reclaimed(now, reply),
-            Duty::Placement => self.placement_replied(reply),
+        match component {
+            Component::Budget => self.ledger.reply(now, reply),
+            Component::Claims => self.arbiter.reply(now, reply),
+            Component::Members => self.members.reply(now, reply),
+            Component::Head => self.propagation.reply(now, reply, &mut self.collector),
+            Component::Reclaim => self.sweeping.reclaimed(now, reply),
+            Component::Placement => self.placement_replied(reply),
         }
     }
 
@@ -234,7 +236,8 @@
         self.place_by_document();
         self.members.set_version(version);
         self.needs_dispatch = true;
-        self.actions.push(Action::InForce { version, document });
+        self.actions
+            .push(Action::ApplyDocument { version, document });
     }
 
     /// Takes the document's backend servers over into the limits.
--- a/crates/fescuewell_node/src/placing.rs
+++ b/crates/fescuewell_node/src/placing.rs
@@ -11,7 +11,7 @@
 use fescuewell_placement::planner::{Duty as PlacementDuty, Notice, Planner};
 use fescuewell_placement::settings::Settings;
 
-use crate::event::{Action, ReadBack};
+use crate::event::{Action, ModelReport};
 use crate::node::Node;
 use crate::request::{End, Ticket, Work};
 
@@ -73,23 +73,23 @@
     }
 
     /// Takes in what a backend server said of its models.
-    pub(crate) fn read_back(&mut self, server: &str, said: ReadBack) {
+    pub(crate) fn observe_models(&mut self, server: &str, report: ModelReport) {
         let seen = Seen {
-            asked: said.asked,
-            loaded: said.loaded.into_iter().collect(),
-            loading: said.loading.into_iter().collect(),
+            asked: report.requested_at,
+            loaded: report.loaded.into_iter().collect(),
+            loading: report.loading.into_iter().collect(),
             // An engine that knows no roles would otherwise be ordered to take one for ever.
-            role: said.role.unwrap_or_else(|| self.placing.role.clone()),
+            role: report.role.unwrap_or_else(|| self.placing.role.clone()),
         };
         self.placing.planner.seen(self.now, server, seen);
     }
 
     /// Takes in what became of an order.
-    pub(crate) fn order_answered(&mut self, order: &Order, answer: Answer) {
-        if matches!(answer, Answer::Stale | Answer::Refused) {
-            self.log(Event::OrderRefused, format!("{order} answer={answer:?}"));
+    pub(crate) fn order_answered(&mut self, order: &Order, response: Answer) {
+        if matches!(response, Answer::Stale | Answer::Refused) {
+            self.log(Event::OrderRefused, format!("{order} answer={response:?}"));
         }
-        self.placing.planner.answered(self.now, order, answer);
+        self.placing.planner.answered(self.now, order, response);
     }
 
     /// Tells the planner what changed and lets it plan.
--- a/crates/fescuewell_node/src/pump.rs
+++ b/crates/fescuewell_node/src/pump.rs
@@ -13,7 +13,7 @@
 use fescuewell_membership::row::{Load, State};
 use fescuewell_routing::health::Change;
 
-use crate::event::{Action, Duty};
+use crate::event::{Action, Component};
 use crate::limits;
 use crate::message::Message;
 use crate::node::Node;
@@ -29,9 +29,9 @@
 /// Who waits for an answer of a slot that is held here.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Asker {
-    /// This instance's courier.
+    /// This instance's claims_client.
     Own {
-        /// The courier's number for the question.
+        /// The claims_client's number for the question.
         correlation: u64,
     },
     /// Another instance.
@@ -70,7 +70,7 @@
     }
 
     fn carry_questions(&mut self) -> bool {
-        let outgoing = self.courier.take_outgoing(self.now);
+        let outgoing = self.claims_client.take_outgoing(self.now);
         let moved = !outgoing.is_empty();
         for question in outgoing {
             self.ask(question);
@@ -90,13 +90,13 @@
             self.arbiter.request(self.now, asker, slot, &request);
             return;
         }
-        let message = Message::Ask {
+        let message = Message::SlotRequest {
             correlation,
             slot,
             request,
         };
         if !self.send_to(&instance, message) {
-            self.courier.send_failed(self.now, correlation);
+            self.claims_client.send_failed(self.now, correlation);
         }
     }
 
@@ -137,12 +137,12 @@
 
     fn answer(&mut self, asker: Asker, reply: Reply) {
         match asker {
-            Asker::Own { correlation } => self.courier.receive(self.now, correlation, reply),
+            Asker::Own { correlation } => self.claims_client.receive(self.now, correlation, reply),
             Asker::Peer {
                 instance,
                 correlation,
             } => {
-                self.send_to(&instance, Message::Answer { correlation, reply });
+                self.send_to(&instance, Message::SlotReply { correlation, reply });
             }
             Asker::Sweep { number } => {
                 self.sweep_answered(number, &reply);
@@ -151,7 +151,7 @@
     }
 
     fn carry_events(&mut self) -> bool {
-        let events = self.courier.take_events();
+        let events = self.claims_client.take_events();
         let moved = !events.is_empty();
         for event in events {
             self.courier_event(event);
@@ -249,7 +249,7 @@
             match want.from {
                 Source::Store => self.actions.push(Action::Fetch { name: want.name }),
                 Source::Peer(instance) => {
-                    self.send_to(&instance, Message::WantChunk { name: want.name });
+                    self.send_to(&instance, Message::ChunkRequest { name: want.name });
                 }
             }
         }
@@ -281,35 +281,35 @@
 
     fn carry_table_work(&mut self) {
         let now = self.now;
-        for duty in [
-            Duty::Claims,
-            Duty::Budget,
-            Duty::Members,
-            Duty::Head,
-            Duty::Reclaim,
-            Duty::Placement,
+        for component in [
+            Component::Claims,
+            Component::Budget,
+            Component::Members,
+            Component::Head,
+            Component::Reclaim,
+            Component::Placement,
         ] {
-            if self.busy.contains(&duty) {
+            if self.busy.contains(&component) {
                 continue;
             }
-            let step = match duty {
-                Duty::Claims => self.arbiter.next_step(now),
-                Duty::Budget => self.ledger.next_step(now),
-                Duty::Members => self.members.next_step(now),
-                Duty::Head => self.propagation.next_step(now),
-                Duty::Reclaim => self.sweeping.next_table_step(now),
-                Duty::Placement => self.next_placement_step(),
+            let step = match component {
+                Component::Claims => self.arbiter.next_step(now),
+                Component::Budget => self.ledger.next_step(now),
+                Component::Members => self.members.next_step(now),
+                Component::Head => self.propagation.next_step(now),
+                Component::Reclaim => self.sweeping.next_table_step(now),
+                Component::Placement => self.next_placement_step(),
             };
-            self.give_to_table(duty, step);
+            self.give_to_table(component, step);
         }
     }
 
-    fn give_to_table(&mut self, duty: Duty, step: Option<table::Step>) {
+    fn give_to_table(&mut self, component: Component, step: Option<table::Step>) {
         let Some(step) = step else {
             return;
         };
-        self.busy.insert(duty);
-        self.actions.push(Action::Table { duty, step });
+        self.busy.insert(component);
+        self.actions.push(Action::Table { component, step });
     }
 
     /// Takes a message of another instance.
@@ -317,7 +317,7 @@
         let now = self.now;
         self.members.peer_answered(now, from);
         match message {
-            Message::Ask {
+            Message::SlotRequest {
                 correlation,
                 slot,
                 request,
@@ -328,9 +328,9 @@
                 });
                 self.arbiter.request(now, asker, slot, &request);
             }
-            Message::Answer { correlation, reply } => {
+            Message::SlotReply { correlation, reply } => {
                 if !self.sweep_answered(correlation, &reply) {
-                    self.courier.receive(now, correlation, reply);
+                    self.claims_client.receive(now, correlation, reply);
                 }
             }
             Message::Budget {
@@ -343,7 +343,7 @@
                 }
             }
             Message::Gossip(message) => self.hear_gossip(from, message),
-            Message::WantChunk { name } => {
+            Message::ChunkRequest { name } => {
                 let content = self.collector.object(&name).map(|bytes| bytes.to_vec());
                 let content = content.filter(|bytes| bytes.len() <= MOST_CHUNK);
                 self.send_to(from, Message::Chunk { name, content });
@@ -358,7 +358,7 @@
                     &mut self.collector,
                 );
             }
-            Message::Bills(bills) => self.courier.import_bills(now, bills),
+            Message::Bills(bills) => self.claims_client.import_bills(now, bills),
         }
     }
 
@@ -412,7 +412,7 @@
         let now = self.now;
         let load = Load {
             streams: self.book.len() as u32,
-            permille: (self.book.len() * 1_000 / self.settings.most_requests.max(1)) as u16,
+            permille: (self.book.len() * 1_000 / self.settings.max_requests.max(1)) as u16,
         };
         self.members.set_load(load);
         if self.propagation.is_ready() {
@@ -446,7 +446,7 @@
         for slot in 0..self.settings.slots {
             let slot = SlotKey(slot);
             let owner = self.keeper.assignment().owner(slot).cloned();
-            self.courier.set_holder(now, slot, owner);
+            self.claims_client.set_holder(now, slot, owner);
         }
         let news = self.members.take_news();
         self.gossip.spread(now, news);
@@ -471,7 +471,7 @@
     fn review_drain(&mut self) {
         let remaining = Remaining {
             streams: self.open_streams(),
-            bills: self.courier.unfinished(),
+            bills: self.claims_client.unfinished(),
             allowances: usize::from(!self.ledger.is_closed()),
             slots: usize::from(!self.arbiter.is_idle()),
         };
@@ -503,7 +503,7 @@
     }
 
     fn hand_bills_over(&mut self) {
-        let bills = self.courier.export_bills();
+        let bills = self.claims_client.export_bills();
         let me = &self.me.instance;
         let live = self.members.view().live.iter();
         let mut others = live.filter(|peer| peer.instance != *me && peer.state == State::Ready);
@@ -516,7 +516,7 @@
     /// Asks the slot what became of a request, for a caller that takes its answer up again.
     pub(crate) fn look_up(&mut self, ticket: Ticket, key: &RequestKey) {
         self.lookups.insert(ticket);
-        self.courier.lookup(self.now, ticket.0, key.digest());
+        self.claims_client.lookup(self.now, ticket.0, key.digest());
     }
 
     fn looked_up(&mut self, ticket: Ticket, known: Option<RequestState>) {
--- a/crates/fescuewell_node/src/request.rs
+++ b/crates/fescuewell_node/src/request.rs
@@ -109,7 +109,7 @@
             /// Output tokens alone.
             output: u32,
             /// The answer, kept for repeats of a call that may not run twice.
-            answer: Option<StoredResponse>,
+            response: Option<StoredResponse>,
         },
         /// Provably no byte was sent: another attempt may be made.
         NotSent,
--- a/crates/fescuewell_node/src/settings.rs
+++ b/crates/fescuewell_node/src/settings.rs
@@ -12,7 +12,7 @@
     /// Slots held here.
     pub arbiter: fescuewell_claims::arbiter::Settings,
     /// Claims and bills of this instance's own requests.
-    pub courier: fescuewell_claims::client::Settings,
+    pub claims_client: fescuewell_claims::client::Settings,
     /// The queue.
     pub queue: fescuewell_queue::admission::Settings,
     /// What this instance keeps running on each backend server.
@@ -26,11 +26,11 @@
     /// Retries after an attempt that did not run.
     pub retry: fescuewell_queue::retry::BudgetSettings,
     /// Most attempts at one request.
-    pub most_attempts: u32,
+    pub max_attempts: u32,
     /// Most requests that this instance has a part in at once.
-    pub most_requests: usize,
+    pub max_requests: usize,
     /// How long a member must have been ready before slots are given to it.
-    pub slot_settle: Duration,
+    pub min_ready_time: Duration,
     /// Gossip among instances.
     pub gossip: fescuewell_membership::gossip::Settings,
     /// How documents spread.
@@ -58,7 +58,7 @@
                 poll_interval: poll_interval(instances),
                 ..Default::default()
             },
-            courier: fescuewell_claims::client::Settings {
+            claims_client: fescuewell_claims::client::Settings {
                 slots: SLOTS,
                 ..Default::default()
             },
@@ -74,9 +74,9 @@
             placement: Default::default(),
             members: fescuewell_membership::settings::Settings::sized(instances),
             retry: Default::default(),
-            most_attempts: 3,
-            most_requests: 4_000,
-            slot_settle: Duration::from_secs(1),
+            max_attempts: 3,
+            max_requests: 4_000,
+            min_ready_time: Duration::from_secs(1),
             gossip: fescuewell_membership::gossip::Settings::sized(instances),
             propagation: fescuewell_membership::propagate::Settings::sized(instances),
             drain: Default::default(),
--- a/crates/fescuewell_node/src/settle.rs
+++ b/crates/fescuewell_node/src/settle.rs
@@ -22,7 +22,7 @@
 struct Charge {
     cost: Tokens,
     is_complete: bool,
-    answer: Option<StoredResponse>,
+    response: Option<StoredResponse>,
 }
 
 impl Node {
@@ -43,7 +43,7 @@
             End::Done {
                 cost,
                 output,
-                answer,
+                response,
             } => {
                 self.log_done(ticket, cost, output);
                 self.bill(
@@ -51,7 +51,7 @@
                     Charge {
                         cost,
                         is_complete: true,
-                        answer,
+                        response,
                     },
                 );
             }
@@ -76,7 +76,7 @@
                     Charge {
                         cost,
                         is_complete: true,
-                        answer: None,
+                        response: None,
                     },
                 );
             }
@@ -87,7 +87,7 @@
                     Charge {
                         cost,
                         is_complete: false,
-                        answer: None,
+                        response: None,
                     },
                 );
             }
@@ -183,9 +183,9 @@
         let cost = Cost {
             tokens: owed,
             complete: charge.is_complete,
-            response: charge.answer,
+            response: charge.response,
         };
-        self.courier
+        self.claims_client
             .bill(now, ticket.0, &ask_for(record), grant.attempt, cost);
     }
 
@@ -232,7 +232,7 @@
 
     /// Provably nothing ran: another backend server is tried, within the deadline and the retry budget.
     fn try_again(&mut self, ticket: Ticket) {
-        let most = self.settings.most_attempts;
+        let most = self.settings.max_attempts;
         let now = self.now;
         let Some(record) = self.book.get_mut(ticket) else {
             return;
@@ -260,7 +260,7 @@
     /// The backend server lost the answer before any of it reached the caller: run it anew elsewhere, as a
     /// new attempt, since the old one may still be known under its stream id.
     fn rerun(&mut self, ticket: Ticket) {
-        let most = self.settings.most_attempts;
+        let most = self.settings.max_attempts;
         let now = self.now;
         let Some(record) = self.book.get_mut(ticket) else {
             return;
@@ -289,7 +289,7 @@
             return;
         }
         if let Some(old) = old {
-            self.courier.release(now, digest, old.attempt);
+            self.claims_client.release(now, digest, old.attempt);
         }
         if self.book.step(ticket, "rerun") {
             self.log(
@@ -350,7 +350,7 @@
         }
         if let Some(grant) = record.grant {
             let digest = record.arrival.key.digest();
-            self.courier.release(self.now, digest, grant.attempt);
+            self.claims_client.release(self.now, digest, grant.attempt);
         }
     }
 
--- a/crates/fescuewell_node/src/state.rs
+++ b/crates/fescuewell_node/src/state.rs
@@ -99,7 +99,7 @@
             slots: self.arbiter.slots().len(),
             requests: self.book.len(),
             queued: self.admission.len(),
-            unbilled: self.courier.unfinished(),
+            unbilled: self.claims_client.unfinished(),
             allowances: self.allowances(),
             servers: self.servers(),
             refusals: self.refused(),
--- a/crates/fescuewell_node/src/sweeping.rs
+++ b/crates/fescuewell_node/src/sweeping.rs
@@ -18,7 +18,7 @@
 use crate::node::Node;
 use crate::pump::Asker;
 
-/// Set in the correlations of a sweep's questions, which share a connection with the courier's.
+/// Set in the correlations of a sweep's questions, which share a connection with the claims_client's.
 const SWEEP_BIT: u64 = 1 << 63;
 /// Holders remembered as settled, so that a lagging list does not start their sweep anew.
 const MOST_SETTLED: usize = 1_024;
@@ -171,7 +171,7 @@
             self.arbiter.request(self.now, asker, slot, &request);
             return;
         }
-        let message = Message::Ask {
+        let message = Message::SlotRequest {
             correlation: number,
             slot,
             request,
@@ -259,6 +259,6 @@
         hold: stream.hold,
         tokens: stream.used,
         progress,
-        response: stream.answer,
+        response: stream.response,
     }
 }
--- a/crates/fescuewell_node/tests/common/backend.rs
+++ b/crates/fescuewell_node/tests/common/backend.rs
@@ -107,7 +107,7 @@
                 hold: stream.hold,
                 done: stream.is_done(now),
                 complete: !stream.cut && stream.is_done(now),
-                answer: stream.answer.clone().filter(|_| stream.is_done(now)),
+                response: stream.answer.clone().filter(|_| stream.is_done(now)),
                 used: stream.cost,
             });
         }
--- a/crates/fescuewell_node/tests/common/plane.rs
+++ b/crates/fescuewell_node/tests/common/plane.rs
@@ -141,7 +141,7 @@
         };
         let cost = Tokens(self.random.random_range(1..=assignment.hold.0.max(1)));
         let cost = if repeatable { cost } else { assignment.hold };
-        let answer = (!repeatable).then(|| StoredResponse {
+        let response = (!repeatable).then(|| StoredResponse {
             status: 200,
             content_type: "text/plain".into(),
             body: b"filed"[..].into(),
@@ -156,21 +156,21 @@
             started: self.now,
             ends: self.now + took,
             cut: false,
-            answer: answer.clone(),
+            answer: response.clone(),
         };
         self.backend.streams.insert(assignment.stream, stream);
         let end = match reaction {
             Some(Reaction::BreakLate) => lost(true, cost),
-            _ => done(cost, answer),
+            _ => done(cost, response),
         };
         self.ended(node, ticket, took, end);
     }
 }
 
-fn done(cost: Tokens, answer: Option<StoredResponse>) -> End {
+fn done(cost: Tokens, response: Option<StoredResponse>) -> End {
     End::Done {
         cost,
         output: cost.0 as u32,
-        answer,
+        response,
     }
 }
--- a/crates/fescuewell_node/tests/common/world.rs
+++ b/crates/fescuewell_node/tests/common/world.rs
@@ -119,7 +119,7 @@
     let mut settings = Settings::sized(3);
     settings.slots = 8;
     settings.arbiter.slots = 8;
-    settings.courier.slots = 8;
+    settings.claims_client.slots = 8;
     settings.members.list_lag = Duration::from_secs(1);
     settings.members.exclusive_address = true;
     settings.drain.spread = Duration::from_millis(500);
@@ -299,7 +299,7 @@
             Due::List { node } => {
                 self.later(LIST, Due::List { node });
                 let list = self.listing();
-                self.happen(node, NodeEvent::Listed(list));
+                self.happen(node, NodeEvent::InstancesListed(list));
                 self.report(node);
             }
         }
@@ -313,7 +313,7 @@
                 cache_used: 0.5,
                 at_age: Duration::from_millis(50),
             };
-            let event = NodeEvent::Reported {
+            let event = NodeEvent::LoadReported {
                 server: name.into(),
                 report,
                 loaded: vec![MODEL.into()],
@@ -370,18 +370,18 @@
             Action::Send {
                 instance, message, ..
             } => self.send(node, &instance, message),
-            Action::Table { duty, step } => {
+            Action::Table { component, step } => {
                 let reply = table::carry_out(&self.table, &step);
                 self.note_bills(&step, &reply);
-                self.soon(node, NodeEvent::Table { duty, reply });
+                self.soon(node, NodeEvent::TableReply { component, reply });
             }
             Action::Fetch { name } => {
                 let content = self.objects.get(&name).map(|bytes| bytes.to_vec());
-                self.soon(node, NodeEvent::Fetched { name, content });
+                self.soon(node, NodeEvent::ObjectFetched { name, content });
             }
             Action::ListStreams { server, holder, .. } => {
                 let streams = Some(self.backend.list(self.now, &server, &holder));
-                let event = NodeEvent::Streams {
+                let event = NodeEvent::StreamsListed {
                     server,
                     holder,
                     streams,
@@ -389,7 +389,7 @@
                 self.soon(node, event);
             }
             Action::CancelStream { stream, .. } => self.backend.cancel(self.now, &stream),
-            Action::InForce { version, .. } => self.members[node].versions.push(version),
+            Action::ApplyDocument { version, .. } => self.members[node].versions.push(version),
             Action::Exit => {
                 self.members[node].has_left = true;
                 self.members[node].node = None;
@@ -408,6 +408,6 @@
             return;
         };
         let from = self.members[from].name.clone();
-        self.soon(to, NodeEvent::Peer { from, message });
+        self.soon(to, NodeEvent::PeerMessage { from, message });
     }
 }
--- a/crates/fescuewell_node/tests/messages.rs
+++ b/crates/fescuewell_node/tests/messages.rs
@@ -36,12 +36,12 @@
     }];
     let lookup = Request::Lookup { request: Digest(1) };
     vec![
-        Message::Ask {
+        Message::SlotRequest {
             correlation: 1,
             slot: SlotKey(2),
             request: lookup.clone(),
         },
-        Message::Answer {
+        Message::SlotReply {
             correlation: 1,
             reply: Reply::NotHolder,
         },
@@ -56,7 +56,7 @@
             head: Some(head),
             news,
         }),
-        Message::WantChunk { name: "00".into() },
+        Message::ChunkRequest { name: "00".into() },
         Message::Chunk {
             name: "00".into(),
             content: Some(vec![1, 2]),
--- a/crates/fescuewell_node/tests/paths.rs
+++ b/crates/fescuewell_node/tests/paths.rs
@@ -274,7 +274,7 @@
 fn waiting_bulk_work_does_not_keep_urgent_requests_out() {
     // Symptom: urgent requests are refused as too many while the backend servers have places for them.
     let mut world = World::new(0, &document(PREPAID, 8), 15);
-    world.settings.most_requests = 40;
+    world.settings.max_requests = 40;
     world.start();
     world.run_for(8_000);
     world.backend.reactions.extend([Reaction::Take(20_000); 40]);
--- a/crates/fescuewell_router/src/adapters.rs
+++ b/crates/fescuewell_router/src/adapters.rs
@@ -12,7 +12,7 @@
 use fescuewell_core::table::{Step, Table};
 use fescuewell_core::timer;
 use fescuewell_document::model::{Document, Server};
-use fescuewell_node::event::{Duty, Event as NodeEvent};
+use fescuewell_node::event::{Component, Event as NodeEvent};
 use fescuewell_placement::order::Order;
 use fescuewell_platform::Worker;
 
@@ -21,13 +21,13 @@
 /// Time between two readings of the instance list.
 const LIST_INTERVAL: Duration = Duration::from_secs(1);
 /// Duties at the table; each has a thread of its own, so that a slow one holds up no other.
-const DUTIES: [Duty; 6] = [
-    Duty::Budget,
-    Duty::Claims,
-    Duty::Members,
-    Duty::Head,
-    Duty::Placement,
-    Duty::Reclaim,
+const DUTIES: [Component; 6] = [
+    Component::Budget,
+    Component::Claims,
+    Component::Members,
+    Component::Head,
+    Component::Placement,
+    Component::Reclaim,
 ];
 
 /// Work towards backend servers.
@@ -64,7 +64,7 @@
 
 /// The rings to the threads.
 pub struct Rings {
-    table: BTreeMap<Duty, flume::Sender<(Duty, Step)>>,
+    table: BTreeMap<Component, flume::Sender<(Component, Step)>>,
     fetches: flume::Sender<Arc<str>>,
     backend: flume::Sender<BackendWork>,
     /// Backend servers of the document in force, for the poller.
@@ -81,9 +81,9 @@
     /// # Errors
     ///
     /// [`Closed`].
-    pub fn give_table(&self, duty: Duty, step: Step) -> Result<(), Closed> {
-        let ring = self.table.get(&duty).ok_or(Closed)?;
-        ring.try_send((duty, step)).map_err(|_| Closed)
+    pub fn give_table(&self, component: Component, step: Step) -> Result<(), Closed> {
+        let ring = self.table.get(&component).ok_or(Closed)?;
+        ring.try_send((component, step)).map_err(|_| Closed)
     }
 
     /// Hands over a fetch. One that finds no room is asked for again by the propagation.
@@ -133,17 +133,21 @@
     timer: &timer::Service,
 ) -> std::io::Result<(Rings, flume::Receiver<BackendWork>)> {
     let mut table = BTreeMap::new();
-    for duty in DUTIES {
+    for component in DUTIES {
         let (ring, inbox) = flume::bounded(RING);
         let events = outside.events.clone();
-        let answer = move |duty, reply| events.send(NodeEvent::Table { duty, reply }).is_ok();
+        let answer = move |component, reply| {
+            events
+                .send(NodeEvent::TableReply { component, reply })
+                .is_ok()
+        };
         Worker::start(
-            &format!("table-{duty:?}"),
+            &format!("table-{component:?}"),
             outside.table.clone(),
             inbox,
             Box::new(answer),
         )?;
-        table.insert(duty, ring);
+        table.insert(component, ring);
     }
     let fetches = start_objects(outside)?;
     start_instances(outside, timer)?;
@@ -166,7 +170,10 @@
         .spawn(move || {
             for name in inbox.iter() {
                 let content = objects.get(&name).ok().flatten();
-                if events.send(NodeEvent::Fetched { name, content }).is_err() {
+                if events
+                    .send(NodeEvent::ObjectFetched { name, content })
+                    .is_err()
+                {
                     return;
                 }
             }
@@ -192,7 +199,7 @@
                 let Ok(list) = instances.list() else {
                     continue;
                 };
-                if events.send(NodeEvent::Listed(list)).is_err() {
+                if events.send(NodeEvent::InstancesListed(list)).is_err() {
                     return;
                 }
             }
--- a/crates/fescuewell_router/src/attempt.rs
+++ b/crates/fescuewell_router/src/attempt.rs
@@ -213,7 +213,7 @@
     fn note_leaving(&self, assignment: &Assignment, exchange: &Exchange) {
         if exchange.headers.contains_key(LEAVING_HEADER) {
             let server = assignment.server.clone();
-            self.desk.hint(NodeEvent::Leaving { server });
+            self.desk.hint(NodeEvent::ServerLeaving { server });
         }
     }
 
@@ -411,7 +411,7 @@
     End::Done {
         cost: used(delivery),
         output: delivery.output,
-        answer: None,
+        response: None,
     }
 }
 
--- a/crates/fescuewell_router/src/backends.rs
+++ b/crates/fescuewell_router/src/backends.rs
@@ -10,7 +10,7 @@
 use fescuewell_core::prelude::*;
 use fescuewell_document::model::{Server, ServerRole};
 use fescuewell_http::upstream::{self, Client, Target, Timeouts};
-use fescuewell_node::event::{Event as NodeEvent, ReadBack, StreamRecord};
+use fescuewell_node::event::{Event as NodeEvent, ModelReport, StreamRecord};
 use fescuewell_placement::order::{Action, Answer, Order};
 use fescuewell_routing::load::Report;
 use serde_json::{Value, json};
@@ -115,7 +115,7 @@
             return 0;
         };
         let report = read_report(&String::from_utf8_lossy(&metrics));
-        let event = NodeEvent::Reported {
+        let event = NodeEvent::LoadReported {
             server: server.name.clone(),
             report,
             loaded,
@@ -124,12 +124,14 @@
         1
     }
 
-    fn tell_models(&self, server: &Arc<str>, said: Option<ReadBack>) {
-        let Some(said) = said else {
+    fn tell_models(&self, server: &Arc<str>, report: Option<ModelReport>) {
+        let Some(report) = report else {
             return;
         };
         let server = server.clone();
-        let _ = self.events.try_send(NodeEvent::Models { server, said });
+        let _ = self
+            .events
+            .try_send(NodeEvent::ModelsReported { server, report });
     }
 
     async fn work(&self, work: BackendWork) {
@@ -139,8 +141,8 @@
                 order,
                 given,
             } => {
-                let answer = self.order(address, &order, given).await;
-                let event = NodeEvent::Ordered { order, answer };
+                let response = self.order(address, &order, given).await;
+                let event = NodeEvent::OrderResponse { order, response };
                 let _ = self.events.send_async(event).await;
             }
             BackendWork::Cancel { address, stream } => {
@@ -154,7 +156,7 @@
                 ..
             } => {
                 let streams = Some(Vec::new());
-                let event = NodeEvent::Streams {
+                let event = NodeEvent::StreamsListed {
                     server,
                     holder,
                     streams,
@@ -170,7 +172,7 @@
                 let path = format!("/v1/responses?holder={holder}");
                 let body = self.get(address, &path).await;
                 let streams = body.and_then(|body| read_streams(&body));
-                let event = NodeEvent::Streams {
+                let event = NodeEvent::StreamsListed {
                     server,
                     holder,
                     streams,
@@ -232,11 +234,11 @@
 }
 
 /// Reads which models a server has; `None` when it gave no list, which does not mean that it has none.
-fn read_models(asked: Instant, models: &Value) -> Option<ReadBack> {
+fn read_models(requested_at: Instant, models: &Value) -> Option<ModelReport> {
     models["data"].as_array()?;
     let loading = models["loading"].as_array().into_iter().flatten();
-    Some(ReadBack {
-        asked,
+    Some(ModelReport {
+        requested_at,
         loaded: names_of(models),
         loading: loading
             .filter_map(|name| name.as_str().map(Arc::from))
@@ -310,7 +312,7 @@
         hold: Tokens(hold.unwrap_or_default()),
         done: record["done"].as_bool().unwrap_or_default(),
         complete: matches!(finish, "stop" | "length"),
-        answer: None,
+        response: None,
         used: Tokens(record["usage"]["total_tokens"].as_u64().unwrap_or_default()),
     })
 }
--- a/crates/fescuewell_router/src/brain.rs
+++ b/crates/fescuewell_router/src/brain.rs
@@ -7,7 +7,7 @@
 use fescuewell_core::prelude::*;
 use fescuewell_core::table;
 use fescuewell_document::lookup::Index;
-use fescuewell_node::event::{Action, Duty, Event as NodeEvent};
+use fescuewell_node::event::{Action, Component, Event as NodeEvent};
 use fescuewell_node::node::Node;
 use fescuewell_node::state::Summary;
 use fescuewell_placement::order::{Answer, Order};
@@ -89,7 +89,7 @@
                     self.transport.send(to, payload);
                 }
             }
-            Action::Table { duty, step } => self.give_to_table(duty, step),
+            Action::Table { component, step } => self.give_to_table(component, step),
             Action::Fetch { name } => self.rings.give_fetch(name),
             Action::ListStreams {
                 server,
@@ -112,7 +112,7 @@
                     .give_backend(BackendWork::Cancel { address, stream });
             }
             Action::Order { address, order, .. } => return self.give_order(address, order),
-            Action::InForce { document, .. } => {
+            Action::ApplyDocument { document, .. } => {
                 self.rings.set_servers(&document);
                 self.plane.index.store(Arc::new(Index::new(document)));
                 self.publish();
@@ -127,13 +127,13 @@
         false
     }
 
-    fn give_to_table(&mut self, duty: Duty, step: table::Step) {
+    fn give_to_table(&mut self, component: Component, step: table::Step) {
         // Each duty has one step outstanding and a ring of its own, so that there is always room.
-        if self.rings.give_table(duty, step).is_err() {
+        if self.rings.give_table(component, step).is_err() {
             let reason = "the table's thread is gone".into();
             let reply = table::Reply::Failed(table::Error::Unreachable { reason });
             self.node
-                .handle(self.clock.now(), NodeEvent::Table { duty, reply });
+                .handle(self.clock.now(), NodeEvent::TableReply { component, reply });
         }
     }
 
@@ -148,8 +148,8 @@
             return false;
         }
         // It was certainly not sent. Were that not said, the planner would wait ten minutes for a load.
-        let answer = Answer::Refused;
-        self.take(NodeEvent::Ordered { order, answer })
+        let response = Answer::Refused;
+        self.take(NodeEvent::OrderResponse { order, response })
     }
 
     fn publish(&mut self) {
--- a/crates/fescuewell_router/src/call.rs
+++ b/crates/fescuewell_router/src/call.rs
@@ -83,7 +83,7 @@
             end: End::Done {
                 cost: self.price,
                 output: 0,
-                answer: is_kept.then(|| answer.clone()),
+                response: is_kept.then(|| answer.clone()),
             },
             answer: Some(answer),
         }
--- a/crates/fescuewell_router/src/daemon.rs
+++ b/crates/fescuewell_router/src/daemon.rs
@@ -264,7 +264,10 @@
             continue;
         };
         let from = incoming.from;
-        if events.send(NodeEvent::Peer { from, message }).is_err() {
+        if events
+            .send(NodeEvent::PeerMessage { from, message })
+            .is_err()
+        {
             return;
         }
     }
--- a/crates/fescuewell_router/src/settings.rs
+++ b/crates/fescuewell_router/src/settings.rs
@@ -207,9 +207,9 @@
     pub fn node(&self) -> fescuewell_node::settings::Settings {
         let timing = &self.timing;
         let mut node = fescuewell_node::settings::Settings::sized(self.fleet);
-        node.most_requests = self.limits.requests;
+        node.max_requests = self.limits.requests;
         node.arbiter.commit_interval = Duration::from_millis(timing.commit_interval_ms);
-        node.courier.claim_timeout = Duration::from_millis(timing.claim_patience_ms);
+        node.claims_client.claim_timeout = Duration::from_millis(timing.claim_patience_ms);
         node.members.list_lag = Duration::from_millis(timing.list_lag_ms);
         node.members.isolation_limit = Duration::from_millis(timing.isolation_ms);
         node.members.lease = Duration::from_millis(timing.lease_ms);
