--- a/crates/fescuewell_node/src/admit.rs
+++ b/crates/fescuewell_node/src/admit.rs
@@ -12,11 +12,11 @@
 use fescuewell_queue::deadline::latest_start;
 use fescuewell_queue::limit::Class;
 
+use crate::estimate::Whose;
 use crate::event::Action;
 use crate::node::Node;
 use crate::record::{Grant, Record};
 use crate::request::{Arrival, Ticket, Verdict, Work};
-use crate::usual::Whose;
 
 /// When to ask again for a request that is under way somewhere, in seconds.
 const RETRY_IN_PROGRESS: u64 = 1;
--- a/crates/fescuewell_node/src/usual.rs
+++ b/crates/fescuewell_node/src/estimate.rs
@@ -27,7 +27,7 @@
 /// ```
 /// use std::time::Duration;
 /// use fescuewell_core::prelude::*;
-/// use fescuewell_node::usual::{Usual, Whose};
+/// use fescuewell_node::estimate::{Usual, Whose};
 ///
 /// let whose = Whose { group: GroupKey(0), kind: KindKey(0) };
 /// let mut usual = Usual::default();
--- a/crates/fescuewell_node/src/lib.rs
+++ b/crates/fescuewell_node/src/lib.rs
@@ -7,20 +7,20 @@
 pub mod assembly;
 pub mod catalog;
 pub mod dispatch;
+pub mod estimate;
 pub mod event;
 pub mod limits;
 pub mod message;
 pub mod node;
-mod placing;
+mod placement;
 pub mod pump;
+mod quarantine;
 pub mod record;
 pub mod request;
 pub mod settings;
 pub mod settle;
 pub mod state;
-mod suspect;
-pub mod sweeping;
-pub mod usual;
+pub mod sweeps;
 
 /// The names that a driver of nodes uses.
 pub mod prelude {
--- a/crates/fescuewell_node/src/node.rs
+++ b/crates/fescuewell_node/src/node.rs
@@ -22,15 +22,15 @@
 
 use crate::assembly::Collector;
 use crate::catalog::Catalog;
+use crate::estimate::Usual;
 use crate::event::{Action, Component, Event as NodeEvent};
 use crate::limits::Limits;
-use crate::placing::Placing;
+use crate::placement::Placing;
 use crate::pump::Asker;
 use crate::record::Book;
 use crate::request::Ticket;
 use crate::settings::Settings;
-use crate::sweeping::Sweeping;
-use crate::usual::Usual;
+use crate::sweeps::Sweeping;
 
 /// Who this instance is.
 #[derive(Debug, Clone)]
--- a/crates/fescuewell_node/src/settle.rs
+++ b/crates/fescuewell_node/src/settle.rs
@@ -9,11 +9,11 @@
 use fescuewell_routing::server::{Outcome, Ticket as RouteTicket};
 
 use crate::admit::ask_for;
+use crate::estimate::Whose;
 use crate::event::Action;
 use crate::limits::Ended;
 use crate::node::Node;
 use crate::request::{End, Ticket, Verdict};
-use crate::usual::Whose;
 
 /// When to ask again after backend servers took nothing.
 const RETRY_BUSY: Duration = Duration::from_secs(1);
