--- a/crates/fescuewell_node/src/admit.rs
+++ b/crates/fescuewell_node/src/admit.rs
@@ -1,8 +1,8 @@
-//! From arrival to the queue: checks, hold, claim.
+//! Admission of a request: checks, budget hold, claim, queue.
 //!
-//! Money is held before the claim. The sweep bills a dead router's open claims at their hold, and with a
-//! claim made first there would be no allowance behind such a bill: the bills of a group would come to
-//! more than what was granted to its routers, at worst to more than was prepaid.
+//! Tokens are held before the request is claimed. A sweep bills the open claims of a terminated router
+//! at their hold. If the claim came first, such a bill could have no allowance behind it, and a group's
+//! bills could exceed what was granted to its routers and even what was prepaid.
 
 use fescuewell_budget::hold::Shortage;
 use fescuewell_claims::client::ClaimRequest;
@@ -12,27 +12,27 @@
 use fescuewell_queue::deadline::latest_start;
 use fescuewell_queue::limit::Class;
 
-use crate::estimate::Whose;
+use crate::estimate::Key;
 use crate::event::Action;
 use crate::node::Node;
 use crate::record::{Grant, Record};
 use crate::request::{Arrival, Ticket, Verdict, Work};
 
-/// When to ask again for a request that is under way somewhere, in seconds.
-const RETRY_IN_PROGRESS: u64 = 1;
-/// How long a repeat waits for the call that is under way: a group commit takes 50 ms and a slow table's answer a second.
-const WAIT_IN_PROGRESS: std::time::Duration = std::time::Duration::from_secs(2);
-/// Part of the requests that an instance takes at once which may be other than urgent, in percent.
-const BULK_PERCENT: usize = 80;
+/// Retry-after of a request that another attempt is already running, in seconds.
+const IN_PROGRESS_RETRY_SECS: u64 = 1;
+/// How long a repeat waits for a call in progress: a group commit takes 50 ms, a reply of a slow table 1 s.
+const MAX_IN_PROGRESS_WAIT: std::time::Duration = std::time::Duration::from_secs(2);
+/// Share of an instance's concurrent requests that may be non-urgent, in percent.
+const MAX_BULK_PERCENT: usize = 80;
 
 impl Node {
-    /// Takes a request in, or refuses it at once.
-    pub(crate) fn arrive(&mut self, arrival: Arrival) {
+    /// Admits a request or refuses it immediately.
+    pub(crate) fn admit(&mut self, arrival: Arrival) {
         let ticket = arrival.ticket;
         match self.check(&arrival) {
-            Err(refusal) => self.refuse_unknown(ticket, &arrival.key, refusal),
+            Err(refusal) => self.refuse_unrecorded(ticket, &arrival.key, refusal),
             Ok(record) => {
-                self.book.insert(record);
+                self.requests.insert(record);
                 self.retries.first_try(self.now);
                 self.hold(ticket);
             }
@@ -50,7 +50,7 @@
             .kind(&arrival.kind)
             .ok_or_else(|| Refusal::new(Code::UnknownKind).with_detail(&arrival.kind))?;
         self.check_load(kind)?;
-        self.check_suspect(arrival)?;
+        self.check_quarantine(arrival)?;
         let reach = self.catalog.reach(group, &arrival.work);
         if reach.servers.is_empty() {
             let code = match arrival.work {
@@ -64,12 +64,12 @@
             kind,
             arrived: self.now,
             deadline: self.now + arrival.deadline,
-            state: self.book.initial(),
+            state: self.requests.initial(),
             grant: None,
             hold: None,
             shortage: None,
-            lost: None,
-            other_run: None,
+            lost_owner: None,
+            attached_to: None,
             entry: None,
             sent_at: self.now,
             output: None,
@@ -98,33 +98,33 @@
     }
 
     fn check_load(&self, kind: KindKey) -> Result<(), Refusal> {
-        // With one bound for all, waiting bulk work would fill it, and urgent requests would be refused
-        // although there are places for them on the backend servers.
-        let most = match self.catalog.is_urgent(kind) {
+        // With a single limit, queued bulk work would fill it, and urgent requests would be refused
+        // although the backend servers have capacity for them.
+        let max_requests = match self.catalog.is_urgent(kind) {
             true => self.settings.max_requests,
-            false => self.settings.max_requests * BULK_PERCENT / 100,
+            false => self.settings.max_requests * MAX_BULK_PERCENT / 100,
         };
-        // The bills of requests under way must find room even if the table stays away for an hour;
-        // taking one more would mean to drop one of them.
-        if self.claims_client.is_full() || self.book.len() >= most {
+        // The bills of admitted requests must fit in the buffer even if the table is unavailable for
+        // an hour. Admitting another request could cause a bill to be dropped.
+        if self.claims_client.is_full() || self.requests.len() >= max_requests {
             let refusal = Refusal::new(Code::Overloaded);
             return Err(refusal.with_retry_after(std::time::Duration::from_secs(1)));
         }
         Ok(())
     }
 
-    /// Asks the slot of the request whether it may run.
+    /// Requests a claim for the request from the holder of its slot.
     pub(crate) fn claim(&mut self, ticket: Ticket) {
-        let Some(record) = self.book.get(ticket) else {
+        let Some(record) = self.requests.get(ticket) else {
             return;
         };
-        let mut ask = ask_for(record);
+        let mut request = claim_request(record);
         if record.shortage.is_some() {
-            // Nothing is held and nothing will be sent, so there is nothing to bill either.
-            ask.hold = Tokens::ZERO;
+            // Nothing is held and nothing will be sent, so there is nothing to bill.
+            request.hold = Tokens::ZERO;
         }
-        let attempt = self.claims_client.claim(self.now, ticket.0, &ask);
-        if let Some(record) = self.book.get_mut(ticket) {
+        let attempt = self.claims_client.claim(self.now, ticket.0, &request);
+        if let Some(record) = self.requests.get_mut(ticket) {
             record.grant = Some(Grant {
                 attempt,
                 is_deferred: true,
@@ -132,59 +132,59 @@
         }
     }
 
-    /// The slot granted the claim.
+    /// Handles a granted claim.
     pub(crate) fn claim_granted(&mut self, ticket: Ticket) {
-        if let Some(record) = self.book.get_mut(ticket)
+        if let Some(record) = self.requests.get_mut(ticket)
             && let Some(grant) = &mut record.grant
         {
             grant.is_deferred = false;
         }
-        self.may_run(ticket);
+        self.enqueue_or_refuse(ticket);
     }
 
-    /// Queues a request that is not known elsewhere, if there is money for it.
-    fn may_run(&mut self, ticket: Ticket) {
-        let shortage = self.book.get(ticket).and_then(|record| record.shortage);
+    /// Queues a request that has no other attempt, or refuses it if its group lacks the budget.
+    fn enqueue_or_refuse(&mut self, ticket: Ticket) {
+        let shortage = self.requests.get(ticket).and_then(|record| record.shortage);
         match shortage {
-            Some(shortage) => self.refuse(ticket, refusal_of(shortage)),
+            Some(shortage) => self.refuse(ticket, shortage_refusal(shortage)),
             None => self.enqueue(ticket),
         }
     }
 
-    /// Nobody could record the claim.
+    /// Handles a claim that could not be recorded.
     ///
-    /// A call that may not be repeated is refused: were it sent, a second router could not know of
-    /// it and would run it again. A repeatable one goes on; its bill is arbitrated in any case.
+    /// A non-repeatable call is refused: if it were sent, another router would not know of it and would
+    /// run it again. A repeatable request continues; its bill is arbitrated in any case.
     pub(crate) fn claim_unavailable(&mut self, ticket: Ticket) {
-        let Some(record) = self.book.get(ticket) else {
+        let Some(record) = self.requests.get(ticket) else {
             return;
         };
         if record.arrival.work.repeatable() || record.shortage.is_some() {
-            self.may_run(ticket);
+            self.enqueue_or_refuse(ticket);
             return;
         }
         let refusal =
             Refusal::new(Code::NoClaim).with_retry_after(std::time::Duration::from_secs(1));
-        self.forget_grant(ticket);
+        self.clear_grant(ticket);
         self.refuse(ticket, refusal);
     }
 
-    /// The request is known already.
+    /// Handles a claim that was refused because the request already has a state.
     pub(crate) fn claim_known(&mut self, ticket: Ticket, known: RequestState) {
-        self.forget_grant(ticket);
-        let wait = std::time::Duration::from_secs(RETRY_IN_PROGRESS);
+        self.clear_grant(ticket);
+        let wait = std::time::Duration::from_secs(IN_PROGRESS_RETRY_SECS);
         match known {
             RequestState::Absent => self.claim(ticket),
             RequestState::Conflict => self.refuse(ticket, Refusal::new(Code::Conflict)),
-            RequestState::InProgress { owner, .. } if self.is_over(&owner) => {
-                self.reclaims.insert(ticket);
+            RequestState::InProgress { owner, .. } if self.is_stale_owner(&owner) => {
+                self.claim_retries.insert(ticket);
             }
             RequestState::InProgress { owner, assignment } => match assignment {
                 Some(assignment) if self.is_model(ticket) => {
                     self.attach(ticket, Some(owner), &assignment.server, &assignment.stream);
                 }
-                _ if self.may_end_soon(ticket) => {
-                    self.reclaims.insert(ticket);
+                _ if self.may_finish_soon(ticket) => {
+                    self.claim_retries.insert(ticket);
                 }
                 _ => self.refuse(
                     ticket,
@@ -193,15 +193,15 @@
             },
             RequestState::Done {
                 assignment,
-                response: answer,
+                response,
                 in_doubt,
             } => {
-                if let Some(answer) = answer {
-                    // The listener has all it needs and reports no end. The request would stay in the
-                    // book for ever, fill it, and keep the instance from leaving.
-                    if self.book.step(ticket, "known") {
-                        self.decide(ticket, Verdict::Stored(answer));
-                        self.reader_ended(ticket);
+                if let Some(response) = response {
+                    // The listener has the whole response and reports no end of the attempt. Without this
+                    // call the record would stay for good, count against the limit and block the drain.
+                    if self.requests.step(ticket, "known") {
+                        self.decide(ticket, Verdict::Stored(response));
+                        self.finish_reader(ticket);
                     }
                     return;
                 }
@@ -216,29 +216,29 @@
         }
     }
 
-    /// Whether the run was this instance's and has been given up.
+    /// Returns `true` if the attempt belonged to this instance and has been released.
     ///
-    /// Its release is on its way and may be overtaken by the claim of the next run, also of the same
-    /// request. Without this, a request whose answer was lost is refused as being under way, by itself.
-    fn is_over(&self, owner: &Owner) -> bool {
-        owner.holder == self.me.holder && !self.book.has_attempt(owner.attempt)
+    /// The release may arrive at the slot after the claim of the next attempt. Without this check, a
+    /// request whose response was lost would be refused because of its own previous attempt.
+    fn is_stale_owner(&self, owner: &Owner) -> bool {
+        owner.holder == self.identity.holder && !self.requests.has_attempt(owner.attempt)
     }
 
-    /// Whether a call that is under way at another instance is waited for.
+    /// Returns `true` while a repeat should wait for a call in progress at another instance.
     ///
-    /// That instance answers its caller first and tells the slot's holder then. A repeat that overtakes it would be
-    /// refused as being under way, although its caller has seen the answer.
-    fn may_end_soon(&self, ticket: Ticket) -> bool {
-        let record = self.book.get(ticket);
+    /// That instance responds to its caller before it reports to the slot's holder. A repeat that reaches the
+    /// holder in between would be refused as in progress although its caller has the response.
+    fn may_finish_soon(&self, ticket: Ticket) -> bool {
+        let record = self.requests.get(ticket);
         record.is_some_and(|record| {
-            self.now < (record.arrived + WAIT_IN_PROGRESS).min(record.deadline)
+            self.now < (record.arrived + MAX_IN_PROGRESS_WAIT).min(record.deadline)
         })
     }
 
-    /// Claims once more what a release of this instance, or a call elsewhere, stood in the way of.
-    pub(crate) fn claim_again(&mut self) {
-        for ticket in std::mem::take(&mut self.reclaims) {
-            let Some(record) = self.book.get(ticket) else {
+    /// Retries claims that were blocked by a pending release or by a call in progress elsewhere.
+    pub(crate) fn retry_claims(&mut self) {
+        for ticket in std::mem::take(&mut self.claim_retries) {
+            let Some(record) = self.requests.get(ticket) else {
                 continue;
             };
             if self.now >= record.deadline {
@@ -250,23 +250,23 @@
     }
 
     fn is_model(&self, ticket: Ticket) -> bool {
-        let record = self.book.get(ticket);
+        let record = self.requests.get(ticket);
         record.is_some_and(|record| matches!(record.arrival.work, Work::Model { .. }))
     }
 
-    // The answer of another run is read from the backend server; the run stays its owner's to bill.
+    // Reads the response of another attempt from the backend server. That attempt's owner bills it.
     fn attach(&mut self, ticket: Ticket, owner: Option<Owner>, server: &str, stream: &StreamId) {
-        let Some(place) = self.catalog.place_of(server).cloned() else {
+        let Some(endpoint) = self.catalog.endpoint_by_name(server).cloned() else {
             self.refuse(ticket, Refusal::new(Code::AlreadyRan));
             return;
         };
-        if !self.book.step(ticket, "known") {
+        if !self.requests.step(ticket, "known") {
             return;
         }
-        if let Some(record) = self.book.get_mut(ticket) {
-            record.other_run = owner;
+        if let Some(record) = self.requests.get_mut(ticket) {
+            record.attached_to = owner;
             let hold = record.hold.take();
-            // A reader costs nothing; money held for it would be missing elsewhere meanwhile.
+            // A reader costs nothing, and its hold would reduce the allowance for other requests.
             if let Some(hold) = hold {
                 self.ledger.release(self.now, hold);
             }
@@ -281,81 +281,81 @@
         self.actions.push(Action::Decide {
             ticket,
             verdict: Verdict::Attach {
-                server: place.name,
-                address: place.address,
+                server: endpoint.name,
+                address: endpoint.address,
                 stream: stream.clone(),
             },
         });
     }
 
-    /// The backend server has no record of the run that this request was attached to.
+    /// Handles a backend server that has no record of the stream this request was attached to.
     pub(crate) fn stream_gone(&mut self, ticket: Ticket) {
-        let Some(record) = self.book.get_mut(ticket) else {
+        let Some(record) = self.requests.get_mut(ticket) else {
             return;
         };
-        let other_run = record.other_run.take();
-        if other_run.is_none() {
+        let attached_to = record.attached_to.take();
+        if attached_to.is_none() {
             self.refuse(ticket, Refusal::new(Code::AlreadyRan));
             return;
         }
-        record.lost = other_run;
-        if self.book.step(ticket, "lost") {
+        record.lost_owner = attached_to;
+        if self.requests.step(ticket, "lost") {
             self.hold(ticket);
         }
     }
 
-    fn forget_grant(&mut self, ticket: Ticket) {
-        if let Some(record) = self.book.get_mut(ticket) {
+    fn clear_grant(&mut self, ticket: Ticket) {
+        if let Some(record) = self.requests.get_mut(ticket) {
             record.grant = None;
         }
     }
 
-    /// Tries to hold the worst case of the request's cost, then claims it; called again whenever the
-    /// group's allowance changed.
+    /// Holds the request's maximum cost, then claims the request. Called again whenever the group's
+    /// allowance changes.
     pub(crate) fn hold(&mut self, ticket: Ticket) {
-        let Some(record) = self.book.get(ticket) else {
+        let Some(record) = self.requests.get(ticket) else {
             return;
         };
         let amount = record.arrival.work.bound();
         match self.ledger.hold(self.now, record.group, amount) {
             Ok(hold) => {
-                if let Some(record) = self.book.get_mut(ticket) {
+                if let Some(record) = self.requests.get_mut(ticket) {
                     record.hold = Some(hold);
                     record.shortage = None;
                 }
-                self.held(ticket);
+                self.claim_held(ticket);
             }
             Err(Shortage::Pending) => {}
-            Err(shortage) => self.out_of_money(ticket, shortage),
+            Err(shortage) => self.record_shortage(ticket, shortage),
         }
     }
 
-    /// There is no money for a request. It may still have run before, and a caller that asks for its answer
-    /// must not be told that it did not.
-    pub(crate) fn out_of_money(&mut self, ticket: Ticket, shortage: Shortage) {
+    /// Records that the group lacks the budget. The request is claimed all the same, because it may have run
+    /// before, and its caller must not be told that it did not run.
+    pub(crate) fn record_shortage(&mut self, ticket: Ticket, shortage: Shortage) {
         if shortage == Shortage::Pending {
             return;
         }
-        if let Some(record) = self.book.get_mut(ticket) {
+        if let Some(record) = self.requests.get_mut(ticket) {
             record.shortage = Some(shortage);
         }
-        self.held(ticket);
+        self.claim_held(ticket);
     }
 
-    fn held(&mut self, ticket: Ticket) {
-        if self.book.step(ticket, "held") {
+    fn claim_held(&mut self, ticket: Ticket) {
+        if self.requests.step(ticket, "held") {
             self.claim(ticket);
         }
     }
 
     fn enqueue(&mut self, ticket: Ticket) {
-        if !self.book.step(ticket, "granted") {
+        if !self.requests.step(ticket, "granted") {
             return;
         }
-        let Some(record) = self.book.get(ticket) else {
+        let Some(record) = self.requests.get(ticket) else {
             return;
         };
-        let whose = Whose {
+        let key = Key {
             group: record.group,
             kind: record.kind,
         };
@@ -365,8 +365,8 @@
             group: record.group,
             kind: record.kind,
             pool: record.pool,
-            cost: self.usual.cost(whose, record.arrival.work.bound()),
-            deadline: latest_start(record.deadline, self.usual.time(whose, left)),
+            cost: self.estimator.cost(key, record.arrival.work.bound()),
+            deadline: latest_start(record.deadline, self.estimator.time(key, left)),
         };
         match self.admission.push(self.now, entry) {
             Ok(_) => self.needs_dispatch = true,
@@ -375,8 +375,8 @@
     }
 }
 
-/// What is known of the reason why there is no money.
-fn refusal_of(shortage: Shortage) -> Refusal {
+/// Converts a budget shortage to a refusal.
+fn shortage_refusal(shortage: Shortage) -> Refusal {
     match shortage {
         Shortage::Exhausted => Refusal::new(Code::BudgetExhausted),
         Shortage::InUse { retry_after } => {
@@ -389,14 +389,14 @@
     }
 }
 
-/// What the slot is asked for a request.
-pub(crate) fn ask_for(record: &Record) -> ClaimRequest {
+/// Builds the claim for a request.
+pub(crate) fn claim_request(record: &Record) -> ClaimRequest {
     ClaimRequest {
         request: record.arrival.key.digest(),
         fingerprint: record.arrival.fingerprint,
         group: record.arrival.group.clone(),
         hold: record.arrival.work.bound(),
         repeatable: record.arrival.work.repeatable(),
-        lost: record.lost.clone(),
+        lost: record.lost_owner.clone(),
     }
 }
--- a/crates/fescuewell_node/src/assembly.rs
+++ b/crates/fescuewell_node/src/assembly.rs
@@ -1,4 +1,4 @@
-//! Puts a document together from fetched objects, for the propagation machine.
+//! Assembles a document from fetched objects, for the propagation state machine.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use fescuewell_membership::gossip::Head;
 use fescuewell_membership::propagate::{Assembler, Rejection};
 
-/// The document that is being collected and the objects of the one in force.
+/// The document being assembled and the objects of the current one.
 #[derive(Debug, Default)]
 pub struct Collector {
     assembly: Option<Assembly>,
@@ -18,16 +18,16 @@
 }
 
 impl Collector {
-    /// An object of the document in force, for a peer that asks for it.
+    /// Returns an object of the current document, to serve it to peers.
     pub fn object(&self, name: &str) -> Option<&Arc<[u8]>> {
         self.objects.get(name)
     }
 
-    /// The collected document; its objects replace those of the document before it.
+    /// Returns the assembled document. Its objects replace those of the previous document.
     ///
     /// # Errors
     ///
-    /// When an object is missing or cannot be read.
+    /// Returns an error if an object is missing or cannot be decoded.
     pub fn finish(&mut self) -> Result<Document, Error> {
         let Some(assembly) = self.assembly.take() else {
             return Ok(Document::default());
--- a/crates/fescuewell_node/src/catalog.rs
+++ b/crates/fescuewell_node/src/catalog.rs
@@ -1,4 +1,4 @@
-//! The document in force, turned into keys, policies and pools.
+//! Index of the current document: keys, policies and pools.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,57 +13,58 @@
 
 use crate::request::Work;
 
-/// Where a backend server is and what it does.
+/// Address and role of a backend server.
 #[derive(Debug, Clone)]
-pub struct Place {
-    /// Its name.
+pub struct Endpoint {
+    /// Name of the server.
     pub name: Arc<str>,
-    /// Where it listens.
+    /// Address of the server.
     pub address: SocketAddr,
-    /// What it does.
+    /// Role of the server.
     pub role: ServerRole,
-    /// Most requests that the whole fleet keeps on it at once.
+    /// Maximum concurrent requests of the whole fleet on the server.
     pub concurrency: u32,
 }
 
-/// Which backend servers may run a piece of work.
+/// Backend servers that are eligible for a piece of work.
 #[derive(Debug, Clone)]
 pub struct Reach {
-    /// Their keys, sorted.
+    /// Keys of the servers, sorted.
     pub servers: Arc<[ServerKey]>,
-    /// Number of this set together with the model; requests of one pool are interchangeable to the queue.
+    /// Identifies the set of servers and the model or service. The queue treats requests of one pool as
+    /// interchangeable.
     pub pool: u32,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct PoolName {
+struct PoolKey {
     wanted: Arc<str>,
     servers: Arc<[ServerKey]>,
 }
 
-/// Keys, policies and pools. Keys stay the same from document to document, so that what the
-/// machines remember of a group or backend server outlives a change of the document.
+/// Keys, policies and pools of the current document. Keys are stable across documents, so that the
+/// components keep their state of a group or backend server when the document changes.
 #[derive(Debug, Default)]
 pub struct Catalog {
     groups: Interner<GroupKey>,
     kinds: Interner<KindKey>,
     servers: Interner<ServerKey>,
-    places: HashMap<ServerKey, Place>,
-    /// Servers that an earlier document named and this one does not.
-    former: HashMap<ServerKey, Place>,
+    endpoints: HashMap<ServerKey, Endpoint>,
+    /// Servers of earlier documents that the current one does not contain.
+    removed: HashMap<ServerKey, Endpoint>,
     reach: HashMap<(GroupKey, Arc<str>), Reach>,
-    pools: HashMap<PoolName, u32>,
+    pools: HashMap<PoolKey, u32>,
     priorities: HashMap<KindKey, u8>,
     document: Arc<Document>,
     version: Version,
 }
 
 impl Catalog {
-    /// Takes over a newer document.
+    /// Replaces the document by a newer one.
     pub fn replace(&mut self, version: Version, document: Arc<Document>) {
         self.version = version;
         self.document = document.clone();
-        self.former.extend(self.places.drain());
+        self.removed.extend(self.endpoints.drain());
         self.reach.clear();
         self.priorities.clear();
         for server in &document.servers {
@@ -80,93 +81,97 @@
 
     fn add_server(&mut self, server: &Server) {
         let key = self.servers.intern(&server.name);
-        let place = Place {
+        let endpoint = Endpoint {
             name: server.name.clone(),
             address: server.address,
             role: server.role,
             concurrency: server.concurrency,
         };
-        self.former.remove(&key);
-        self.places.insert(key, place);
+        self.removed.remove(&key);
+        self.endpoints.insert(key, endpoint);
     }
 
-    /// Every backend server that a document named since the start of this process.
+    /// Returns every backend server of any document since the start of this process.
     ///
-    /// A server that was taken out of the document may still run streams. A sweep that did not ask it
-    /// would free money that these streams go on spending.
-    pub fn all_places(&self) -> impl Iterator<Item = &Place> {
-        self.places.values().chain(self.former.values())
+    /// A server that was removed from the document may still run streams. A sweep that skipped it would
+    /// free an allowance that these streams still spend.
+    pub fn all_endpoints(&self) -> impl Iterator<Item = &Endpoint> {
+        self.endpoints.values().chain(self.removed.values())
     }
 
-    /// Where the backend server of that name is, or was in an earlier document.
-    pub fn any_place_of(&self, name: &str) -> Option<&Place> {
+    /// Returns the endpoint of a server in the current document or an earlier one.
+    pub fn any_endpoint_by_name(&self, name: &str) -> Option<&Endpoint> {
         let key = self.servers.get(name)?;
-        self.places.get(&key).or_else(|| self.former.get(&key))
+        self.endpoints.get(&key).or_else(|| self.removed.get(&key))
     }
 
-    /// The document in force.
+    /// Returns the current document.
     pub fn document(&self) -> &Arc<Document> {
         &self.document
     }
 
-    /// Its version; 0 before the first one.
+    /// Returns the version of the current document; 0 before the first one.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// Key of a group of the document in force.
+    /// Returns the key of a group.
     pub fn group(&self, name: &str) -> Option<GroupKey> {
         self.groups.get(name)
     }
 
-    /// Name of a group.
+    /// Returns the name of a group.
     pub fn group_name(&self, key: GroupKey) -> &Arc<str> {
         self.groups.name(key)
     }
 
-    /// Key of a kind of request of the document in force.
+    /// Returns the key of a request kind in the current document.
     pub fn kind(&self, name: &str) -> Option<KindKey> {
         let key = self.kinds.get(name)?;
         self.priorities.contains_key(&key).then_some(key)
     }
 
-    /// Name of a kind.
+    /// Returns the name of a request kind.
     pub fn kind_name(&self, key: KindKey) -> &Arc<str> {
         self.kinds.name(key)
     }
 
-    /// Whether a kind is among the most urgent ones.
+    /// Returns `true` if a kind has the most urgent priority of all kinds.
     pub fn is_urgent(&self, kind: KindKey) -> bool {
-        let least = self.priorities.values().min();
-        self.priorities.get(&kind) == least
+        let most_urgent = self.priorities.values().min();
+        self.priorities.get(&kind) == most_urgent
     }
 
-    /// Priority of a kind; 0 is the most urgent.
+    /// Returns the priority of a kind; 0 is the most urgent.
     pub fn priority(&self, kind: KindKey) -> u8 {
         self.priorities.get(&kind).copied().unwrap_or(u8::MAX)
     }
 
-    /// Key of a backend server that was ever named.
+    /// Returns the key of a backend server of this or an earlier document.
     pub fn server(&self, name: &str) -> Option<ServerKey> {
         self.servers.get(name)
     }
 
-    /// Where a backend server of the document in force is.
-    pub fn place(&self, key: ServerKey) -> Option<&Place> {
-        self.places.get(&key)
+    /// Returns the endpoint of a server in the current document.
+    pub fn endpoint(&self, key: ServerKey) -> Option<&Endpoint> {
+        self.endpoints.get(&key)
     }
 
-    /// Where the backend server of that name is.
-    pub fn place_of(&self, name: &str) -> Option<&Place> {
-        self.servers.get(name).and_then(|key| self.places.get(&key))
+    /// Returns the endpoint of a server in the current document, by name.
+    pub fn endpoint_by_name(&self, name: &str) -> Option<&Endpoint> {
+        self.servers
+            .get(name)
+            .and_then(|key| self.endpoints.get(&key))
     }
 
-    /// Backend servers of the document in force.
-    pub fn places(&self) -> impl Iterator<Item = (ServerKey, &Place)> {
-        self.places.iter().map(|(key, place)| (*key, place))
+    /// Returns the backend servers of the current document.
+    pub fn endpoints(&self) -> impl Iterator<Item = (ServerKey, &Endpoint)> {
+        self.endpoints
+            .iter()
+            .map(|(key, endpoint)| (*key, endpoint))
     }
 
-    /// Which backend servers may run `work` for `group`; empty when there is none.
+    /// Returns the backend servers that may run `work` for `group`, which may be none.
     pub fn reach(&mut self, group: GroupKey, work: &Work) -> Reach {
         let wanted = match work {
             Work::Model { model, .. } => model.clone(),
@@ -177,7 +182,7 @@
         }
         let servers: Arc<[ServerKey]> = self.find_servers(group, work).into();
         let next = self.pools.len() as u32;
-        let name = PoolName {
+        let name = PoolKey {
             wanted: wanted.clone(),
             servers: servers.clone(),
         };
@@ -218,7 +223,7 @@
         }
     }
 
-    /// What the ledger needs to know of the groups.
+    /// Returns the groups' policies for the ledger.
     pub fn budget_policies(&self) -> Vec<BudgetPolicy> {
         let groups = self.document.groups.iter();
         let policies = groups.filter_map(|group| {
@@ -233,7 +238,7 @@
         policies.collect()
     }
 
-    /// What the queue needs to know of the groups.
+    /// Returns the groups' policies for the queue.
     pub fn group_policies(&self) -> Vec<GroupPolicy> {
         let groups = self.document.groups.iter();
         let policies = groups.filter_map(|group| {
@@ -246,7 +251,7 @@
         policies.collect()
     }
 
-    /// What the queue needs to know of the kinds.
+    /// Returns the request kinds' policies for the queue.
     pub fn kind_policies(&self) -> Vec<KindPolicy> {
         let kinds = self.document.kinds.iter();
         let policies = kinds.filter_map(|kind| {
@@ -259,7 +264,7 @@
         policies.collect()
     }
 
-    /// What routing needs to know of the backend servers.
+    /// Returns the backend servers' policies for routing.
     pub fn server_policies(&self) -> Vec<ServerPolicy> {
         let servers = self.document.servers.iter();
         let policies = servers.filter_map(|server| {
--- a/crates/fescuewell_node/src/dispatch.rs
+++ b/crates/fescuewell_node/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! From the queue to a backend server.
+//! Dispatch of queued requests to backend servers.
 
 use std::time::Duration;
 
@@ -13,30 +13,30 @@
 use crate::record::Record;
 use crate::request::{Assignment, Ticket, Verdict, Work};
 
-/// Requests started in one go; the rest waits for the next event, so that one burst does not keep
-/// heartbeats and commits waiting.
-const BURST: usize = 64;
-/// Time between two notes that urgent work found no place; each looks at every server in reach.
-const CROWDED_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum requests started per call. The rest waits for the next event, so that a burst does not
+/// delay heartbeats and commits.
+const MAX_BATCH: usize = 64;
+/// Minimum interval between two increases of the urgent reserve; each visits every eligible server.
+const RAISE_RESERVE_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Node {
-    /// Starts what can start and gives up what cannot be started in time.
+    /// Starts the requests that can start and refuses those that cannot start in time.
     pub(crate) fn dispatch(&mut self) {
-        self.give_up_late();
-        for _ in 0..BURST {
+        self.refuse_late();
+        for _ in 0..MAX_BATCH {
             let Some((entry, choice)) = self.next_start() else {
                 self.needs_dispatch = false;
                 return;
             };
-            self.send(entry, choice);
+            self.start_attempt(entry, choice);
         }
     }
 
-    // A request that will miss its deadline is told so now: the caller can still act on it.
-    fn give_up_late(&mut self) {
+    // Refuses requests that will miss their deadline early, while the caller can still react.
+    fn refuse_late(&mut self) {
         for entry in self.admission.expire(self.now) {
             let ticket = Ticket(entry.ticket);
-            let record = self.book.get(ticket);
+            let record = self.requests.get(ticket);
             let passed = record.is_some_and(|record| self.now >= record.deadline);
             let code = if passed {
                 Code::DeadlinePassed
@@ -53,22 +53,22 @@
         let Self {
             admission,
             router,
-            book,
+            requests,
             catalog,
             limits,
-            crowded_at,
+            reserve_raised_at,
             ..
         } = self;
-        let may_tell = now.since(*crowded_at) >= CROWDED_INTERVAL;
+        let may_raise = now.since(*reserve_raised_at) >= RAISE_RESERVE_INTERVAL;
         let mut can_start = |entry: &Entry| {
-            let Some(record) = book.get(Ticket(entry.ticket)) else {
+            let Some(record) = requests.get(Ticket(entry.ticket)) else {
                 return false;
             };
             let urgent = catalog.is_urgent(record.kind);
             let choice = router.choose(now, &query(record, urgent));
-            if urgent && may_tell && choice == Err(NoChoice::AllBusy) {
-                *crowded_at = now;
-                limits.crowded(now, &record.reach);
+            if urgent && may_raise && choice == Err(NoChoice::AllBusy) {
+                *reserve_raised_at = now;
+                limits.raise_reserves(now, &record.reach);
             }
             chosen = choice.ok();
             chosen.is_some()
@@ -77,17 +77,17 @@
         chosen.map(|choice| (entry, choice))
     }
 
-    fn send(&mut self, entry: Entry, choice: Choice) {
+    fn start_attempt(&mut self, entry: Entry, choice: Choice) {
         let ticket = Ticket(entry.ticket);
-        let Some(place) = self.catalog.place(choice.server).cloned() else {
+        let Some(endpoint) = self.catalog.endpoint(choice.server).cloned() else {
             return;
         };
-        if !self.book.step(ticket, "sent") {
+        if !self.requests.step(ticket, "sent") {
             return;
         }
         let now = self.now;
-        let holder = self.me.holder.clone();
-        let Some(record) = self.book.get_mut(ticket) else {
+        let holder = self.identity.holder.clone();
+        let Some(record) = self.requests.get_mut(ticket) else {
             return;
         };
         record.server = Some(choice.server);
@@ -107,8 +107,8 @@
         let owner = self.claims_client.owner(grant.attempt);
         let stream = fescuewell_claims::stream::id(&owner, digest);
         let assignment = Assignment {
-            server: place.name.clone(),
-            address: place.address,
+            server: endpoint.name.clone(),
+            address: endpoint.address,
             stream: stream.clone(),
             hold: record.arrival.work.bound(),
             attempt: grant.attempt,
@@ -125,7 +125,7 @@
             record.arrival.key.id,
             record.arrival.kind,
             record.arrival.group,
-            place.name,
+            endpoint.name,
             grant.attempt,
             choice.reason,
             now.since(record.arrived).as_secs_f64() * 1e3,
@@ -138,11 +138,12 @@
             RouteTicket(ticket.0),
             choice.expected_tokens,
         );
-        let told = ClaimAssignment {
-            server: place.name,
+        let claim_assignment = ClaimAssignment {
+            server: endpoint.name,
             stream,
         };
-        self.claims_client.assign(now, digest, grant.attempt, told);
+        self.claims_client
+            .assign(now, digest, grant.attempt, claim_assignment);
         self.log(Event::RouteChosen, text);
         self.decide(ticket, Verdict::Run(assignment));
     }
@@ -168,7 +169,7 @@
     }
 }
 
-/// Salt of the engines' prefix caches: one for each group, not guessable from another group's.
+/// Returns a group's salt for the engines' prefix caches; not derivable from another group's salt.
 pub fn cache_salt(group: &str) -> std::sync::Arc<str> {
     Digest::of(format!("cache-salt/{group}").as_bytes())
         .to_string()
--- a/crates/fescuewell_node/src/event.rs
+++ b/crates/fescuewell_node/src/event.rs
@@ -1,4 +1,4 @@
-//! What an instance's decisions are told and what they ask for.
+//! Input events and output actions of a node.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,238 +14,238 @@
 use crate::request::{Arrival, End, Ticket, Verdict};
 
 fescuewell_core::message! {
-    /// Which machine asked for a piece of table work. Each has at most one step outstanding.
+    /// A component that uses the table. Each has at most one step in flight.
     #[derive(Copy, Eq, Hash, PartialOrd, Ord)]
     pub enum Component {
         /// Allowances.
         Budget,
-        /// Slots: claims and bills.
+        /// Claims and bills of the slots.
         Claims,
-        /// Heartbeats and membership.
+        /// Heartbeats and membership rows.
         Members,
-        /// The head of the document.
+        /// The document head.
         Head,
         /// Orders to backend servers.
         Placement,
-        /// Allowances of terminated holders.
+        /// Reclaim of terminated holders' allowances.
         Reclaim,
     }
 
-    /// A stream that a backend server has a record of.
+    /// A backend server's record of a stream.
     pub struct StreamRecord {
-        /// Its name.
+        /// Id of the stream.
         pub stream: StreamId,
         /// The group that pays.
         pub group: Arc<str>,
-        /// Tokens that were held for it.
+        /// Tokens held for the stream.
         pub hold: Tokens,
-        /// Whether it has ended.
+        /// Whether the stream has ended.
         pub done: bool,
-        /// Whether it came to its own end rather than being cancelled or failing.
+        /// Whether the stream completed, rather than being cancelled or failing.
         pub complete: bool,
-        /// The answer of a call that may not be repeated, when the server keeps it.
+        /// The response of a non-repeatable call, if the server stores it.
         pub response: Option<StoredResponse>,
-        /// Tokens used until now.
+        /// Tokens used so far.
         pub used: Tokens,
     }
 
-    /// What a backend server says of its models, read back by whoever gives orders.
+    /// A backend server's report of its models, which the placement planner compares with its orders.
     pub struct ModelReport {
-        /// When the question was sent. An order that was sent later cannot show in the answer.
+        /// When the report was requested. It cannot reflect an order that was sent later.
         pub requested_at: Instant,
-        /// Models that it serves.
+        /// Models that the server serves.
         pub loaded: Vec<Arc<str>>,
-        /// Models that it is loading.
+        /// Models that the server is loading.
         pub loading: Vec<Arc<str>>,
-        /// Its role; `None` when it knows no roles.
+        /// Role of the server; `None` when it does not support roles.
         pub role: Option<Arc<str>>,
     }
 
-    /// Something that happened.
+    /// Input of a node.
     pub enum Event {
-        /// A request came in.
+        /// A request arrived.
         Arrived(Arrival),
-        /// A caller wants the answer of an earlier request, from wherever it runs or ran.
+        /// A caller resumes the response of an earlier request, wherever it runs or ran.
         Resume {
-            /// Names the question in this process.
+            /// Identifies the resume request within this process.
             ticket: Ticket,
             /// The earlier request.
             key: RequestKey,
         },
-        /// Output tokens reached this instance.
+        /// Output tokens of a request arrived from the backend server.
         Progress {
-            /// Of which request.
+            /// The request.
             ticket: Ticket,
-            /// How many.
+            /// Number of tokens.
             tokens: u32,
         },
         /// An attempt ended.
         Ended {
-            /// Of which request.
+            /// The request.
             ticket: Ticket,
-            /// How.
+            /// How the attempt ended.
             end: End,
         },
-        /// The caller went away before a verdict.
+        /// The caller disconnected before it received a verdict.
         Withdrawn {
-            /// Of which request.
+            /// The request.
             ticket: Ticket,
         },
-        /// The backend server has no record of a stream that the claim names.
+        /// The backend server has no record of the stream that a request was attached to.
         StreamGone {
-            /// Of which request.
+            /// The request.
             ticket: Ticket,
         },
-        /// A message from another instance.
+        /// A message arrived from another instance.
         PeerMessage {
-            /// Its name, proved by its certificate.
+            /// Name of the sender, authenticated by its certificate.
             from: Arc<str>,
-            /// What it says.
+            /// The message.
             message: Message,
         },
-        /// An answer of the table.
+        /// The table replied to a step.
         TableReply {
-            /// Who asked.
+            /// The component that requested the step.
             component: Component,
-            /// The answer.
+            /// The reply.
             reply: table::Reply,
         },
-        /// The platform's instance list.
+        /// The platform's instance list was read.
         InstancesListed(Vec<Listing>),
-        /// A piece of the document from the object store; `None` when it gave no answer.
+        /// A fetch of a document chunk from the object store ended.
         ObjectFetched {
-            /// Its name.
+            /// Content-addressed name of the chunk.
             name: Arc<str>,
-            /// Its bytes.
+            /// Bytes of the chunk; `None` when the store did not return them.
             content: Option<Vec<u8>>,
         },
-        /// A load report of a backend server.
+        /// A backend server reported its load.
         LoadReported {
             /// Name of the backend server.
             server: Arc<str>,
-            /// What it says.
+            /// The load report.
             report: Report,
-            /// Models that it has loaded.
+            /// Models that the server has loaded.
             loaded: Vec<Arc<str>>,
         },
-        /// A backend server said which models it has.
+        /// A backend server reported its models.
         ModelsReported {
             /// Name of the backend server.
             server: Arc<str>,
-            /// What it said.
+            /// The model report.
             report: ModelReport,
         },
-        /// What became of an order.
+        /// A backend server responded to an order, or the order failed.
         OrderResponse {
             /// The order.
             order: Order,
-            /// What became of it.
+            /// Result of the order.
             response: OrderAnswer,
         },
-        /// A cache event of a backend server.
+        /// A backend server reported a change of its prefix cache.
         CacheEvent {
             /// Name of the backend server.
             server: Arc<str>,
-            /// Sequence number there.
+            /// Sequence number of the event on that server.
             sequence: u64,
-            /// What happened.
+            /// The cache event.
             event: fescuewell_routing::prefix::Event,
         },
-        /// A backend server said that it is leaving.
+        /// A backend server reported that it is shutting down.
         ServerLeaving {
             /// Name of the backend server.
             server: Arc<str>,
         },
-        /// The streams that a backend server has of a holder; `None` when it gave no answer.
+        /// A listing of a holder's streams on a backend server ended.
         StreamsListed {
             /// Name of the backend server.
             server: Arc<str>,
-            /// The holder that was asked for.
+            /// The holder whose streams were listed.
             holder: Arc<str>,
-            /// Its streams.
+            /// The streams; `None` when the listing failed.
             streams: Option<Vec<StreamRecord>>,
         },
-        /// Time passed.
+        /// The periodic timer fired.
         Tick,
-        /// The process was asked to stop.
+        /// The process received a request to terminate.
         Terminate,
     }
 
-    /// Something to do.
+    /// Output of a node, to be performed by its driver.
     pub enum Action {
-        /// Tell the listener what to do with a request.
+        /// Deliver a verdict on a request to the listener.
         Decide {
-            /// Which request.
+            /// The request.
             ticket: Ticket,
-            /// What to do.
+            /// The verdict.
             verdict: Verdict,
         },
         /// Send a message to another instance.
         Send {
-            /// Its name.
+            /// Name of the instance.
             instance: Arc<str>,
-            /// Where it listens for peers.
+            /// Peer address of the instance.
             address: SocketAddr,
             /// The message.
             message: Message,
         },
-        /// Do a piece of table work.
+        /// Perform a table step.
         Table {
-            /// Who asks.
+            /// The component that requests the step.
             component: Component,
-            /// What to do.
+            /// The step.
             step: table::Step,
         },
-        /// Fetch a piece of the document from the object store.
+        /// Fetch a document chunk from the object store.
         Fetch {
-            /// Its name.
+            /// Content-addressed name of the chunk.
             name: Arc<str>,
         },
-        /// Ask a backend server for the streams of a holder.
+        /// List the streams of a holder on a backend server.
         ListStreams {
             /// Name of the backend server.
             server: Arc<str>,
-            /// Where it listens.
+            /// Address of the server.
             address: SocketAddr,
             /// The holder.
             holder: Arc<str>,
         },
-        /// Tell a backend server to end a stream.
+        /// Cancel a stream on a backend server.
         CancelStream {
             /// Name of the backend server.
             server: Arc<str>,
-            /// Where it listens.
+            /// Address of the server.
             address: SocketAddr,
             /// The stream.
             stream: StreamId,
         },
-        /// Give an order to a backend server, at most once and at once or not at all.
+        /// Send an order to a backend server immediately and at most once; drop it rather than delay it.
         Order {
             /// Name of the backend server.
             server: Arc<str>,
-            /// Where it listens.
+            /// Address of the server.
             address: SocketAddr,
-            /// Fencing number.
+            /// Fencing token.
             epoch: Epoch,
-            /// The order, to come back with [`Event::OrderResponse`].
+            /// The order, returned with [`Event::OrderResponse`].
             order: Order,
         },
-        /// A newer document is in force: the listener's index follows.
+        /// Apply a newer document to the listener's index.
         ApplyDocument {
-            /// Its version.
+            /// Version of the document.
             version: Version,
             /// The document.
             document: Arc<fescuewell_document::model::Document>,
         },
-        /// Stop taking new requests at the listener.
+        /// Stop accepting new requests at the listener.
         StopListening,
-        /// Nothing is left to do: end the process.
+        /// End the process; the drain is complete.
         Exit,
         /// Write a log line.
         Log {
-            /// Its number.
+            /// Kind of the log line.
             event: fescuewell_core::event::Event,
-            /// Its `key=value` text.
+            /// Text of the line as `key=value` pairs.
             text: String,
         },
     }
--- a/crates/fescuewell_node/src/lib.rs
+++ b/crates/fescuewell_node/src/lib.rs
@@ -1,7 +1,7 @@
-//! One entry instance's decisions, composed: events and time in, actions out.
+//! The decision logic of one entry instance as a state machine: events and time in, actions out.
 //!
-//! [`node::Node`] joins the pure machines of the other crates (budget, claims, queue, routing,
-//! membership, placement) into one. It opens no socket and starts no thread; `fescuewell_router` does that.
+//! [`node::Node`] combines the state machines of the other crates (budget, claims, queue, routing,
+//! membership, placement). It performs no I/O and starts no thread; `fescuewell_router` does that.
 
 pub mod admit;
 pub mod assembly;
@@ -22,7 +22,7 @@
 pub mod state;
 pub mod sweeps;
 
-/// The names that a driver of nodes uses.
+/// Common imports for code that drives a node.
 pub mod prelude {
     pub use crate::event::{Action, Component, Event as NodeEvent, ModelReport, StreamRecord};
     pub use crate::message::Message;
--- a/crates/fescuewell_node/src/limits.rs
+++ b/crates/fescuewell_node/src/limits.rs
@@ -1,4 +1,4 @@
-//! How much this instance keeps running on each backend server, for urgent and for bulk work.
+//! Concurrency limits of this instance per backend server, for urgent and bulk work.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,169 +7,173 @@
 use fescuewell_routing::router::Router;
 use fescuewell_routing::server::Room;
 
-/// One limit for each backend server, and which of them leave no place.
+/// The limit of each backend server, and which servers have no headroom.
 ///
-/// Routing is told of every change, so that a choice never looks at a server without a place.
+/// Every change is passed to the router, so that it skips servers without headroom.
 #[derive(Debug)]
 pub struct Limits {
     settings: Settings,
-    limits: BTreeMap<ServerKey, Place>,
-    /// Part of the bulk work of the fleet that is this instance's, from 0 to 1.
-    part: f64,
-    /// Servers of which routing was told that they lack a place for some class.
-    closed: BTreeSet<ServerKey>,
+    servers: BTreeMap<ServerKey, ServerLimit>,
+    /// This instance's share of the fleet's bulk work, from 0 to 1.
+    bulk_share: f64,
+    /// Servers that have no headroom for at least one class, as last passed to the router.
+    without_headroom: BTreeSet<ServerKey>,
 }
 
-/// One server.
+/// The limit of one server.
 #[derive(Debug)]
-struct Place {
+struct ServerLimit {
     limit: Limit,
     concurrency: u32,
-    /// Own bulk requests that run there.
-    bulk: u32,
+    /// Bulk requests of this instance in flight on the server.
+    bulk_in_flight: u32,
 }
 
-impl Place {
-    /// Most bulk requests of this instance: its part of the server, less the reserve or less what its own urgent
-    /// work has needed of late, whichever is more.
-    fn bulk_places(&self, now: Instant, part: f64) -> u32 {
-        let own = f64::from(self.concurrency) * part;
+impl ServerLimit {
+    /// Returns this instance's maximum concurrent bulk requests: its share of the server, minus the
+    /// larger of the reserve and the recent need of its own urgent work.
+    fn max_bulk(&self, now: Instant, bulk_share: f64) -> u32 {
+        let own = f64::from(self.concurrency) * bulk_share;
         let needed = self
             .limit
             .places()
             .saturating_sub(self.limit.bulk_places(now));
         let reserve = (own * RESERVE_PERCENT / 100.0).max(f64::from(needed));
-        // One place is always left, or bulk work would never run on small parts.
+        // At least one request is allowed, or bulk work would never run on small shares.
         ((own - reserve) as u32).max(1)
     }
 }
 
-/// Part of each server that is kept free of bulk work, in percent.
+/// Share of each server that is reserved for urgent work, in percent.
 const RESERVE_PERCENT: f64 = 25.0;
 
-/// Part of the servers that is divided equally, in percent; the rest goes by load. An instance that had
-/// nothing to do until now can start with it before the others have heard of its load.
-const EQUAL_PERCENT: f64 = 20.0;
+/// Share of the servers that is divided equally, in percent; the rest is divided by load. It lets a
+/// previously idle instance start bulk work before the others have learned of its load.
+const EQUAL_SHARE_PERCENT: f64 = 20.0;
 
-/// Part of the fleet's bulk work that is one instance's: `own` of the `all` requests that the `instances` have open.
+/// Returns an instance's share of the fleet's bulk work: `own` of the `all` requests that the
+/// `instances` have open.
 ///
-/// With equal parts an instance with heavy callers would use a ninth of the servers while the others
-/// stand idle. With no parts at all, several instances see the same free places in the same load
-/// report, take them all with bulk work, and urgent requests wait for these streams to end.
-pub fn part(own: u32, all: u32, instances: usize) -> f64 {
+/// With equal shares, an instance with heavy callers would use a ninth of the servers while the rest are
+/// idle. Without shares, several instances would see the same free capacity in the same load report and
+/// fill it with bulk work, and urgent requests would wait for these streams to end.
+pub fn bulk_share(own: u32, all: u32, instances: usize) -> f64 {
     let equal = 1.0 / instances.max(1) as f64;
     let by_load = match all {
         0 => equal,
         all => f64::from(own.min(all)) / f64::from(all),
     };
-    (equal * EQUAL_PERCENT + by_load * (100.0 - EQUAL_PERCENT)) / 100.0
+    (equal * EQUAL_SHARE_PERCENT + by_load * (100.0 - EQUAL_SHARE_PERCENT)) / 100.0
 }
 
 impl Limits {
-    /// No servers yet.
+    /// Creates limits without servers.
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
-            limits: BTreeMap::new(),
-            part: 1.0,
-            closed: BTreeSet::new(),
+            servers: BTreeMap::new(),
+            bulk_share: 1.0,
+            without_headroom: BTreeSet::new(),
         }
     }
 
-    /// Sets the part of the bulk work that is this instance's; see [`part`].
-    pub fn set_part(&mut self, part: f64) {
-        self.part = part;
+    /// Sets this instance's share of the bulk work; see [`bulk_share`].
+    pub fn set_bulk_share(&mut self, bulk_share: f64) {
+        self.bulk_share = bulk_share;
     }
 
-    /// Takes over the servers of a document.
+    /// Sets the servers and their concurrency from a document.
     pub fn set_servers<Servers>(&mut self, servers: Servers)
     where
         Servers: Iterator<Item = (ServerKey, u32)>,
     {
-        let mut old = std::mem::take(&mut self.limits);
+        let mut old = std::mem::take(&mut self.servers);
         for (key, concurrency) in servers {
             let share = f64::from(concurrency);
-            let mut place = old.remove(&key).unwrap_or_else(|| Place {
+            let mut server_limit = old.remove(&key).unwrap_or_else(|| ServerLimit {
                 limit: Limit::new(self.settings.clone(), share),
                 concurrency,
-                bulk: 0,
+                bulk_in_flight: 0,
             });
-            place.limit.set_share(share);
-            place.concurrency = concurrency;
-            self.limits.insert(key, place);
+            server_limit.limit.set_share(share);
+            server_limit.concurrency = concurrency;
+            self.servers.insert(key, server_limit);
         }
-        // A place that went with its server must not stay closed under the same key.
-        let limits = &self.limits;
-        self.closed.retain(|key| limits.contains_key(key));
+        // A removed server must not stay marked as full, since its key may be used again.
+        let known = &self.servers;
+        self.without_headroom.retain(|key| known.contains_key(key));
     }
 
-    /// Takes a place on a server.
+    /// Records the start of an attempt on a server.
     pub fn start(&mut self, now: Instant, server: ServerKey, class: Class, router: &mut Router) {
-        if let Some(place) = self.limits.get_mut(&server) {
-            place.limit.try_start(now, class);
-            place.bulk += u32::from(class == Class::Bulk);
+        if let Some(server_limit) = self.servers.get_mut(&server) {
+            server_limit.limit.try_start(now, class);
+            server_limit.bulk_in_flight += u32::from(class == Class::Bulk);
         }
-        self.tell(now, server, router);
+        self.update_headroom(now, server, router);
     }
 
-    /// Gives it back.
-    pub fn finish(&mut self, now: Instant, ended: Ended, router: &mut Router) {
-        if let Some(place) = self.limits.get_mut(&ended.server) {
-            place.limit.finished(now, ended.class, ended.outcome);
-            let bulk = u32::from(ended.class == Class::Bulk);
-            place.bulk = place.bulk.saturating_sub(bulk);
+    /// Records the end of an attempt.
+    pub fn finish(&mut self, now: Instant, completion: Completion, router: &mut Router) {
+        if let Some(server_limit) = self.servers.get_mut(&completion.server) {
+            server_limit
+                .limit
+                .finished(now, completion.class, completion.outcome);
+            let bulk = u32::from(completion.class == Class::Bulk);
+            server_limit.bulk_in_flight = server_limit.bulk_in_flight.saturating_sub(bulk);
         }
-        self.tell(now, ended.server, router);
+        self.update_headroom(now, completion.server, router);
     }
 
-    /// An urgent request found no place on any of these servers.
-    pub fn crowded(&mut self, now: Instant, servers: &[ServerKey]) {
+    /// Raises the urgent reserve of these servers after an urgent request found all of them full.
+    pub fn raise_reserves(&mut self, now: Instant, servers: &[ServerKey]) {
         for server in servers {
-            if let Some(place) = self.limits.get_mut(server) {
-                place.limit.crowded(now);
+            if let Some(server_limit) = self.servers.get_mut(server) {
+                server_limit.limit.crowded(now);
             }
         }
     }
 
-    /// Looks again at servers without a place: some come free by time alone.
-    pub fn review(&mut self, now: Instant, router: &mut Router) {
-        for server in self.closed.clone() {
-            self.tell(now, server, router);
+    /// Updates the servers without headroom, since some regain it through the passage of time alone.
+    pub fn refresh(&mut self, now: Instant, router: &mut Router) {
+        for server in self.without_headroom.clone() {
+            self.update_headroom(now, server, router);
         }
     }
 
-    /// Tells routing of all servers anew, after it took over a document.
-    pub fn tell_all(&mut self, now: Instant, router: &mut Router) {
-        let servers: Vec<ServerKey> = self.limits.keys().copied().collect();
+    /// Passes the headroom of all servers to the router, after a change of the document.
+    pub fn update_all_headroom(&mut self, now: Instant, router: &mut Router) {
+        let servers: Vec<ServerKey> = self.servers.keys().copied().collect();
         for server in servers {
-            self.tell(now, server, router);
+            self.update_headroom(now, server, router);
         }
     }
 
-    fn tell(&mut self, now: Instant, server: ServerKey, router: &mut Router) {
-        let Some(place) = self.limits.get(&server) else {
+    fn update_headroom(&mut self, now: Instant, server: ServerKey, router: &mut Router) {
+        let Some(server_limit) = self.servers.get(&server) else {
             return;
         };
-        let bulk_places = place.bulk_places(now, self.part);
+        let max_bulk = server_limit.max_bulk(now, self.bulk_share);
         let room = Room {
-            urgent: place.limit.has_place(now, Class::Urgent),
-            bulk: place.bulk < bulk_places && place.limit.has_place(now, Class::Bulk),
+            urgent: server_limit.limit.has_place(now, Class::Urgent),
+            bulk: server_limit.bulk_in_flight < max_bulk
+                && server_limit.limit.has_place(now, Class::Bulk),
         };
         match room.urgent && room.bulk {
-            true => self.closed.remove(&server),
-            false => self.closed.insert(server),
+            true => self.without_headroom.remove(&server),
+            false => self.without_headroom.insert(server),
         };
         router.set_room(server, room);
     }
 }
 
-/// An attempt that ended.
+/// The end of an attempt.
 #[derive(Debug, Clone, Copy)]
-pub struct Ended {
-    /// Where it ran.
+pub struct Completion {
+    /// Server that the attempt ran on.
     pub server: ServerKey,
-    /// The class under which it took its place.
+    /// Class under which the attempt was counted.
     pub class: Class,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
 }
--- a/crates/fescuewell_node/src/message.rs
+++ b/crates/fescuewell_node/src/message.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other.
+//! Messages between instances.
 
 use std::sync::Arc;
 
@@ -6,46 +6,46 @@
 use fescuewell_core::prelude::*;
 
 fescuewell_core::data! {
-    /// One message between two instances; the transport proves who sent it.
+    /// A message between two instances. The transport authenticates the sender.
     pub enum Message {
-        /// A question to the holder of a slot.
+        /// A request to the holder of a slot.
         SlotRequest {
-            /// Matches the answer to the question, unique per asking holder.
+            /// Matches the reply to the request; unique per requesting holder.
             correlation: u64,
-            /// Which slot is asked.
+            /// The slot that the request concerns.
             slot: SlotKey,
-            /// The question.
+            /// The request.
             request: Request,
         },
-        /// The answer to [`Message::SlotRequest`].
+        /// The reply to a [`Message::SlotRequest`].
         SlotReply {
-            /// From the question.
+            /// Copied from the request.
             correlation: u64,
-            /// The answer.
+            /// The reply.
             reply: Reply,
         },
-        /// Between the ledgers of two holders.
+        /// A message between the ledgers of two holders.
         Budget {
-            /// The holder (`instance.incarnation`) that sent it.
+            /// The sending holder (`instance.incarnation`).
             from: Arc<str>,
             /// The message.
             message: fescuewell_budget::message::Message,
         },
         /// Membership digest and document heads.
         Gossip(fescuewell_membership::gossip::Message),
-        /// Asks for a piece of the document.
+        /// Requests a chunk of the document.
         ChunkRequest {
-            /// Its content-addressed name.
+            /// Content-addressed name of the chunk.
             name: Arc<str>,
         },
-        /// A piece of the document, or that it is not here.
+        /// A chunk of the document.
         Chunk {
-            /// Its content-addressed name.
+            /// Content-addressed name of the chunk.
             name: Arc<str>,
-            /// Its bytes.
+            /// Bytes of the chunk; `None` when the sender does not have it.
             content: Option<Vec<u8>>,
         },
-        /// Bills that a leaving instance could not make durable itself.
+        /// Bills that a draining instance could not make durable itself.
         Bills(Vec<Request>),
     }
 }
--- a/crates/fescuewell_node/src/node.rs
+++ b/crates/fescuewell_node/src/node.rs
@@ -1,4 +1,4 @@
-//! One entry instance's decisions: the machines, and how events reach them.
+//! The node: its component state machines and the dispatch of events to them.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -22,38 +22,38 @@
 
 use crate::assembly::Collector;
 use crate::catalog::Catalog;
-use crate::estimate::Usual;
+use crate::estimate::Estimator;
 use crate::event::{Action, Component, Event as NodeEvent};
 use crate::limits::Limits;
-use crate::placement::Placing;
-use crate::pump::Asker;
-use crate::record::Book;
+use crate::placement::Placement;
+use crate::pump::Requester;
+use crate::record::Requests;
 use crate::request::Ticket;
 use crate::settings::Settings;
-use crate::sweeps::Sweeping;
+use crate::sweeps::Sweeps;
 
-/// Who this instance is.
+/// Identity of this instance.
 #[derive(Debug, Clone)]
 pub struct Identity {
     /// Name of the instance.
     pub instance: Arc<str>,
-    /// `instance.incarnation`, the name under which it holds money and slots.
+    /// `instance.incarnation`, the name under which it holds allowances and slots.
     pub holder: Arc<str>,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: Arc<str>,
 }
 
-/// The decisions of one entry instance.
+/// The state machine of one entry instance.
 ///
-/// [`Node::handle`] takes an event and the present time and returns what to do. Nothing else goes in
-/// or out, so that a test or a bench can drive any number of them step by step.
+/// [`Node::handle`] takes an event and the current time and returns the actions to perform. It has no
+/// other input or output, so a test or benchmark can drive any number of nodes step by step.
 pub struct Node {
     pub(crate) settings: Settings,
-    pub(crate) me: Identity,
+    pub(crate) identity: Identity,
     pub(crate) now: Instant,
     pub(crate) actions: Vec<Action>,
     pub(crate) catalog: Catalog,
-    pub(crate) book: Book,
+    pub(crate) requests: Requests,
     pub(crate) ledger: Ledger,
     pub(crate) arbiter: Arbiter,
     pub(crate) claims_client: Client,
@@ -61,8 +61,8 @@
     pub(crate) retries: retry::Budget,
     pub(crate) quarantine: Quarantine,
     pub(crate) limits: Limits,
-    pub(crate) usual: Usual,
-    pub(crate) crowded_at: Instant,
+    pub(crate) estimator: Estimator,
+    pub(crate) reserve_raised_at: Instant,
     pub(crate) router: Router,
     pub(crate) members: Members,
     pub(crate) keeper: Keeper,
@@ -71,20 +71,20 @@
     pub(crate) collector: Collector,
     pub(crate) drain: Drain,
     pub(crate) has_released_slots: bool,
-    pub(crate) sweeping: Sweeping,
-    pub(crate) placing: Placing,
-    pub(crate) askers: HashMap<u64, Asker>,
-    pub(crate) next_asker: u64,
+    pub(crate) sweeps: Sweeps,
+    pub(crate) placement: Placement,
+    pub(crate) requesters: HashMap<u64, Requester>,
+    pub(crate) next_requester: u64,
     pub(crate) lookups: BTreeSet<Ticket>,
-    pub(crate) reclaims: BTreeSet<Ticket>,
-    pub(crate) busy: BTreeSet<Component>,
+    pub(crate) claim_retries: BTreeSet<Ticket>,
+    pub(crate) busy_components: BTreeSet<Component>,
     pub(crate) needs_dispatch: bool,
-    pub(crate) next_review: Instant,
+    pub(crate) next_update_at: Instant,
     pub(crate) refusals: BTreeMap<Code, u64>,
 }
 
 impl Node {
-    /// A node that knows nothing yet. `seed` feeds all jitter and random choices.
+    /// Creates a node without a document or members. All jitter and random choices derive from `seed`.
     pub fn new(settings: Settings, me: Me, seed: u64) -> Self {
         let holder: Arc<str> = format!("{}.{:x}", me.instance, me.incarnation.0).into();
         let identity = Identity {
@@ -98,7 +98,7 @@
             now: Instant::default(),
             actions: Vec::new(),
             catalog: Catalog::default(),
-            book: Book::default(),
+            requests: Requests::default(),
             ledger: Ledger::new(settings.budget.clone(), holder.clone(), seed ^ 1),
             arbiter: Arbiter::new(settings.arbiter.clone(), holder.clone(), seed ^ 2),
             claims_client: Client::new(settings.claims_client.clone(), holder.clone(), seed ^ 3),
@@ -106,8 +106,8 @@
             retries: retry::Budget::new(settings.retry),
             quarantine: Quarantine::default(),
             limits: Limits::new(settings.limit.clone()),
-            usual: Usual::default(),
-            crowded_at: Instant::default(),
+            estimator: Estimator::default(),
+            reserve_raised_at: Instant::default(),
             router: Router::new(settings.routing, zone.clone(), seed ^ 5),
             members: Members::new(settings.members.clone(), me, seed ^ 6),
             keeper: Keeper::new(instance.clone(), settings.slots, settings.min_ready_time),
@@ -116,22 +116,22 @@
             collector: Collector::default(),
             drain: Drain::new(settings.drain.clone()),
             has_released_slots: false,
-            sweeping: Sweeping::default(),
-            placing: Placing::new(settings.placement.clone()),
-            askers: HashMap::new(),
-            next_asker: 0,
+            sweeps: Sweeps::default(),
+            placement: Placement::new(settings.placement.clone()),
+            requesters: HashMap::new(),
+            next_requester: 0,
             lookups: BTreeSet::new(),
-            reclaims: BTreeSet::new(),
-            busy: BTreeSet::new(),
+            claim_retries: BTreeSet::new(),
+            busy_components: BTreeSet::new(),
             needs_dispatch: false,
-            next_review: Instant::default(),
+            next_update_at: Instant::default(),
             refusals: BTreeMap::new(),
-            me: identity,
+            identity,
             settings,
         }
     }
 
-    /// Takes an event at a time that never goes back; returns what to do.
+    /// Handles an event and returns the actions to perform. `now` must not decrease between calls.
     pub fn handle(&mut self, now: Instant, event: NodeEvent) -> Vec<Action> {
         self.now = now;
         self.apply(event);
@@ -142,20 +142,20 @@
     fn apply(&mut self, event: NodeEvent) {
         let now = self.now;
         match event {
-            NodeEvent::Arrived(arrival) => self.arrive(arrival),
+            NodeEvent::Arrived(arrival) => self.admit(arrival),
             NodeEvent::Resume { ticket, key } => self.look_up(ticket, &key),
-            NodeEvent::Progress { ticket, tokens } => self.progress(ticket, tokens),
+            NodeEvent::Progress { ticket, tokens } => self.record_progress(ticket, tokens),
             NodeEvent::Ended { ticket, end } => {
-                self.note_demand(ticket, &end);
-                self.ended(ticket, end);
+                self.record_demand(ticket, &end);
+                self.finish_attempt(ticket, end);
             }
             NodeEvent::Withdrawn { ticket } => self.withdraw(ticket),
             NodeEvent::StreamGone { ticket } => self.stream_gone(ticket),
-            NodeEvent::PeerMessage { from, message } => self.hear(&from, message),
-            NodeEvent::TableReply { component, reply } => self.table_replied(component, reply),
+            NodeEvent::PeerMessage { from, message } => self.receive_message(&from, message),
+            NodeEvent::TableReply { component, reply } => self.handle_table_reply(component, reply),
             NodeEvent::InstancesListed(list) => {
                 self.members.instance_list(now, &list);
-                self.sweeping.note_servers(&list);
+                self.sweeps.update_servers(&list);
             }
             NodeEvent::ObjectFetched { name, content } => {
                 self.object_fetched(&name, content.as_deref())
@@ -172,7 +172,9 @@
                 }
             }
             NodeEvent::ModelsReported { server, report } => self.observe_models(&server, report),
-            NodeEvent::OrderResponse { order, response } => self.order_answered(&order, response),
+            NodeEvent::OrderResponse { order, response } => {
+                self.handle_order_response(&order, response)
+            }
             NodeEvent::CacheEvent {
                 server,
                 sequence,
@@ -188,15 +190,15 @@
                 holder,
                 streams,
             } => {
-                self.streams_listed(&server, &holder, streams);
+                self.handle_stream_list(&server, &holder, streams);
             }
-            NodeEvent::Tick => self.review(),
+            NodeEvent::Tick => self.tick(),
             NodeEvent::Terminate => self.terminate(),
         }
     }
 
-    fn progress(&mut self, ticket: Ticket, tokens: u32) {
-        let Some(record) = self.book.get_mut(ticket) else {
+    fn record_progress(&mut self, ticket: Ticket, tokens: u32) {
+        let Some(record) = self.requests.get_mut(ticket) else {
             return;
         };
         match &mut record.output {
@@ -209,21 +211,21 @@
         }
     }
 
-    fn table_replied(&mut self, component: Component, reply: table::Reply) {
-        self.busy.remove(&component);
+    fn handle_table_reply(&mut self, component: Component, reply: table::Reply) {
+        self.busy_components.remove(&component);
         let now = self.now;
         match component {
             Component::Budget => self.ledger.reply(now, reply),
             Component::Claims => self.arbiter.reply(now, reply),
             Component::Members => self.members.reply(now, reply),
             Component::Head => self.propagation.reply(now, reply, &mut self.collector),
-            Component::Reclaim => self.sweeping.reclaimed(now, reply),
-            Component::Placement => self.placement_replied(reply),
+            Component::Reclaim => self.sweeps.handle_table_reply(now, reply),
+            Component::Placement => self.handle_placement_reply(reply),
         }
     }
 
-    /// Puts a document in force here.
-    pub(crate) fn put_in_force(&mut self, version: Version, document: Document) {
+    /// Makes a document the current one and updates every component that depends on it.
+    pub(crate) fn apply_document(&mut self, version: Version, document: Document) {
         let document = Arc::new(document);
         self.catalog.replace(version, document.clone());
         self.ledger
@@ -232,33 +234,33 @@
         self.admission.set_groups(&self.catalog.group_policies());
         self.router
             .set_servers(self.now, &self.catalog.server_policies());
-        self.limit_servers();
-        self.place_by_document();
+        self.update_limits();
+        self.update_planner();
         self.members.set_version(version);
         self.needs_dispatch = true;
         self.actions
             .push(Action::ApplyDocument { version, document });
     }
 
-    /// Takes the document's backend servers over into the limits.
-    pub(crate) fn limit_servers(&mut self) {
-        let places = self.catalog.places();
-        let servers = places.map(|(key, place)| (key, place.concurrency));
+    /// Updates the concurrency limits to the document's backend servers.
+    pub(crate) fn update_limits(&mut self) {
+        let endpoints = self.catalog.endpoints();
+        let servers = endpoints.map(|(key, endpoint)| (key, endpoint.concurrency));
         self.limits.set_servers(servers);
-        self.limits.tell_all(self.now, &mut self.router);
+        self.limits.update_all_headroom(self.now, &mut self.router);
     }
 
-    /// Adds a log line to the actions.
+    /// Emits a log line as an action.
     pub(crate) fn log(&mut self, event: Event, text: String) {
         self.actions.push(Action::Log { event, text });
     }
 
-    /// The fleet as this instance knows it.
+    /// This instance's view of the fleet.
     pub fn view(&self) -> &fescuewell_membership::view::View {
         self.members.view()
     }
 
-    /// Whether this instance takes requests.
+    /// Returns `true` if this instance accepts requests.
     pub fn is_ready(&self) -> bool {
         self.propagation.is_ready() && !self.members.view().isolated && self.drain.takes_requests()
     }
--- a/crates/fescuewell_node/src/placement.rs
+++ b/crates/fescuewell_node/src/placement.rs
@@ -1,4 +1,4 @@
-//! Placement of models by the instance that holds slot 0: what the planner is told, and its orders.
+//! Model placement by the instance that holds slot 0: the inputs and orders of the planner.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,131 +15,133 @@
 use crate::node::Node;
 use crate::request::{End, Ticket, Work};
 
-/// The slot whose holder places models.
+/// The slot whose holder runs the placement planner.
 const PLACEMENT_SLOT: SlotKey = SlotKey(0);
-/// Time between two looks of the planner.
+/// Interval between two runs of the planner.
 const PLAN_INTERVAL: Duration = Duration::from_secs(1);
-/// Time over which the rate of tokens is measured.
+/// Minimum window over which the token rate is measured.
 const DEMAND_WINDOW: Duration = Duration::from_secs(10);
 
-/// The planner, and the demand that this instance measures for it.
+/// The planner and the demand that this instance has measured.
 #[derive(Debug)]
-pub(crate) struct Placing {
+pub(crate) struct Placement {
     planner: Planner,
     role: Arc<str>,
-    plan_at: Instant,
-    tokens: BTreeMap<Arc<str>, u64>,
-    since: Option<Instant>,
+    next_plan_at: Instant,
+    demand: BTreeMap<Arc<str>, u64>,
+    window_start: Option<Instant>,
 }
 
-impl Placing {
+impl Placement {
     pub(crate) fn new(settings: Settings) -> Self {
         Self {
             role: settings.role.clone(),
             planner: Planner::new(settings),
-            plan_at: Instant::default(),
-            tokens: BTreeMap::new(),
-            since: None,
+            next_plan_at: Instant::default(),
+            demand: BTreeMap::new(),
+            window_start: None,
         }
     }
 }
 
 impl Node {
-    /// Counts what a request brought to its model.
-    pub(crate) fn note_demand(&mut self, ticket: Ticket, end: &End) {
+    /// Adds the tokens of an ended attempt to the demand for its model.
+    pub(crate) fn record_demand(&mut self, ticket: Ticket, end: &End) {
         let tokens = match end {
             End::Done { cost, .. } => *cost,
             End::Lost { used, .. } | End::Cancelled { used } => *used,
             End::NotSent | End::Busy | End::Rejected => return,
         };
-        // The reader of another instance's run brings nothing of its own to the engine.
-        if !self.book.is_in(ticket, "running") {
+        // A reader of another attempt's response adds no load to the engine.
+        if !self.requests.is_in(ticket, "running") {
             return;
         }
-        let Some(record) = self.book.get(ticket) else {
+        let Some(record) = self.requests.get(ticket) else {
             return;
         };
         let Work::Model { model, .. } = &record.arrival.work else {
             return;
         };
-        let sum = self.placing.tokens.entry(model.clone()).or_default();
+        let sum = self.placement.demand.entry(model.clone()).or_default();
         *sum = sum.saturating_add(tokens.0);
     }
 
-    /// Tells the planner of the document that came in force.
-    pub(crate) fn place_by_document(&mut self) {
+    /// Passes the current document to the planner.
+    pub(crate) fn update_planner(&mut self) {
         let document = self.catalog.document().clone();
-        self.placing.planner.set_document(&document);
+        self.placement.planner.set_document(&document);
     }
 
-    /// Takes in what a backend server said of its models.
+    /// Passes a backend server's report of its models to the planner.
     pub(crate) fn observe_models(&mut self, server: &str, report: ModelReport) {
         let seen = Seen {
             asked: report.requested_at,
             loaded: report.loaded.into_iter().collect(),
             loading: report.loading.into_iter().collect(),
-            // An engine that knows no roles would otherwise be ordered to take one for ever.
-            role: report.role.unwrap_or_else(|| self.placing.role.clone()),
+            // An engine without support for roles would otherwise be ordered to change its role forever.
+            role: report.role.unwrap_or_else(|| self.placement.role.clone()),
         };
-        self.placing.planner.seen(self.now, server, seen);
+        self.placement.planner.seen(self.now, server, seen);
     }
 
-    /// Takes in what became of an order.
-    pub(crate) fn order_answered(&mut self, order: &Order, response: Answer) {
+    /// Passes the result of an order to the planner.
+    pub(crate) fn handle_order_response(&mut self, order: &Order, response: Answer) {
         if matches!(response, Answer::Stale | Answer::Refused) {
             self.log(Event::OrderRefused, format!("{order} answer={response:?}"));
         }
-        self.placing.planner.answered(self.now, order, response);
+        self.placement.planner.answered(self.now, order, response);
     }
 
-    /// Tells the planner what changed and lets it plan.
+    /// Updates the planner's inputs and runs it.
     ///
-    /// The duty follows the slot for as long as its row names this instance, also while the slot is
-    /// being handed back: a duty that was lost counts again only with a higher epoch, and a slot that is
-    /// wanted again before it was handed back keeps its epoch. Were the duty given up there, nobody would
-    /// place anything until the slot's next holder; one would notice by a lacking model and no order.
-    pub(crate) fn review_placement(&mut self) {
+    /// This instance leads the placement for as long as the slot's row names it, also while the slot is being
+    /// released. Leadership that was given up resumes only with a higher epoch, but a slot that is assigned
+    /// again before its release completes keeps its epoch. Giving up leadership at the start of the release
+    /// would then leave the fleet without placement until the next holder: models missing, no orders.
+    pub(crate) fn update_placement(&mut self) {
         let now = self.now;
-        self.review_demand();
-        if now < self.placing.plan_at {
+        self.update_demand();
+        if now < self.placement.next_plan_at {
             return;
         }
-        self.placing.plan_at = now + PLAN_INTERVAL;
+        self.placement.next_plan_at = now + PLAN_INTERVAL;
         let leaving = &self.members.view().leaving_servers;
-        for (_, place) in self.catalog.places() {
-            if place.role == ServerRole::Engine {
-                let is_leaving = leaving.contains(&place.name);
-                self.placing.planner.set_leaving(&place.name, is_leaving);
+        for (_, endpoint) in self.catalog.endpoints() {
+            if endpoint.role == ServerRole::Engine {
+                let is_leaving = leaving.contains(&endpoint.name);
+                self.placement
+                    .planner
+                    .set_leaving(&endpoint.name, is_leaving);
             }
         }
         let epoch = self.arbiter.epoch(PLACEMENT_SLOT);
-        let duty = epoch.map(|epoch| PlacementDuty { epoch });
-        self.placing.planner.set_duty(now, duty);
-        for notice in self.placing.planner.tick(now) {
+        let leadership = epoch.map(|epoch| PlacementDuty { epoch });
+        self.placement.planner.set_duty(now, leadership);
+        for notice in self.placement.planner.tick(now) {
             self.log_notice(notice);
         }
     }
 
-    /// Every instance measures, so that a new holder of the duty knows the demand from the start.
+    /// Measures the demand. Every instance does, so that a new leader knows the demand from the start.
     ///
-    /// The fleet's demand is estimated as this instance's own rate times the live instances: callers are
-    /// spread over them, and a sum of true rates would need messages of its own. An instance that has
-    /// much less traffic than the others underestimates it while it has the duty.
-    fn review_demand(&mut self) {
+    /// The fleet's demand is estimated as this instance's rate times the number of live instances: callers
+    /// are spread over all of them, and a sum of actual rates would need additional messages. A leader with
+    /// much less traffic than the other instances underestimates the demand.
+    fn update_demand(&mut self) {
         let now = self.now;
-        let since = *self.placing.since.get_or_insert(now);
-        let window = now.since(since);
+        let start = *self.placement.window_start.get_or_insert(now);
+        let window = now.since(start);
         if window < DEMAND_WINDOW {
             return;
         }
-        self.placing.since = Some(now);
-        let tokens = std::mem::take(&mut self.placing.tokens);
+        self.placement.window_start = Some(now);
+        let tokens = std::mem::take(&mut self.placement.demand);
         let instances = self.members.view().live.len().max(1) as u64;
         for model in &self.catalog.document().models {
             let own = tokens.get(&model.name).copied().unwrap_or_default();
             let millis = window.as_millis() as u64;
             let rate = own.saturating_mul(instances).saturating_mul(1_000) / millis;
-            self.placing.planner.set_demand(&model.name, rate);
+            self.placement.planner.set_demand(&model.name, rate);
         }
     }
 
@@ -160,23 +162,23 @@
         }
     }
 
-    /// The planner's next piece of table work.
+    /// Returns the planner's next table step.
     pub(crate) fn next_placement_step(&mut self) -> Option<fescuewell_core::table::Step> {
-        self.placing.planner.next_step(self.now)
+        self.placement.planner.next_step(self.now)
     }
 
-    /// Takes in the table's answer.
-    pub(crate) fn placement_replied(&mut self, reply: fescuewell_core::table::Reply) {
-        self.placing.planner.reply(self.now, reply);
+    /// Handles the table's reply to the planner.
+    pub(crate) fn handle_placement_reply(&mut self, reply: fescuewell_core::table::Reply) {
+        self.placement.planner.reply(self.now, reply);
     }
 
-    /// Hands out the orders whose rows are written.
-    pub(crate) fn carry_orders(&mut self) {
-        while let Some(order) = self.placing.planner.next_order(self.now) {
-            let Some(place) = self.catalog.place_of(&order.server) else {
+    /// Sends the orders whose rows are durable.
+    pub(crate) fn send_orders(&mut self) {
+        while let Some(order) = self.placement.planner.next_order(self.now) {
+            let Some(endpoint) = self.catalog.endpoint_by_name(&order.server) else {
                 continue;
             };
-            let address = place.address;
+            let address = endpoint.address;
             self.log(Event::OrderPlaced, order.to_string());
             self.actions.push(Action::Order {
                 server: order.server.clone(),
--- a/crates/fescuewell_node/src/pump.rs
+++ b/crates/fescuewell_node/src/pump.rs
@@ -1,4 +1,5 @@
-//! Carries what one machine puts out to the machine, instance or table that it is for.
+//! Event loop of the node: moves the outputs of each component to the component, instance or table
+//! that they are addressed to.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,43 +20,44 @@
 use crate::node::Node;
 use crate::request::Ticket;
 
-/// Rounds of carrying; an answer to an answer within one instance needs three.
-const ROUNDS: usize = 8;
-/// Time between two reviews of slow matters: health of backend servers, membership, load.
-const REVIEW_INTERVAL: Duration = Duration::from_millis(100);
-/// A part of the document for one peer, at most so many bytes.
-const MOST_CHUNK: usize = 64 * 1024;
+/// Maximum iterations per event. A reply to a reply within one instance takes three.
+const MAX_ROUNDS: usize = 8;
+/// Interval between updates of slowly changing state: server health, membership, load.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum size of a document chunk that is sent to a peer.
+const MAX_CHUNK_BYTES: usize = 64 * 1024;
 
-/// Who waits for an answer of a slot that is held here.
+/// The origin of a request to a slot that this instance holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Asker {
-    /// This instance's claims_client.
+pub enum Requester {
+    /// This instance's claims client.
     Own {
-        /// The claims_client's number for the question.
+        /// Correlation number of the claims client.
         correlation: u64,
     },
     /// Another instance.
     Peer {
-        /// Its name.
+        /// Name of the instance.
         instance: Arc<str>,
-        /// Its number for the question.
+        /// Correlation number of that instance.
         correlation: u64,
     },
-    /// The sweep that runs here.
+    /// The sweep on this instance.
     Sweep {
-        /// The sweep's number for the question.
+        /// Correlation number of the sweep.
         number: u64,
     },
 }
 
 impl Node {
-    /// Carries until nothing moves any more.
+    /// Moves outputs between components until none has any left.
     pub(crate) fn pump(&mut self) {
-        for _ in 0..ROUNDS {
+        for _ in 0..MAX_ROUNDS {
             let before = self.actions.len();
-            let moved = self.carry_questions() | self.carry_answers() | self.carry_events();
-            self.carry_news();
-            self.pump_sweeps();
+            let moved =
+                self.send_claim_requests() | self.deliver_replies() | self.handle_claim_events();
+            self.handle_budget_notifications();
+            self.advance_sweep();
             if self.needs_dispatch {
                 self.dispatch();
             }
@@ -63,31 +65,31 @@
                 break;
             }
         }
-        self.carry_budget_messages();
-        self.carry_document();
-        self.carry_orders();
-        self.carry_table_work();
+        self.send_budget_messages();
+        self.advance_document();
+        self.send_orders();
+        self.start_table_steps();
     }
 
-    fn carry_questions(&mut self) -> bool {
+    fn send_claim_requests(&mut self) -> bool {
         let outgoing = self.claims_client.take_outgoing(self.now);
         let moved = !outgoing.is_empty();
-        for question in outgoing {
-            self.ask(question);
+        for request in outgoing {
+            self.send_claim_request(request);
         }
         moved
     }
 
-    fn ask(&mut self, question: Outgoing) {
+    fn send_claim_request(&mut self, outgoing: Outgoing) {
         let Outgoing {
             slot,
             instance,
             correlation,
             request,
-        } = question;
-        if instance == self.me.instance {
-            let asker = self.remember(Asker::Own { correlation });
-            self.arbiter.request(self.now, asker, slot, &request);
+        } = outgoing;
+        if instance == self.identity.instance {
+            let requester = self.register_requester(Requester::Own { correlation });
+            self.arbiter.request(self.now, requester, slot, &request);
             return;
         }
         let message = Message::SlotRequest {
@@ -100,14 +102,14 @@
         }
     }
 
-    /// Remembers who asks, and gives the number under which the answer will come.
-    pub(crate) fn remember(&mut self, asker: Asker) -> u64 {
-        self.next_asker += 1;
-        self.askers.insert(self.next_asker, asker);
-        self.next_asker
+    /// Registers the origin of a slot request and returns the number that its reply will carry.
+    pub(crate) fn register_requester(&mut self, requester: Requester) -> u64 {
+        self.next_requester += 1;
+        self.requesters.insert(self.next_requester, requester);
+        self.next_requester
     }
 
-    /// Sends to a live instance; `false` when it is not known to live.
+    /// Sends a message to an instance; returns `false` if it is not known to be live.
     pub(crate) fn send_to(&mut self, instance: &str, message: Message) -> bool {
         let Some(peer) = self.members.view().peer(instance) else {
             return false;
@@ -120,14 +122,14 @@
         true
     }
 
-    fn carry_answers(&mut self) -> bool {
-        let answers = self.arbiter.take_replies();
-        let moved = !answers.is_empty();
-        for (number, reply) in answers {
-            let Some(asker) = self.askers.remove(&number) else {
+    fn deliver_replies(&mut self) -> bool {
+        let replies = self.arbiter.take_replies();
+        let moved = !replies.is_empty();
+        for (number, reply) in replies {
+            let Some(requester) = self.requesters.remove(&number) else {
                 continue;
             };
-            self.answer(asker, reply);
+            self.deliver_reply(requester, reply);
         }
         for note in self.arbiter.take_notes() {
             self.log(note.event(), note.to_string());
@@ -135,38 +137,40 @@
         moved
     }
 
-    fn answer(&mut self, asker: Asker, reply: Reply) {
-        match asker {
-            Asker::Own { correlation } => self.claims_client.receive(self.now, correlation, reply),
-            Asker::Peer {
+    fn deliver_reply(&mut self, requester: Requester, reply: Reply) {
+        match requester {
+            Requester::Own { correlation } => {
+                self.claims_client.receive(self.now, correlation, reply)
+            }
+            Requester::Peer {
                 instance,
                 correlation,
             } => {
                 self.send_to(&instance, Message::SlotReply { correlation, reply });
             }
-            Asker::Sweep { number } => {
-                self.sweep_answered(number, &reply);
+            Requester::Sweep { number } => {
+                self.handle_sweep_reply(number, &reply);
             }
         }
     }
 
-    fn carry_events(&mut self) -> bool {
+    fn handle_claim_events(&mut self) -> bool {
         let events = self.claims_client.take_events();
         let moved = !events.is_empty();
         for event in events {
-            self.courier_event(event);
+            self.handle_claim_event(event);
         }
         moved
     }
 
-    fn courier_event(&mut self, event: ClientEvent) {
+    fn handle_claim_event(&mut self, event: ClientEvent) {
         match event {
             ClientEvent::ClaimAnswered {
                 ticket,
                 attempt,
                 result,
             } => {
-                self.claim_answered(Ticket(ticket), attempt, result);
+                self.handle_claim_reply(Ticket(ticket), attempt, result);
             }
             ClientEvent::ClaimTimedOut { ticket, .. }
             | ClientEvent::ClaimUnavailable { ticket, .. } => {
@@ -174,31 +178,38 @@
             }
             ClientEvent::BillDurable {
                 ticket, charged, ..
-            } => self.billed(Ticket(ticket), charged),
-            ClientEvent::LookedUp { ticket, known } => self.looked_up(Ticket(ticket), known),
+            } => self.finish_bill(Ticket(ticket), charged),
+            ClientEvent::LookedUp { ticket, known } => {
+                self.handle_lookup_reply(Ticket(ticket), known)
+            }
         }
     }
 
-    fn claim_answered(&mut self, ticket: Ticket, attempt: u32, result: Result<bool, RequestState>) {
-        let record = self.book.get(ticket);
+    fn handle_claim_reply(
+        &mut self,
+        ticket: Ticket,
+        attempt: u32,
+        result: Result<bool, RequestState>,
+    ) {
+        let record = self.requests.get(ticket);
         let is_present = record
             .and_then(|record| record.grant)
             .is_some_and(|grant| grant.attempt == attempt);
         match result {
             Ok(_) if is_present => self.claim_granted(ticket),
             Err(known) if is_present => self.claim_known(ticket, known),
-            // The caller went away while the claim was asked for; its release is on its way.
+            // The caller disconnected while the claim was pending; its release has been sent.
             _ => {}
         }
     }
 
-    fn carry_news(&mut self) {
+    fn handle_budget_notifications(&mut self) {
         for notification in self.ledger.take_notifications() {
             match notification {
-                Notification::Funded(group) => self.hold_again(group),
+                Notification::Funded(group) => self.retry_holds(group),
                 Notification::Refused(group, shortage) => {
-                    for ticket in self.waiting_for_money(group) {
-                        self.out_of_money(ticket, shortage);
+                    for ticket in self.waiting_for_funds(group) {
+                        self.record_shortage(ticket, shortage);
                     }
                 }
                 Notification::Drawn { group, amount } => {
@@ -217,34 +228,34 @@
         }
     }
 
-    fn waiting_for_money(&self, group: GroupKey) -> Vec<Ticket> {
-        let mut waiting = self.book.all_in("funding");
+    fn waiting_for_funds(&self, group: GroupKey) -> Vec<Ticket> {
+        let mut waiting = self.requests.in_state("funding");
         waiting.retain(|ticket| {
-            self.book
+            self.requests
                 .get(*ticket)
                 .is_some_and(|record| record.group == group)
         });
         waiting
     }
 
-    fn hold_again(&mut self, group: GroupKey) {
-        for ticket in self.waiting_for_money(group) {
+    fn retry_holds(&mut self, group: GroupKey) {
+        for ticket in self.waiting_for_funds(group) {
             self.hold(ticket);
         }
     }
 
-    fn carry_budget_messages(&mut self) {
+    fn send_budget_messages(&mut self) {
         for outgoing in self.ledger.take_outbox() {
             let instance = instance_of(&outgoing.to).to_owned();
             let message = Message::Budget {
-                from: self.me.holder.clone(),
+                from: self.identity.holder.clone(),
                 message: outgoing.message,
             };
             self.send_to(&instance, message);
         }
     }
 
-    fn carry_document(&mut self) {
+    fn advance_document(&mut self) {
         for want in self.propagation.wants(self.now, &mut self.collector) {
             match want.from {
                 Source::Store => self.actions.push(Action::Fetch { name: want.name }),
@@ -258,7 +269,7 @@
         };
         match self.collector.finish() {
             Ok(document) => {
-                self.put_in_force(head.version, document);
+                self.apply_document(head.version, document);
                 self.propagation
                     .applied(self.now, head, &mut self.collector);
                 self.gossip.set_head(head);
@@ -273,13 +284,13 @@
         }
     }
 
-    /// An object came, or did not, from the object store.
+    /// Handles the result of a fetch from the object store.
     pub(crate) fn object_fetched(&mut self, name: &Arc<str>, content: Option<&[u8]>) {
         self.propagation
             .supply(self.now, name, content, Source::Store, &mut self.collector);
     }
 
-    fn carry_table_work(&mut self) {
+    fn start_table_steps(&mut self) {
         let now = self.now;
         for component in [
             Component::Claims,
@@ -289,7 +300,7 @@
             Component::Reclaim,
             Component::Placement,
         ] {
-            if self.busy.contains(&component) {
+            if self.busy_components.contains(&component) {
                 continue;
             }
             let step = match component {
@@ -297,23 +308,23 @@
                 Component::Budget => self.ledger.next_step(now),
                 Component::Members => self.members.next_step(now),
                 Component::Head => self.propagation.next_step(now),
-                Component::Reclaim => self.sweeping.next_table_step(now),
+                Component::Reclaim => self.sweeps.next_table_step(now),
                 Component::Placement => self.next_placement_step(),
             };
-            self.give_to_table(component, step);
+            self.start_table_step(component, step);
         }
     }
 
-    fn give_to_table(&mut self, component: Component, step: Option<table::Step>) {
+    fn start_table_step(&mut self, component: Component, step: Option<table::Step>) {
         let Some(step) = step else {
             return;
         };
-        self.busy.insert(component);
+        self.busy_components.insert(component);
         self.actions.push(Action::Table { component, step });
     }
 
-    /// Takes a message of another instance.
-    pub(crate) fn hear(&mut self, from: &Arc<str>, message: Message) {
+    /// Handles a message from another instance.
+    pub(crate) fn receive_message(&mut self, from: &Arc<str>, message: Message) {
         let now = self.now;
         self.members.peer_answered(now, from);
         match message {
@@ -322,14 +333,14 @@
                 slot,
                 request,
             } => {
-                let asker = self.remember(Asker::Peer {
+                let requester = self.register_requester(Requester::Peer {
                     instance: from.clone(),
                     correlation,
                 });
-                self.arbiter.request(now, asker, slot, &request);
+                self.arbiter.request(now, requester, slot, &request);
             }
             Message::SlotReply { correlation, reply } => {
-                if !self.sweep_answered(correlation, &reply) {
+                if !self.handle_sweep_reply(correlation, &reply) {
                     self.claims_client.receive(now, correlation, reply);
                 }
             }
@@ -337,15 +348,16 @@
                 from: holder,
                 message,
             } => {
-                // A holder's name is its instance's name and a number: nobody speaks for another instance.
+                // A holder's name starts with its instance's name, so an instance cannot send messages on
+                // behalf of another instance's holder.
                 if instance_of(&holder) == &**from {
                     self.ledger.receive(now, holder, message);
                 }
             }
-            Message::Gossip(message) => self.hear_gossip(from, message),
+            Message::Gossip(message) => self.receive_gossip(from, message),
             Message::ChunkRequest { name } => {
                 let content = self.collector.object(&name).map(|bytes| bytes.to_vec());
-                let content = content.filter(|bytes| bytes.len() <= MOST_CHUNK);
+                let content = content.filter(|bytes| bytes.len() <= MAX_CHUNK_BYTES);
                 self.send_to(from, Message::Chunk { name, content });
             }
             Message::Chunk { name, content } => {
@@ -362,11 +374,11 @@
         }
     }
 
-    fn hear_gossip(&mut self, from: &Arc<str>, message: fescuewell_membership::gossip::Message) {
+    fn receive_gossip(&mut self, from: &Arc<str>, message: fescuewell_membership::gossip::Message) {
         let now = self.now;
         if let Some(head) = message.head {
             let peer = self.members.view().peer(from);
-            let near = peer.is_some_and(|peer| peer.zone == self.me.zone);
+            let near = peer.is_some_and(|peer| peer.zone == self.identity.zone);
             self.propagation
                 .hear(now, from, near, head, &mut self.collector);
         }
@@ -376,22 +388,22 @@
         self.gossip.receive(now, from, message);
     }
 
-    /// Looks after what need not be looked at with each event.
-    pub(crate) fn review(&mut self) {
-        self.limits.review(self.now, &mut self.router);
+    /// Performs the periodic work that need not happen on every event.
+    pub(crate) fn tick(&mut self) {
+        self.limits.refresh(self.now, &mut self.router);
         self.needs_dispatch |= !self.admission.is_empty();
-        if self.now < self.next_review {
+        if self.now < self.next_update_at {
             return;
         }
-        self.next_review = self.now + REVIEW_INTERVAL;
-        self.claim_again();
-        self.review_servers();
-        self.review_members();
-        self.review_placement();
-        self.review_drain();
+        self.next_update_at = self.now + UPDATE_INTERVAL;
+        self.retry_claims();
+        self.update_health();
+        self.update_members();
+        self.update_placement();
+        self.update_drain();
     }
 
-    fn review_servers(&mut self) {
+    fn update_health(&mut self) {
         for change in self.router.tick(self.now) {
             let (event, server, why) = match change {
                 Change::Ejected { server, why } => (Event::ServerEjected, server, why.to_string()),
@@ -400,19 +412,19 @@
                 }
                 Change::Probe { .. } => continue,
             };
-            let Some(place) = self.catalog.place(server) else {
+            let Some(endpoint) = self.catalog.endpoint(server) else {
                 continue;
             };
-            let text = format!("server={} {why}", place.name);
+            let text = format!("server={} {why}", endpoint.name);
             self.log(event, text);
         }
     }
 
-    fn review_members(&mut self) {
+    fn update_members(&mut self) {
         let now = self.now;
         let load = Load {
-            streams: self.book.len() as u32,
-            permille: (self.book.len() * 1_000 / self.settings.max_requests.max(1)) as u16,
+            streams: self.requests.len() as u32,
+            permille: (self.requests.len() * 1_000 / self.settings.max_requests.max(1)) as u16,
         };
         self.members.set_load(load);
         if self.propagation.is_ready() {
@@ -424,21 +436,22 @@
         let others = view
             .live
             .iter()
-            .filter(|peer| peer.instance != self.me.instance);
+            .filter(|peer| peer.instance != self.identity.instance);
         let others: u32 = others.map(|peer| peer.load.streams).sum();
-        let own = self.book.len() as u32;
-        let part = limits::part(own, own.saturating_add(others), view.live.len());
-        self.limits.set_part(part);
+        let own = self.requests.len() as u32;
+        let bulk_share = limits::bulk_share(own, own.saturating_add(others), view.live.len());
+        self.limits.set_bulk_share(bulk_share);
         self.router.set_instances(instances);
-        for (key, place) in self.catalog.places() {
-            self.router.set_leaving(key, leaving.contains(&place.name));
+        for (key, endpoint) in self.catalog.endpoints() {
+            self.router
+                .set_leaving(key, leaving.contains(&endpoint.name));
         }
         let view = self.members.view();
         self.arbiter
             .set_lapsed(now, view.lapsed.union(&view.terminated).cloned().collect());
         self.arbiter.set_terminated(now, view.terminated.clone());
-        // A draining instance goes on holding what falls to it, until it has given everything back: when
-        // all instances drain at once there is nobody else to record their last bills.
+        // A draining instance keeps the slots assigned to it until it has released them all: when all
+        // instances drain at once, no other instance can record their last bills.
         if self.keeper.update(now, view) && !self.has_released_slots {
             self.arbiter.set_wanted(now, &self.keeper.mine());
         }
@@ -453,22 +466,22 @@
         for outgoing in self.gossip.take_outgoing(now, self.members.view()) {
             self.send_to(&outgoing.to, Message::Gossip(outgoing.message));
         }
-        self.review_sweeps();
+        self.start_due_sweep();
         let view = self.members.view();
         if view.superseded || view.leave_wanted {
             self.terminate();
         }
     }
 
-    /// Starts the drain; a second call changes nothing.
+    /// Starts the drain. Idempotent.
     pub(crate) fn terminate(&mut self) {
         let actions = self
             .drain
             .stop(self.now, self.catalog.version() != Version::default());
-        self.drain_actions(actions);
+        self.apply_drain_actions(actions);
     }
 
-    fn review_drain(&mut self) {
+    fn update_drain(&mut self) {
         let remaining = Remaining {
             streams: self.open_streams(),
             bills: self.claims_client.unfinished(),
@@ -477,20 +490,20 @@
         };
         let published = self.members.is_published(State::Gone);
         let actions = self.drain.poll(self.now, &remaining, published);
-        self.drain_actions(actions);
+        self.apply_drain_actions(actions);
     }
 
     fn open_streams(&self) -> usize {
-        self.book.len() - self.book.all_in("billing").len()
+        self.requests.len() - self.requests.in_state("billing").len()
     }
 
-    fn drain_actions(&mut self, actions: Vec<DrainAction>) {
+    fn apply_drain_actions(&mut self, actions: Vec<DrainAction>) {
         for action in actions {
             match action {
                 DrainAction::Announce => self.members.set_state(self.now, State::Draining),
                 DrainAction::RefuseNew => self.actions.push(Action::StopListening),
                 DrainAction::FlushBills => {}
-                DrainAction::HandBillsToPeer => self.hand_bills_over(),
+                DrainAction::HandBillsToPeer => self.transfer_bills(),
                 DrainAction::ReturnAllowances => self.ledger.close(self.now),
                 DrainAction::ReleaseSlots => {
                     self.has_released_slots = true;
@@ -502,9 +515,9 @@
         }
     }
 
-    fn hand_bills_over(&mut self) {
+    fn transfer_bills(&mut self) {
         let bills = self.claims_client.export_bills();
-        let me = &self.me.instance;
+        let me = &self.identity.instance;
         let live = self.members.view().live.iter();
         let mut others = live.filter(|peer| peer.instance != *me && peer.state == State::Ready);
         let Some(peer) = others.next().map(|peer| peer.instance.clone()) else {
@@ -513,38 +526,38 @@
         self.send_to(&peer, Message::Bills(bills));
     }
 
-    /// Asks the slot what became of a request, for a caller that takes its answer up again.
+    /// Looks up the state of a request at its slot, for a caller that resumes its response.
     pub(crate) fn look_up(&mut self, ticket: Ticket, key: &RequestKey) {
         self.lookups.insert(ticket);
         self.claims_client.lookup(self.now, ticket.0, key.digest());
     }
 
-    fn looked_up(&mut self, ticket: Ticket, known: Option<RequestState>) {
+    fn handle_lookup_reply(&mut self, ticket: Ticket, known: Option<RequestState>) {
         if !self.lookups.remove(&ticket) {
             return;
         }
-        let verdict = self.verdict_of_lookup(known);
+        let verdict = self.lookup_verdict(known);
         self.decide(ticket, verdict);
     }
 
-    fn verdict_of_lookup(&self, known: Option<RequestState>) -> crate::request::Verdict {
+    fn lookup_verdict(&self, known: Option<RequestState>) -> crate::request::Verdict {
         use crate::request::Verdict;
         let assignment = match known {
             Some(RequestState::InProgress { assignment, .. }) => assignment,
             Some(RequestState::Done {
-                response: Some(answer),
+                response: Some(response),
                 ..
-            }) => return Verdict::Stored(answer),
+            }) => return Verdict::Stored(response),
             Some(RequestState::Done { assignment, .. }) => assignment,
             _ => None,
         };
-        let place = assignment
+        let endpoint = assignment
             .as_ref()
-            .and_then(|assignment| self.catalog.place_of(&assignment.server));
-        match (assignment.as_ref(), place) {
-            (Some(assignment), Some(place)) => Verdict::Attach {
-                server: place.name.clone(),
-                address: place.address,
+            .and_then(|assignment| self.catalog.endpoint_by_name(&assignment.server));
+        match (assignment.as_ref(), endpoint) {
+            (Some(assignment), Some(endpoint)) => Verdict::Attach {
+                server: endpoint.name.clone(),
+                address: endpoint.address,
                 stream: assignment.stream.clone(),
             },
             _ => Verdict::Refuse(Refusal::new(Code::NoSuchStream)),
@@ -552,7 +565,7 @@
     }
 }
 
-/// The instance of a holder: what stands before the last dot.
+/// Returns the instance name of a holder: the part before the last dot.
 pub fn instance_of(holder: &str) -> &str {
     holder
         .rsplit_once('.')
--- a/crates/fescuewell_node/src/quarantine.rs
+++ b/crates/fescuewell_node/src/quarantine.rs
@@ -1,6 +1,7 @@
-//! Requests that repeatedly make backend servers lose their answers.
+//! Quarantine of requests whose responses are repeatedly lost by backend servers.
 //!
-//! Counted by content rather than request id, since a caller's next attempt may have another id. Counts are local to the instance.
+//! Losses are counted by content instead of request id, since a caller's next try may have a different id.
+//! Counts are local to the instance.
 
 use fescuewell_core::prelude::*;
 use fescuewell_forward::crash::{Content, Fingerprint, THRESHOLD, Verdict};
@@ -10,7 +11,7 @@
 use crate::record::Record;
 use crate::request::{Arrival, Ticket};
 
-/// Fingerprint of a group's request across attempts.
+/// Returns the content fingerprint of a group's request, which is the same for every try.
 fn fingerprint(arrival: &Arrival) -> Fingerprint {
     Fingerprint::new(&Content {
         account: &arrival.group,
@@ -21,8 +22,8 @@
     })
 }
 
-/// Identifies one run, so that repeated losses at the same server count separately.
-fn run(record: &Record) -> Option<Incarnation> {
+/// Identifies one attempt, so that repeated losses on the same server count separately.
+fn attempt_id(record: &Record) -> Option<Incarnation> {
     let server = u64::from(record.server?.0);
     let attempt = u64::from(record.grant?.attempt);
     Some(Incarnation::from_number(server << 32 | attempt))
@@ -34,8 +35,8 @@
         time.as_millis() as u64
     }
 
-    /// Rejects a quarantined request.
-    pub(crate) fn check_suspect(&mut self, arrival: &Arrival) -> Result<(), Refusal> {
+    /// Refuses a quarantined request, unless it may probe.
+    pub(crate) fn check_quarantine(&mut self, arrival: &Arrival) -> Result<(), Refusal> {
         let request = fingerprint(arrival);
         let now_ms = self.now_ms();
         let Verdict::Quarantined { may_probe } = self.quarantine.verdict(request, now_ms) else {
@@ -48,26 +49,26 @@
         Err(Refusal::new(Code::Quarantined))
     }
 
-    /// Records a lost answer.
-    pub(crate) fn note_lost(&mut self, ticket: Ticket) {
-        let Some(record) = self.book.get(ticket) else {
+    /// Records a lost response.
+    pub(crate) fn record_crash(&mut self, ticket: Ticket) {
+        let Some(record) = self.requests.get(ticket) else {
             return;
         };
-        let Some(run) = run(record) else {
+        let Some(attempt) = attempt_id(record) else {
             return;
         };
         let request = fingerprint(&record.arrival);
         let now_ms = self.now_ms();
-        let count = self.quarantine.crash(request, run, now_ms);
+        let count = self.quarantine.crash(request, attempt, now_ms);
         if count == Some(THRESHOLD) {
             let text = format!("ticket={} fingerprint={request}", ticket.0);
             self.log(Event::RequestQuarantined, text);
         }
     }
 
-    /// Records a complete answer.
-    pub(crate) fn note_answered(&mut self, ticket: Ticket) {
-        let Some(record) = self.book.get(ticket) else {
+    /// Records a complete response.
+    pub(crate) fn record_answer(&mut self, ticket: Ticket) {
+        let Some(record) = self.requests.get(ticket) else {
             return;
         };
         let request = fingerprint(&record.arrival);
@@ -75,9 +76,9 @@
         self.quarantine.answered(request, now_ms);
     }
 
-    /// Returns `true` if a request must not be sent.
+    /// Returns `true` if a request is quarantined and must not be sent.
     pub(crate) fn is_quarantined(&self, ticket: Ticket) -> bool {
-        let Some(record) = self.book.get(ticket) else {
+        let Some(record) = self.requests.get(ticket) else {
             return false;
         };
         let request = fingerprint(&record.arrival);
--- a/crates/fescuewell_node/src/record.rs
+++ b/crates/fescuewell_node/src/record.rs
@@ -1,4 +1,4 @@
-//! The state of one request while this instance has a part in it.
+//! Records of open requests and their lifecycle state chart.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,19 +12,19 @@
 
 use crate::request::{Arrival, Ticket};
 
-/// Identity that the slot's holder gave to this attempt.
+/// A granted or deferred claim for one attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Grant {
     /// Number of the attempt.
     pub attempt: u32,
-    /// Whether the slot's holder could not be asked, so that only the bill will be arbitrated.
+    /// Whether the slot's holder has not granted the claim, so that only the bill will be arbitrated.
     pub is_deferred: bool,
 }
 
-/// One request.
+/// An open request.
 #[derive(Debug)]
 pub struct Record {
-    /// What arrived.
+    /// The request as it arrived.
     pub arrival: Arrival,
     /// The group that pays.
     pub group: GroupKey,
@@ -32,51 +32,51 @@
     pub kind: KindKey,
     /// When it arrived.
     pub arrived: Instant,
-    /// When it must have been answered.
+    /// Time by which the response must be complete.
     pub deadline: Instant,
-    /// Where it stands in the lifecycle chart.
+    /// State in the lifecycle chart.
     pub state: State,
-    /// The grant, once there is one.
+    /// The claim of the current attempt, once there is one.
     pub grant: Option<Grant>,
-    /// The money held for it.
+    /// The hold on the group's allowance.
     pub hold: Option<HoldKey>,
-    /// Why there is no money for it; it is claimed all the same, to learn whether it is known already.
+    /// Why nothing could be held. The request is claimed all the same, to find out whether it already ran.
     pub shortage: Option<Shortage>,
-    /// The run of another router of which its backend server has no record.
-    pub lost: Option<Owner>,
-    /// The run of another router whose answer this request reads.
-    pub other_run: Option<Owner>,
-    /// The queue's entry, kept for its later corrections.
+    /// Attempt of another router of which the backend server has no record.
+    pub lost_owner: Option<Owner>,
+    /// Attempt of another router whose response this request reads.
+    pub attached_to: Option<Owner>,
+    /// Queue entry, kept so that the queue can correct its cost and requeue it.
     pub entry: Option<Entry>,
-    /// When the running attempt was sent.
+    /// When the current attempt was sent.
     pub sent_at: Instant,
-    /// When the running attempt's first output came, and how many tokens came since.
+    /// Time of the current attempt's first output, and the output tokens since then.
     pub output: Option<(Instant, u32)>,
-    /// The class under which the running attempt took its place.
+    /// Class under which the current attempt counts against the server's limit.
     pub class: Class,
-    /// The backend server that runs it.
+    /// Backend server of the current attempt.
     pub server: Option<ServerKey>,
-    /// Attempts sent until now.
+    /// Number of attempts sent so far.
     pub sent: u32,
-    /// Backend servers that it was not taken by.
+    /// Backend servers that are excluded from further attempts.
     pub excluded: Vec<ServerKey>,
-    /// Which backend servers could run it.
+    /// Backend servers that are eligible to run the request.
     pub reach: Arc<[ServerKey]>,
-    /// Interchangeable backend servers share a pool; the queue keeps pools apart.
+    /// Pool of the eligible servers; the queue keeps pools separate.
     pub pool: u32,
 }
 
-/// All requests that this instance has a part in, with the chart they follow.
+/// All open requests of this instance and their lifecycle chart.
 #[derive(Debug)]
-pub struct Book {
+pub struct Requests {
     chart: Chart,
     records: HashMap<Ticket, Record>,
 }
 
-impl Default for Book {
+impl Default for Requests {
     fn default() -> Self {
-        let chart =
-            Chart::parse(include_str!("lifecycle.json")).expect("the chart is checked by a test");
+        let chart = Chart::parse(include_str!("lifecycle.json"))
+            .expect("lifecycle.json is a valid state chart");
         Self {
             chart,
             records: HashMap::new(),
@@ -84,57 +84,57 @@
     }
 }
 
-impl Book {
-    /// The state in which requests start.
+impl Requests {
+    /// Returns the initial state of a request.
     pub fn initial(&self) -> State {
         self.chart.initial()
     }
 
-    /// Adds a request.
+    /// Inserts a request.
     pub fn insert(&mut self, record: Record) {
         self.records.insert(record.arrival.ticket, record);
     }
 
-    /// A request, if it is still known.
+    /// Returns a request, if it is still open.
     pub fn get(&self, ticket: Ticket) -> Option<&Record> {
         self.records.get(&ticket)
     }
 
-    /// A request, to change it.
+    /// Returns a mutable reference to a request, if it is still open.
     pub fn get_mut(&mut self, ticket: Ticket) -> Option<&mut Record> {
         self.records.get_mut(&ticket)
     }
 
-    /// Forgets a request.
+    /// Removes a request.
     pub fn remove(&mut self, ticket: Ticket) -> Option<Record> {
         self.records.remove(&ticket)
     }
 
-    /// Whether some request is on this attempt.
+    /// Returns `true` if a request is on this attempt.
     pub fn has_attempt(&self, attempt: u32) -> bool {
         let mut grants = self.records.values().filter_map(|record| record.grant);
         grants.any(|grant| grant.attempt == attempt)
     }
 
-    /// How many there are.
+    /// Returns the number of open requests.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether there is none.
+    /// Returns `true` if no request is open.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Whether the request stands in this state of the chart.
+    /// Returns `true` if the request is in this state of the chart.
     pub fn is_in(&self, ticket: Ticket, state: &str) -> bool {
         self.records
             .get(&ticket)
             .is_some_and(|record| self.chart.name(record.state) == state)
     }
 
-    /// Requests in a state, in order of arrival.
-    pub fn all_in(&self, state: &str) -> Vec<Ticket> {
+    /// Returns the requests in a state, sorted by ticket, which is the order of arrival.
+    pub fn in_state(&self, state: &str) -> Vec<Ticket> {
         let wanted = self.chart.state(state);
         let matching = self
             .records
@@ -145,14 +145,14 @@
         tickets
     }
 
-    /// Takes a step of the chart.
+    /// Applies an event to the request's state and returns whether the chart has such a transition.
     ///
-    /// A step that the chart does not have means that two events crossed, for instance a verdict
-    /// and the caller's leaving; the later one then has no effect, which the result tells.
-    pub fn step(&mut self, ticket: Ticket, signal: &str) -> bool {
+    /// A missing transition means that two events raced, for instance a verdict and the caller's
+    /// disconnect. The later event then has no effect.
+    pub fn step(&mut self, ticket: Ticket, event: &str) -> bool {
         let Some(record) = self.records.get_mut(&ticket) else {
             return false;
         };
-        self.chart.step(&mut record.state, signal).is_ok()
+        self.chart.step(&mut record.state, event).is_ok()
     }
 }
--- a/crates/fescuewell_node/src/request.rs
+++ b/crates/fescuewell_node/src/request.rs
@@ -1,4 +1,4 @@
-//! A request on its way through the instance: what arrives, what is decided, how it ends.
+//! Types that describe a request: its arrival, the verdict on it, and the end of an attempt.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,134 +8,134 @@
 use fescuewell_core::prelude::*;
 
 fescuewell_core::key! {
-    /// Names a request within one process; never used twice.
+    /// Identifies a request within one process; never reused.
     pub struct Ticket(pub u64);
 }
 
 fescuewell_core::message! {
-    /// What a request asks for.
+    /// The work that a request asks for.
     pub enum Work {
-        /// A model's answer.
+        /// Inference with a model.
         Model {
             /// Name of the model.
             model: Arc<str>,
-            /// Hashes of the successive blocks of the prompt, salted by group.
+            /// Hashes of the prompt's consecutive blocks, salted per group.
             prefix: Vec<Digest>,
-            /// Upper bound of the prompt, in tokens.
+            /// Upper bound of the prompt length, in tokens.
             prompt_bound: u32,
-            /// Most tokens that the caller wants back.
+            /// Maximum output tokens that the caller requested.
             output_limit: u32,
         },
-        /// A plain call.
+        /// A call to a plain service.
         Call {
             /// Name of the service.
             service: Arc<str>,
             /// Name of the call.
             call: Arc<str>,
-            /// Whether it may run more than once.
+            /// Whether the call may run more than once.
             repeatable: bool,
-            /// Flat price.
+            /// Fixed price of the call.
             price: Tokens,
         },
     }
 
-    /// A request as the listener hands it over: who, what, until when.
+    /// An incoming request from the listener.
     pub struct Arrival {
-        /// Names the request in this process.
+        /// Identifies the request within this process.
         pub ticket: Ticket,
-        /// Identity across the fleet.
+        /// Identifies the request across the fleet.
         pub key: RequestKey,
-        /// Hash of what is asked; the same id with another one is a conflict.
+        /// Hash of the request's content. The same id with a different fingerprint is a conflict.
         pub fingerprint: Digest,
         /// Name of the group that pays.
         pub group: Arc<str>,
         /// Kind of request.
         pub kind: Arc<str>,
-        /// What is asked.
+        /// The requested work.
         pub work: Work,
-        /// Time that is left to answer it.
+        /// Time left until the response must be complete.
         pub deadline: Duration,
     }
 
-    /// What the listener is told to do with a request.
+    /// What the listener must do with a request.
     pub enum Verdict {
-        /// Answer with a refusal.
+        /// Respond with a refusal.
         Refuse(Refusal),
         /// Send the work to a backend server.
         Run(Assignment),
-        /// Deliver the answer of an attempt that is under way or done elsewhere; nothing is sent or billed.
+        /// Deliver the response of another attempt that is running or complete; nothing is sent or billed.
         Attach {
             /// Backend server that has the stream.
             server: Arc<str>,
-            /// Where it listens.
+            /// Address of the server.
             address: SocketAddr,
-            /// The stream's name there.
+            /// Id of the stream on the server.
             stream: StreamId,
         },
-        /// Answer with what is kept of the first run.
+        /// Respond with the stored response of the first attempt.
         Stored(StoredResponse),
     }
 
-    /// Where an attempt goes and within which bounds.
+    /// Target and limits of an attempt.
     pub struct Assignment {
-        /// Backend server's name.
+        /// Name of the backend server.
         pub server: Arc<str>,
-        /// Where it listens.
+        /// Address of the server.
         pub address: SocketAddr,
-        /// Name of this attempt at the backend server.
+        /// Stream id of this attempt on the backend server.
         pub stream: StreamId,
-        /// Tokens held for it: the answer is cut when they are used.
+        /// Tokens held for the attempt; the output is truncated once they are used.
         pub hold: Tokens,
-        /// Number of the attempt, from 1.
+        /// Attempt number, starting at 1.
         pub attempt: u32,
-        /// Priority in the engine; 0 is the most urgent.
+        /// Scheduling priority in the engine; 0 is the most urgent.
         pub priority: u8,
-        /// Name of the paying group, sent along for the sweep.
+        /// Name of the group that pays, sent to the server so that a sweep can bill the stream.
         pub group: Arc<str>,
-        /// Salt of the engine's prefix cache, so that groups learn nothing of each other's prompts.
+        /// Salt for the engine's prefix cache, so that groups cannot probe each other's prompts.
         pub cache_salt: Arc<str>,
-        /// Time left when this was decided.
+        /// Time left until the deadline when the attempt was assigned.
         pub deadline: Duration,
-        /// The holder (`instance.incarnation`) that sends it.
+        /// The holder (`instance.incarnation`) that sends the attempt.
         pub holder: Arc<str>,
     }
 
-    /// How an attempt ended, as the data plane saw it.
+    /// How an attempt ended, as reported by the data plane.
     pub enum End {
-        /// The whole answer reached the end; its true cost.
+        /// The response is complete.
         Done {
             /// Prompt and output tokens, as the backend server counts them.
             cost: Tokens,
-            /// Output tokens alone.
+            /// Output tokens only.
             output: u32,
-            /// The answer, kept for repeats of a call that may not run twice.
+            /// The response, stored for repeats of a non-repeatable call.
             response: Option<StoredResponse>,
         },
-        /// Provably no byte was sent: another attempt may be made.
+        /// No byte was sent, so another attempt is safe.
         NotSent,
-        /// The backend server said that it takes nothing now and did not run it.
+        /// The backend server is at capacity and did not run the request.
         Busy,
-        /// The backend server refused the request itself; not run, nothing to pay.
+        /// The backend server rejected the request itself; it did not run and costs nothing.
         Rejected,
-        /// Something was sent and then the answer was lost; `used` tokens are known to have been produced.
+        /// The request was sent and the response was lost.
         Lost {
-            /// Tokens known to be used.
+            /// Tokens that are known to have been used.
             used: Tokens,
-            /// Whether the backend server stalled rather than broke.
+            /// Whether the backend server stalled rather than failed.
             stalled: bool,
-            /// Whether a part of the answer has reached the caller, so that no other run can follow on.
+            /// Whether part of the response reached the caller, which rules out another attempt.
             delivered: bool,
         },
-        /// The caller went away or the deadline passed; the engine was told to stop.
+        /// The caller disconnected or the deadline passed, and the engine was asked to cancel.
         Cancelled {
-            /// Tokens used until then.
+            /// Tokens used before the cancellation.
             used: Tokens,
         },
     }
 }
 
 impl Work {
-    /// Upper bound of the cost in tokens; what is held before anything is sent.
+    /// Returns the maximum cost in tokens, which is held before anything is sent.
     pub fn bound(&self) -> Tokens {
         match self {
             Self::Model {
@@ -147,7 +147,8 @@
         }
     }
 
-    /// Whether a second run does no harm. Model answers are; plain calls say so in the document.
+    /// Returns `true` if the work may safely run more than once. Model requests may; for plain calls the
+    /// document specifies it.
     pub fn repeatable(&self) -> bool {
         match self {
             Self::Model { .. } => true,
--- a/crates/fescuewell_node/src/settings.rs
+++ b/crates/fescuewell_node/src/settings.rs
@@ -1,53 +1,53 @@
-//! Settings of one entry instance's decisions.
+//! Settings of a node.
 
 use std::time::Duration;
 
-/// Everything that the machines of one instance are set up with.
+/// Settings of all components of a node.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Number of slots of the whole fleet; the same on every instance, for good.
+    /// Number of slots in the fleet. Must be the same on every instance and never change.
     pub slots: u16,
-    /// Allowances.
+    /// Group allowances.
     pub budget: fescuewell_budget::policy::Settings,
-    /// Slots held here.
+    /// Slots that this instance holds.
     pub arbiter: fescuewell_claims::arbiter::Settings,
     /// Claims and bills of this instance's own requests.
     pub claims_client: fescuewell_claims::client::Settings,
-    /// The queue.
+    /// Admission queue.
     pub queue: fescuewell_queue::admission::Settings,
-    /// What this instance keeps running on each backend server.
+    /// Concurrency limits per backend server.
     pub limit: fescuewell_queue::limit::Settings,
-    /// Choice of backend servers.
+    /// Selection of backend servers.
     pub routing: fescuewell_routing::settings::Settings,
-    /// Placement of models, by the holder of slot 0.
+    /// Model placement, run by the holder of slot 0.
     pub placement: fescuewell_placement::settings::Settings,
-    /// Heartbeats and readings.
+    /// Heartbeats and membership reads.
     pub members: fescuewell_membership::settings::Settings,
-    /// Retries after an attempt that did not run.
+    /// Retry budget.
     pub retry: fescuewell_queue::retry::BudgetSettings,
-    /// Most attempts at one request.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Most requests that this instance has a part in at once.
+    /// Maximum number of concurrently open requests.
     pub max_requests: usize,
-    /// How long a member must have been ready before slots are given to it.
+    /// How long a member must have been ready before slots are assigned to it.
     pub min_ready_time: Duration,
-    /// Gossip among instances.
+    /// Gossip between instances.
     pub gossip: fescuewell_membership::gossip::Settings,
-    /// How documents spread.
+    /// Document propagation.
     pub propagation: fescuewell_membership::propagate::Settings,
-    /// How the instance shuts down.
+    /// Graceful shutdown.
     pub drain: fescuewell_membership::drain::Settings,
 }
 
-/// Slots of a fleet of any size up to a few hundred thousand requests a second; at nine instances
-/// each holds about seven of them.
+/// Enough slots for a few hundred thousand requests per second; with nine instances, each holds about
+/// seven.
 const SLOTS: u16 = 64;
 
-/// Instances of a fleet of today's size.
-const FLEET: u32 = 9;
+/// Number of instances in the default fleet.
+const DEFAULT_INSTANCES: u32 = 9;
 
 impl Settings {
-    /// Settings whose rates suit a fleet of `instances`.
+    /// Returns settings with rates for a fleet of `instances`.
     pub fn sized(instances: u32) -> Self {
         Self {
             slots: SLOTS,
@@ -64,9 +64,9 @@
             },
             queue: Default::default(),
             limit: fescuewell_queue::limit::Settings {
-                // The reserve is kept of this instance's part of a server, not of the whole.
+                // `limits::ServerLimit` applies the reserve to this instance's share of a server instead.
                 reserve_percent: 0,
-                // With nine instances each rounds its reserve up, which is a margin by itself.
+                // Each of nine instances rounds its reserve up, which already adds a margin.
                 reserve_deviations: 0.5,
                 ..Default::default()
             },
@@ -84,18 +84,18 @@
     }
 }
 
-/// Table reads a second that the fleet may spend on looking for slots to take while they change hands.
-const FLEET_POLLS: f64 = 85.0;
-/// Shortest time between two looks of one instance.
-const LEAST_POLL: f64 = 0.1;
+/// Table reads per second that the whole fleet may spend on polling for slots during their handover.
+const MAX_FLEET_POLLS_PER_SECOND: f64 = 85.0;
+/// Minimum poll interval of one instance, in seconds.
+const MIN_POLL_SECS: f64 = 0.1;
 
-// Requests of a slot that changes hands wait for its new holder, so that a small fleet looks often.
+// Requests to a slot wait during its handover, so a small fleet polls as often as the budget allows.
 fn poll_interval(instances: u32) -> Duration {
-    Duration::from_secs_f64((f64::from(instances) / FLEET_POLLS).max(LEAST_POLL))
+    Duration::from_secs_f64((f64::from(instances) / MAX_FLEET_POLLS_PER_SECOND).max(MIN_POLL_SECS))
 }
 
 impl Default for Settings {
     fn default() -> Self {
-        Self::sized(FLEET)
+        Self::sized(DEFAULT_INSTANCES)
     }
 }
--- a/crates/fescuewell_node/src/settle.rs
+++ b/crates/fescuewell_node/src/settle.rs
@@ -1,4 +1,4 @@
-//! From the end of an attempt to a durable bill, a retry or a refusal.
+//! The end of an attempt: its bill, a retry or a refusal.
 
 use std::time::Duration;
 
@@ -8,17 +8,17 @@
 use fescuewell_queue::limit::Outcome as LimitOutcome;
 use fescuewell_routing::server::{Outcome, Ticket as RouteTicket};
 
-use crate::admit::ask_for;
-use crate::estimate::Whose;
+use crate::admit::claim_request;
+use crate::estimate::Key;
 use crate::event::Action;
-use crate::limits::Ended;
+use crate::limits::Completion;
 use crate::node::Node;
 use crate::request::{End, Ticket, Verdict};
 
-/// When to ask again after backend servers took nothing.
-const RETRY_BUSY: Duration = Duration::from_secs(1);
+/// Retry-after of a refusal because no backend server accepted the request.
+const BUSY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What is to be billed for an attempt.
+/// The charge for an attempt.
 struct Charge {
     cost: Tokens,
     is_complete: bool,
@@ -26,17 +26,17 @@
 }
 
 impl Node {
-    /// An attempt ended.
-    pub(crate) fn ended(&mut self, ticket: Ticket, end: End) {
-        if !self.book.is_in(ticket, "running") {
-            self.reader_ended(ticket);
+    /// Handles the end of an attempt.
+    pub(crate) fn finish_attempt(&mut self, ticket: Ticket, end: End) {
+        if !self.requests.is_in(ticket, "running") {
+            self.finish_reader(ticket);
             return;
         }
         self.needs_dispatch = true;
-        self.tell_routing(ticket, outcome_of(&end));
+        self.finish_route(ticket, outcome_of(&end));
         match end {
-            End::Done { .. } => self.note_answered(ticket),
-            End::Lost { stalled: false, .. } => self.note_lost(ticket),
+            End::Done { .. } => self.record_answer(ticket),
+            End::Lost { stalled: false, .. } => self.record_crash(ticket),
             _ => {}
         }
         match end {
@@ -57,20 +57,20 @@
             }
             End::NotSent => {
                 self.exclude_server(ticket);
-                self.try_again(ticket);
+                self.retry_unsent(ticket);
             }
-            End::Busy => self.wait_again(ticket),
-            End::Rejected => self.drop_unrun(ticket),
+            End::Busy => self.requeue_busy(ticket),
+            End::Rejected => self.discard_unrun(ticket),
             End::Cancelled { used } if used.is_zero() && self.is_repeatable(ticket) => {
-                self.drop_unrun(ticket);
+                self.discard_unrun(ticket);
             }
             End::Lost {
                 delivered: false, ..
             } if self.is_repeatable(ticket) => self.rerun(ticket),
             End::Cancelled { used } => {
-                // The caller gave up: a repeat reads what there is. Were it to run again without a bill,
-                // cancelling would be a way to get answers for nothing.
-                let cost = self.cost_of_lost(ticket, used);
+                // The caller cancelled, and a repeat reads the output so far. If it could run again
+                // without a bill, cancelling would be a way to get responses for free.
+                let cost = self.charge_for_lost(ticket, used);
                 self.bill(
                     ticket,
                     Charge {
@@ -81,7 +81,7 @@
                 );
             }
             End::Lost { used, .. } => {
-                let cost = self.cost_of_lost(ticket, used);
+                let cost = self.charge_for_lost(ticket, used);
                 self.bill(
                     ticket,
                     Charge {
@@ -94,33 +94,34 @@
         }
     }
 
-    /// A reader of another run's answer ended: nothing is billed here.
+    /// Handles the end of a reader of another attempt's response. Nothing is billed.
     ///
-    /// A request that became a reader on its way to a second run still holds the money for that run,
-    /// which would otherwise be held for ever and refuse others.
-    pub(crate) fn reader_ended(&mut self, ticket: Ticket) {
-        if self.book.step(ticket, "done") {
+    /// A request that became a reader while it waited for a second attempt may still have a hold for it.
+    /// Without this release the hold would never end, and other requests would be refused for lack of
+    /// budget.
+    pub(crate) fn finish_reader(&mut self, ticket: Ticket) {
+        if self.requests.step(ticket, "done") {
             self.release(ticket);
         }
     }
 
     fn is_repeatable(&self, ticket: Ticket) -> bool {
-        let record = self.book.get(ticket);
+        let record = self.requests.get(ticket);
         record.is_some_and(|record| record.arrival.work.repeatable())
     }
 
-    // A call that may not be repeated and whose outcome is unknown counts as run: it is charged, and
-    // its claim stays, so that no repeat runs it again.
-    fn cost_of_lost(&self, ticket: Ticket, used: Tokens) -> Tokens {
-        match self.book.get(ticket) {
+    // A non-repeatable call with an unknown outcome counts as run: it is charged in full and keeps its
+    // claim, so that no repeat runs it again.
+    fn charge_for_lost(&self, ticket: Ticket, used: Tokens) -> Tokens {
+        match self.requests.get(ticket) {
             Some(record) if !record.arrival.work.repeatable() => record.arrival.work.bound(),
             _ => used,
         }
     }
 
-    fn tell_routing(&mut self, ticket: Ticket, outcome: Outcome) {
+    fn finish_route(&mut self, ticket: Ticket, outcome: Outcome) {
         let now = self.now;
-        let Some(record) = self.book.get_mut(ticket) else {
+        let Some(record) = self.requests.get_mut(ticket) else {
             return;
         };
         let took = now.since(record.sent_at);
@@ -129,12 +130,12 @@
         if let Some(server) = record.server {
             self.router
                 .finished(now, server, RouteTicket(ticket.0), outcome);
-            let ended = Ended {
+            let completion = Completion {
                 server,
                 class,
                 outcome: limit_outcome,
             };
-            self.limits.finish(now, ended, &mut self.router);
+            self.limits.finish(now, completion, &mut self.router);
         }
         if let Some(entry) = &record.entry {
             let took = (outcome == Outcome::Done).then_some(took);
@@ -143,7 +144,7 @@
     }
 
     fn log_done(&mut self, ticket: Ticket, cost: Tokens, output: u32) {
-        let Some(record) = self.book.get(ticket) else {
+        let Some(record) = self.requests.get(ticket) else {
             return;
         };
         let took = self.now.since(record.arrived);
@@ -158,11 +159,11 @@
     }
 
     fn bill(&mut self, ticket: Ticket, charge: Charge) {
-        if !self.book.step(ticket, "ended") {
+        if !self.requests.step(ticket, "ended") {
             return;
         }
         let now = self.now;
-        let Some(record) = self.book.get(ticket) else {
+        let Some(record) = self.requests.get(ticket) else {
             return;
         };
         let (Some(grant), Some(hold)) = (record.grant, record.hold) else {
@@ -170,12 +171,12 @@
         };
         let owed = self.ledger.settle(now, hold, charge.cost);
         if charge.is_complete {
-            let whose = Whose {
+            let key = Key {
                 group: record.group,
                 kind: record.kind,
             };
             let costs = (owed, record.arrival.work.bound());
-            self.usual.learn(whose, costs, now.since(record.sent_at));
+            self.estimator.learn(key, costs, now.since(record.sent_at));
         }
         if let Some(entry) = &record.entry {
             self.admission.settled(entry, owed);
@@ -186,15 +187,15 @@
             response: charge.response,
         };
         self.claims_client
-            .bill(now, ticket.0, &ask_for(record), grant.attempt, cost);
+            .bill(now, ticket.0, &claim_request(record), grant.attempt, cost);
     }
 
-    /// A bill is durable: the hold becomes spent, or free again when another run was charged.
-    pub(crate) fn billed(&mut self, ticket: Ticket, charged: Tokens) {
-        if !self.book.step(ticket, "billed") {
+    /// Handles a durable bill: the hold is spent, or freed if another attempt was charged.
+    pub(crate) fn finish_bill(&mut self, ticket: Ticket, charged: Tokens) {
+        if !self.requests.step(ticket, "billed") {
             return;
         }
-        let Some(record) = self.book.remove(ticket) else {
+        let Some(record) = self.requests.remove(ticket) else {
             return;
         };
         if let Some(hold) = record.hold {
@@ -202,14 +203,14 @@
         }
     }
 
-    /// A backend server had no place: the request waits in the queue again, until its deadline.
+    /// Requeues a request that a backend server had no capacity for.
     ///
-    /// Routing passes the server over for a while, so each instance asks it a few times a second at most,
-    /// however much waits; no attempt and no part of the retry budget is used up. Counted as
-    /// retries, a request bounced off all servers within milliseconds and was refused with a minute left.
-    fn wait_again(&mut self, ticket: Ticket) {
+    /// It counts neither as an attempt nor against the retry budget: otherwise a request that all servers
+    /// reject within milliseconds would be refused with a minute left. Routing skips a busy server for a
+    /// while, so an instance tries it at most a few times a second, however many requests are queued.
+    fn requeue_busy(&mut self, ticket: Ticket) {
         let now = self.now;
-        let Some(record) = self.book.get_mut(ticket) else {
+        let Some(record) = self.requests.get_mut(ticket) else {
             return;
         };
         record.server = None;
@@ -217,7 +218,7 @@
         let Some(entry) = record.entry else {
             return;
         };
-        if self.book.step(ticket, "again") {
+        if self.requests.step(ticket, "again") {
             let text = format!("ticket={} reason=busy", ticket.0);
             self.log(Event::RouteRetried, text);
             self.admission.put_back(now, entry);
@@ -225,30 +226,31 @@
     }
 
     fn exclude_server(&mut self, ticket: Ticket) {
-        if let Some(record) = self.book.get_mut(ticket) {
+        if let Some(record) = self.requests.get_mut(ticket) {
             record.excluded.extend(record.server);
         }
     }
 
-    /// Provably nothing ran: another backend server is tried, within the deadline and the retry budget.
-    fn try_again(&mut self, ticket: Ticket) {
-        let most = self.settings.max_attempts;
+    /// Retries on another backend server after an attempt that was not sent, within the deadline and the
+    /// retry budget.
+    fn retry_unsent(&mut self, ticket: Ticket) {
+        let max_attempts = self.settings.max_attempts;
         let now = self.now;
-        let Some(record) = self.book.get_mut(ticket) else {
+        let Some(record) = self.requests.get_mut(ticket) else {
             return;
         };
         record.server = None;
         let in_time = now < record.deadline;
-        let more = record.sent < most && record.excluded.len() < record.reach.len();
+        let more = record.sent < max_attempts && record.excluded.len() < record.reach.len();
         if !(in_time && more && self.retries.try_retry(now)) {
-            let refusal = Refusal::new(Code::NoServer).with_retry_after(RETRY_BUSY);
+            let refusal = Refusal::new(Code::NoServer).with_retry_after(BUSY_RETRY_AFTER);
             self.refuse(ticket, refusal);
             return;
         }
         let Some(entry) = record.entry else {
             return;
         };
-        if self.book.step(ticket, "again") {
+        if self.requests.step(ticket, "again") {
             self.log(
                 Event::RouteRetried,
                 format!("ticket={} reason=not_run", ticket.0),
@@ -257,41 +259,41 @@
         }
     }
 
-    /// The backend server lost the answer before any of it reached the caller: run it anew elsewhere, as a
-    /// new attempt, since the old one may still be known under its stream id.
+    /// Reruns a request elsewhere whose response was lost before any of it reached the caller. It needs a
+    /// new attempt number, since the server may still have the old attempt under its stream id.
     fn rerun(&mut self, ticket: Ticket) {
-        let most = self.settings.max_attempts;
+        let max_attempts = self.settings.max_attempts;
         let now = self.now;
-        let Some(record) = self.book.get_mut(ticket) else {
+        let Some(record) = self.requests.get_mut(ticket) else {
             return;
         };
         record.excluded.extend(record.server.take());
         let in_time = now < record.deadline;
-        let more = record.sent < most && record.excluded.len() < record.reach.len();
+        let more = record.sent < max_attempts && record.excluded.len() < record.reach.len();
         let old = record.grant.take();
         let digest = record.arrival.key.digest();
         if self.is_quarantined(ticket) {
-            if let Some(record) = self.book.get_mut(ticket) {
+            if let Some(record) = self.requests.get_mut(ticket) {
                 record.grant = old;
             }
             self.refuse(ticket, Refusal::new(Code::Quarantined));
             return;
         }
-        let Some(record) = self.book.get_mut(ticket) else {
+        let Some(record) = self.requests.get_mut(ticket) else {
             return;
         };
         if !(in_time && more && self.retries.try_retry(now)) {
             record.grant = old;
             self.refuse(
                 ticket,
-                Refusal::new(Code::RetryBudgetSpent).with_retry_after(RETRY_BUSY),
+                Refusal::new(Code::RetryBudgetSpent).with_retry_after(BUSY_RETRY_AFTER),
             );
             return;
         }
         if let Some(old) = old {
             self.claims_client.release(now, digest, old.attempt);
         }
-        if self.book.step(ticket, "rerun") {
+        if self.requests.step(ticket, "rerun") {
             self.log(
                 Event::RouteRetried,
                 format!("ticket={} reason=lost", ticket.0),
@@ -300,19 +302,19 @@
         }
     }
 
-    /// Ends a request of which nothing ran and whose caller was answered by the data plane.
-    fn drop_unrun(&mut self, ticket: Ticket) {
-        if self.book.step(ticket, "refuse") {
+    /// Closes a request that did not run and whose caller the data plane has already responded to.
+    fn discard_unrun(&mut self, ticket: Ticket) {
+        if self.requests.step(ticket, "refuse") {
             self.release(ticket);
         }
     }
 
-    /// Refuses a request truthfully and lets go of its claim and hold.
+    /// Refuses a request and releases its claim and hold.
     pub(crate) fn refuse(&mut self, ticket: Ticket, refusal: Refusal) {
-        if !self.book.step(ticket, "refuse") {
+        if !self.requests.step(ticket, "refuse") {
             return;
         }
-        if let Some(record) = self.book.get(ticket) {
+        if let Some(record) = self.requests.get(ticket) {
             let key = record.arrival.key.clone();
             self.log_refusal(ticket, &key, &refusal);
         }
@@ -321,8 +323,8 @@
         self.release(ticket);
     }
 
-    /// Refuses a request that never got a record.
-    pub(crate) fn refuse_unknown(&mut self, ticket: Ticket, key: &RequestKey, refusal: Refusal) {
+    /// Refuses a request that has no record.
+    pub(crate) fn refuse_unrecorded(&mut self, ticket: Ticket, key: &RequestKey, refusal: Refusal) {
         self.log_refusal(ticket, key, &refusal);
         self.decide(ticket, Verdict::Refuse(refusal));
     }
@@ -342,7 +344,7 @@
     }
 
     fn release(&mut self, ticket: Ticket) {
-        let Some(record) = self.book.remove(ticket) else {
+        let Some(record) = self.requests.remove(ticket) else {
             return;
         };
         if let Some(hold) = record.hold {
@@ -354,34 +356,34 @@
         }
     }
 
-    /// The caller went away before the verdict.
+    /// Handles a caller that disconnected before the verdict reached it.
     pub(crate) fn withdraw(&mut self, ticket: Ticket) {
         self.admission.remove(self.now, ticket.0);
-        if self.book.is_in(ticket, "running") {
-            // Nobody was left to take the verdict, so nothing was sent. The place on the backend server
-            // would stay taken for ever, and a few of these would close the server to this instance.
-            self.tell_routing(ticket, Outcome::Cancelled);
+        if self.requests.is_in(ticket, "running") {
+            // The verdict could not be delivered, so nothing was sent. Without this call the attempt would
+            // stay in flight for good, and a few of these would block the server for this instance.
+            self.finish_route(ticket, Outcome::Cancelled);
         }
-        if self.book.step(ticket, "refuse") {
+        if self.requests.step(ticket, "refuse") {
             self.release(ticket);
         }
     }
 
-    /// Hands a verdict to the listener.
+    /// Delivers a verdict to the listener.
     pub(crate) fn decide(&mut self, ticket: Ticket, verdict: Verdict) {
         self.actions.push(Action::Decide { ticket, verdict });
     }
 }
 
-/// Fewest tokens after the first from which the speed of an answer is judged; fewer say more about the
-/// start than about the load.
-const LEAST_TOKENS: u32 = 8;
+/// Minimum output tokens after the first for a per-token latency sample; with fewer, the sample reflects
+/// the start of the output rather than the load.
+const MIN_RATE_TOKENS: u32 = 8;
 
 fn limit_outcome(outcome: Outcome, output: Option<(Instant, u32)>, now: Instant) -> LimitOutcome {
     match outcome {
         Outcome::Done => LimitOutcome::Done {
             per_token: output
-                .filter(|(_, tokens)| *tokens >= LEAST_TOKENS)
+                .filter(|(_, tokens)| *tokens >= MIN_RATE_TOKENS)
                 .map(|(first, tokens)| now.since(first) / tokens),
         },
         Outcome::Busy => LimitOutcome::Busy,
--- a/crates/fescuewell_node/src/state.rs
+++ b/crates/fescuewell_node/src/state.rs
@@ -1,4 +1,4 @@
-//! What operators are shown of an instance.
+//! Status summary of an instance for operators.
 
 use std::sync::Arc;
 
@@ -8,96 +8,96 @@
 use crate::node::Node;
 
 fescuewell_core::data! {
-    /// One group's money on this instance.
+    /// One group's allowance on this instance, in tokens.
     pub struct Allowance {
         /// Name of the group.
         pub group: Arc<str>,
-        /// Free to be held.
+        /// Available for holds.
         pub idle: Tokens,
-        /// Held by requests under way.
+        /// Held by requests in progress.
         pub held: Tokens,
-        /// Settled, with bills that are not durable yet.
+        /// Settled, but not yet durably billed.
         pub owed: Tokens,
-        /// Billed.
+        /// Durably billed.
         pub spent: Tokens,
     }
 
-    /// One backend server as this instance sees it.
+    /// One backend server from the perspective of this instance.
     pub struct Server {
-        /// Its name.
+        /// Name of the server.
         pub name: Arc<str>,
-        /// State of its health chart.
+        /// State of its health state chart.
         pub health: Arc<str>,
-        /// Own attempts that are open there.
+        /// Attempts of this instance in flight on the server.
         pub in_flight: usize,
-        /// Whether it is leaving.
+        /// Whether the server is shutting down.
         pub leaving: bool,
     }
 
-    /// Refusals of one result code.
+    /// Number of refusals with one result code.
     pub struct Refused {
-        /// Number of the code.
+        /// Numeric code.
         pub code: u16,
-        /// Its name.
+        /// Name of the server.
         pub name: Arc<str>,
-        /// How many since the start.
+        /// Refusals since the process started.
         pub count: u64,
     }
 
-    /// State of one instance.
+    /// Status of one instance.
     #[derive(Default)]
     pub struct Summary {
         /// `instance.incarnation`.
         pub holder: Arc<str>,
         /// Availability zone.
         pub zone: Arc<str>,
-        /// Version of the document in force.
+        /// Version of the current document.
         pub version: Version,
-        /// Whether it takes requests.
+        /// Whether the instance accepts requests.
         pub ready: bool,
-        /// Whether neither the table nor a peer answered for too long.
+        /// Whether neither the table nor a peer has replied within the isolation limit.
         pub isolated: bool,
-        /// State of the drain's chart.
+        /// State of the drain state chart.
         pub drain: Arc<str>,
-        /// Live instances, by name.
+        /// Names of live instances.
         pub live: Vec<Arc<str>>,
-        /// Holders that are proved to have ended and are not settled yet.
+        /// Holders that are known to have terminated and are not settled yet.
         pub terminated: Vec<Arc<str>>,
-        /// Holder whose streams are being settled here.
+        /// Holder that this instance is currently sweeping.
         pub sweeping: Option<Arc<str>>,
-        /// Slots held here.
+        /// Number of slots this instance holds.
         pub slots: usize,
-        /// Requests that this instance has a part in.
+        /// Open requests of this instance.
         pub requests: usize,
         /// Requests in the queue.
         pub queued: usize,
-        /// Bills that are not durable yet.
+        /// Number of bills that are not durable yet.
         pub unbilled: usize,
-        /// Money.
+        /// Allowances per group.
         pub allowances: Vec<Allowance>,
         /// Backend servers.
         pub servers: Vec<Server>,
-        /// Refusals since the start.
+        /// Refusals per result code since the process started.
         pub refusals: Vec<Refused>,
     }
 }
 
 impl Node {
-    /// What operators are shown.
+    /// Returns the status summary.
     pub fn summary(&self) -> Summary {
         let view = self.members.view();
         Summary {
-            holder: self.me.holder.clone(),
-            zone: self.me.zone.clone(),
+            holder: self.identity.holder.clone(),
+            zone: self.identity.zone.clone(),
             version: self.catalog.version(),
             ready: self.is_ready(),
             isolated: view.isolated,
             drain: self.drain.state().into(),
             live: view.live.iter().map(|peer| peer.instance.clone()).collect(),
             terminated: view.terminated.iter().cloned().collect(),
-            sweeping: self.sweeping.current().cloned(),
+            sweeping: self.sweeps.current().cloned(),
             slots: self.arbiter.slots().len(),
-            requests: self.book.len(),
+            requests: self.requests.len(),
             queued: self.admission.len(),
             unbilled: self.claims_client.unfinished(),
             allowances: self.allowances(),
@@ -122,12 +122,12 @@
         let leaving = &self.members.view().leaving_servers;
         let mut servers: Vec<Server> = self
             .catalog
-            .places()
-            .map(|(key, place)| Server {
-                name: place.name.clone(),
+            .endpoints()
+            .map(|(key, endpoint)| Server {
+                name: endpoint.name.clone(),
                 health: self.router.health(key).unwrap_or("unknown").into(),
                 in_flight: self.router.in_flight(key),
-                leaving: leaving.contains(&place.name),
+                leaving: leaving.contains(&endpoint.name),
             })
             .collect();
         servers.sort_by(|left, right| left.name.cmp(&right.name));
@@ -144,13 +144,13 @@
         refused.collect()
     }
 
-    /// Whether the backend server of that name runs models.
+    /// Returns `true` if the named backend server is an engine, which runs models.
     pub fn is_engine(&self, server: &str) -> bool {
-        let place = self.catalog.place_of(server);
-        place.is_some_and(|place| place.role == ServerRole::Engine)
+        let endpoint = self.catalog.endpoint_by_name(server);
+        endpoint.is_some_and(|endpoint| endpoint.role == ServerRole::Engine)
     }
 
-    /// Whether the instance is shutting down.
+    /// Returns `true` if the instance is shutting down.
     pub fn is_draining(&self) -> bool {
         self.drain.state() != "serving"
     }
--- a/crates/fescuewell_node/src/sweeps.rs
+++ b/crates/fescuewell_node/src/sweeps.rs
@@ -1,7 +1,7 @@
-//! The duty to settle what a terminated instance left: its streams, its claims, its allowances.
+//! Sweeps: settlement of a terminated holder's streams, claims and allowances.
 //!
-//! The instance that holds the slot to which the terminated holder's name hashes has the duty. When
-//! two believe to have it, or one dies halfway, each step may be repeated without harm.
+//! The instance that holds the slot to which the terminated holder's name hashes runs the sweep. Every step
+//! is idempotent, so two instances may run it concurrently and another may restart it after a crash.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -16,57 +16,58 @@
 use crate::event::{Action, StreamRecord};
 use crate::message::Message;
 use crate::node::Node;
-use crate::pump::Asker;
+use crate::pump::Requester;
 
-/// Set in the correlations of a sweep's questions, which share a connection with the claims_client's.
+/// Set in the correlation numbers of sweeps, which share connections with those of the claims client.
 const SWEEP_BIT: u64 = 1 << 63;
-/// Holders remembered as settled, so that a lagging list does not start their sweep anew.
-const MOST_SETTLED: usize = 1_024;
+/// Maximum number of holders remembered as settled, so that a stale instance list does not restart
+/// their sweeps.
+const MAX_SETTLED: usize = 1_024;
 
-/// A question to a slot.
+/// A request of the sweep to a slot.
 #[derive(Debug, Clone)]
-struct Question {
+struct PendingRequest {
     slot: SlotKey,
     correlation: u64,
 }
 
-/// The sweep that runs here, if any, and those that are over.
+/// The running sweep, if any, and the holders already settled.
 #[derive(Debug, Default)]
-pub struct Sweeping {
+pub struct Sweeps {
     sweep: Option<Sweep>,
     reclaim: Option<Reclaim>,
-    questions: BTreeMap<u64, Question>,
-    next_question: u64,
+    pending_requests: BTreeMap<u64, PendingRequest>,
+    next_correlation: u64,
     settled: BTreeSet<Arc<str>>,
-    ended_servers: BTreeSet<Arc<str>>,
+    terminated_servers: BTreeSet<Arc<str>>,
 }
 
-impl Sweeping {
-    /// Notes which backend servers the instance list calls terminated: they have no records any more.
-    pub fn note_servers(&mut self, list: &[Listing]) {
+impl Sweeps {
+    /// Updates which backend servers are terminated and hence have no records any more.
+    pub fn update_servers(&mut self, list: &[Listing]) {
         for listing in list {
             if listing.role == Role::Entry {
                 continue;
             }
             match listing.state {
-                State::Terminated => self.ended_servers.insert(listing.name.clone()),
-                State::Live | State::Leaving => self.ended_servers.remove(&listing.name),
+                State::Terminated => self.terminated_servers.insert(listing.name.clone()),
+                State::Live | State::Leaving => self.terminated_servers.remove(&listing.name),
             };
         }
     }
 
-    /// The holder whose streams are being settled.
+    /// Returns the holder that is being swept.
     pub fn current(&self) -> Option<&Arc<str>> {
         self.sweep.as_ref().map(Sweep::holder)
     }
 
-    /// The next piece of table work of the reclaim.
+    /// Returns the next table step of the reclaim.
     pub fn next_table_step(&mut self, now: Instant) -> Option<table::Step> {
         self.reclaim.as_mut()?.next_step(now)
     }
 
-    /// Takes the answer to it.
-    pub fn reclaimed(&mut self, now: Instant, reply: table::Reply) {
+    /// Handles the reply to a table step of the reclaim.
+    pub fn handle_table_reply(&mut self, now: Instant, reply: table::Reply) {
         if let Some(reclaim) = &mut self.reclaim {
             reclaim.reply(now, reply);
         }
@@ -74,72 +75,72 @@
 }
 
 impl Node {
-    /// Starts a sweep that is due here.
-    pub(crate) fn review_sweeps(&mut self) {
-        if self.sweeping.sweep.is_some() {
+    /// Starts a sweep if one is due and none is running.
+    pub(crate) fn start_due_sweep(&mut self) {
+        if self.sweeps.sweep.is_some() {
             return;
         }
         let terminated = self.members.view().terminated.clone();
         for holder in terminated {
-            let duty = slot_of(Digest::of(holder.as_bytes()), self.settings.slots);
-            if self.sweeping.settled.contains(&holder) || !self.arbiter.holds(duty) {
+            let slot = slot_of(Digest::of(holder.as_bytes()), self.settings.slots);
+            if self.sweeps.settled.contains(&holder) || !self.arbiter.holds(slot) {
                 continue;
             }
             let servers: Vec<Arc<str>> = self
                 .catalog
-                .all_places()
-                .map(|place| place.name.clone())
+                .all_endpoints()
+                .map(|endpoint| endpoint.name.clone())
                 .collect();
             let settings = Settings {
                 slots: self.settings.slots,
                 ..Settings::default()
             };
-            self.sweeping.sweep = Some(Sweep::new(self.now, settings, holder, &servers));
+            self.sweeps.sweep = Some(Sweep::new(self.now, settings, holder, &servers));
             return;
         }
     }
 
-    /// Carries out what the sweep asks for.
-    pub(crate) fn pump_sweeps(&mut self) {
-        let Some(mut sweep) = self.sweeping.sweep.take() else {
+    /// Performs the actions of the running sweep and closes it when it is done.
+    pub(crate) fn advance_sweep(&mut self) {
+        let Some(mut sweep) = self.sweeps.sweep.take() else {
             return;
         };
-        for server in &self.sweeping.ended_servers {
+        for server in &self.sweeps.terminated_servers {
             sweep.server_terminated(server);
         }
         for action in sweep.take_actions(self.now) {
-            self.sweep_action(&sweep, action);
+            self.apply_sweep_action(&sweep, action);
         }
         self.advance_reclaim(&mut sweep);
         for note in sweep.take_notes() {
             self.log(note.event(), note.to_string());
         }
         if !sweep.is_done() {
-            self.sweeping.sweep = Some(sweep);
+            self.sweeps.sweep = Some(sweep);
             return;
         }
         self.finish_sweep(&sweep);
     }
 
-    fn sweep_action(&mut self, sweep: &Sweep, action: SweepAction) {
+    fn apply_sweep_action(&mut self, sweep: &Sweep, action: SweepAction) {
         match action {
             SweepAction::ListStreams { server } => {
-                let Some(place) = self.catalog.any_place_of(&server) else {
+                let Some(endpoint) = self.catalog.any_endpoint_by_name(&server) else {
                     return;
                 };
                 self.actions.push(Action::ListStreams {
                     server,
-                    address: place.address,
+                    address: endpoint.address,
                     holder: sweep.holder().clone(),
                 });
             }
             SweepAction::Cancel { server, stream } => {
-                let Some(place) = self.catalog.any_place_of(&server) else {
+                let Some(endpoint) = self.catalog.any_endpoint_by_name(&server) else {
                     return;
                 };
                 self.actions.push(Action::CancelStream {
                     server,
-                    address: place.address,
+                    address: endpoint.address,
                     stream,
                 });
             }
@@ -148,27 +149,27 @@
                 correlation,
                 request,
             } => {
-                self.ask_for_sweep(Question { slot, correlation }, request);
+                self.send_sweep_request(PendingRequest { slot, correlation }, request);
             }
             SweepAction::Finished { totals } => {
                 let seed = Digest::of(sweep.holder().as_bytes()).0 as u64;
-                self.sweeping.reclaim = Some(Reclaim::new(sweep.holder().clone(), &totals, seed));
+                self.sweeps.reclaim = Some(Reclaim::new(sweep.holder().clone(), &totals, seed));
             }
         }
     }
 
-    fn ask_for_sweep(&mut self, question: Question, request: Request) {
-        let slot = question.slot;
-        self.sweeping.next_question += 1;
-        let number = SWEEP_BIT | self.sweeping.next_question;
-        self.sweeping.questions.insert(number, question);
+    fn send_sweep_request(&mut self, pending: PendingRequest, request: Request) {
+        let slot = pending.slot;
+        self.sweeps.next_correlation += 1;
+        let number = SWEEP_BIT | self.sweeps.next_correlation;
+        self.sweeps.pending_requests.insert(number, pending);
         let owner = self.keeper.assignment().owner(slot).cloned();
         let Some(owner) = owner else {
             return;
         };
-        if owner == self.me.instance {
-            let asker = self.remember(Asker::Sweep { number });
-            self.arbiter.request(self.now, asker, slot, &request);
+        if owner == self.identity.instance {
+            let requester = self.register_requester(Requester::Sweep { number });
+            self.arbiter.request(self.now, requester, slot, &request);
             return;
         }
         let message = Message::SlotRequest {
@@ -179,27 +180,27 @@
         self.send_to(&owner, message);
     }
 
-    /// Takes an answer if it belongs to the sweep; returns whether it does.
-    pub(crate) fn sweep_answered(&mut self, number: u64, reply: &Reply) -> bool {
+    /// Handles a reply if it belongs to a sweep; returns `true` if it does.
+    pub(crate) fn handle_sweep_reply(&mut self, number: u64, reply: &Reply) -> bool {
         if number & SWEEP_BIT == 0 {
             return false;
         }
-        if let Some(question) = self.sweeping.questions.remove(&number)
-            && let Some(sweep) = &mut self.sweeping.sweep
+        if let Some(pending) = self.sweeps.pending_requests.remove(&number)
+            && let Some(sweep) = &mut self.sweeps.sweep
         {
-            sweep.reply(self.now, question.slot, question.correlation, reply.clone());
+            sweep.reply(self.now, pending.slot, pending.correlation, reply.clone());
         }
         true
     }
 
-    /// Takes a backend server's listing of the streams of the swept holder.
-    pub(crate) fn streams_listed(
+    /// Handles a backend server's list of the swept holder's streams.
+    pub(crate) fn handle_stream_list(
         &mut self,
         server: &str,
         holder: &str,
         streams: Option<Vec<StreamRecord>>,
     ) {
-        let Some(sweep) = &mut self.sweeping.sweep else {
+        let Some(sweep) = &mut self.sweeps.sweep else {
             return;
         };
         if &**sweep.holder() != holder {
@@ -215,7 +216,7 @@
     }
 
     fn advance_reclaim(&mut self, sweep: &mut Sweep) {
-        let Some(reclaim) = &mut self.sweeping.reclaim else {
+        let Some(reclaim) = &mut self.sweeps.reclaim else {
             return;
         };
         let mut lines = Vec::new();
@@ -229,7 +230,7 @@
             ));
         }
         if reclaim.is_done() {
-            self.sweeping.reclaim = None;
+            self.sweeps.reclaim = None;
             sweep.reclaimed();
         }
         for line in lines {
@@ -239,11 +240,11 @@
 
     fn finish_sweep(&mut self, sweep: &Sweep) {
         self.members.settled(sweep.holder());
-        self.sweeping.questions.clear();
-        if self.sweeping.settled.len() >= MOST_SETTLED {
-            self.sweeping.settled.pop_first();
+        self.sweeps.pending_requests.clear();
+        if self.sweeps.settled.len() >= MAX_SETTLED {
+            self.sweeps.settled.pop_first();
         }
-        self.sweeping.settled.insert(sweep.holder().clone());
+        self.sweeps.settled.insert(sweep.holder().clone());
     }
 }
 
