--- a/crates/fescuewell_node/tests/common/backend.rs
+++ b/crates/fescuewell_node/tests/common/backend.rs
@@ -1,4 +1,4 @@
-//! Backend servers that remember every stream, as the true record of what ran.
+//! Simulated backend servers that record every stream, as the ground truth of what ran.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -7,70 +7,70 @@
 use fescuewell_core::prelude::*;
 use fescuewell_node::prelude::*;
 
-/// What a backend server does with the next attempt that reaches it.
+/// Behaviour of a backend server on the next attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reaction {
-    /// The connection is refused.
-    Refuse,
-    /// It answers "busy".
+    /// Refuses the connection.
+    RefuseConnection,
+    /// Responds "busy".
     Busy,
-    /// The connection breaks before any of the answer, and the server has no record.
-    Lose,
-    /// Runs, but gives no sign of life afterwards: the attempt ends as lost, part of it delivered.
-    BreakLate,
-    /// Runs for so many milliseconds.
-    Take(u64),
+    /// Breaks the connection before any output; the server keeps no record.
+    LoseResponse,
+    /// Runs to the end, then breaks the connection: the attempt ends as lost, partly delivered.
+    BreakAfterRun,
+    /// Runs for this many milliseconds.
+    RunFor(u64),
 }
 
-/// One stream.
+/// A stream on a backend server.
 #[derive(Debug, Clone)]
 pub struct Stream {
-    /// Where.
+    /// Name of the server.
     pub server: Arc<str>,
-    /// Who sent it.
+    /// Holder that sent the attempt.
     pub holder: Arc<str>,
-    /// Who pays.
+    /// Group that pays.
     pub group: Arc<str>,
-    /// Bound of the cost.
+    /// Maximum cost.
     pub hold: Tokens,
-    /// True cost.
+    /// Actual cost.
     pub cost: Tokens,
-    /// When it started.
+    /// Start time.
     pub started: Instant,
-    /// When it ends.
+    /// End time.
     pub ends: Instant,
-    /// Whether it was cancelled.
-    pub cut: bool,
-    /// Answer of a call that may not be repeated.
+    /// Whether the stream was cancelled.
+    pub is_cancelled: bool,
+    /// Response of a non-repeatable call.
     pub answer: Option<StoredResponse>,
 }
 
-/// All backend servers.
+/// All simulated backend servers.
 #[derive(Debug, Default)]
 pub struct Backend {
-    /// Streams that they have a record of.
+    /// Streams that the servers have a record of.
     pub streams: BTreeMap<StreamId, Stream>,
     /// Every attempt that reached a server, in order.
     pub sent: Vec<(Digest, Arc<str>)>,
-    /// What the next attempts meet, whichever server they go to.
+    /// Behaviour on the next attempts, on whichever server they arrive.
     pub reactions: VecDeque<Reaction>,
 }
 
 impl Stream {
-    /// Whether it has ended by `now`.
+    /// Returns `true` if the stream has ended by `now`.
     pub fn is_done(&self, now: Instant) -> bool {
-        self.cut || self.ends <= now
+        self.is_cancelled || self.ends <= now
     }
 }
 
 impl Backend {
-    /// How often a request reached a server.
+    /// Returns how often a request reached a server.
     pub fn sends(&self, request: Digest) -> usize {
         let matching = self.sent.iter().filter(|(sent, _)| *sent == request);
         matching.count()
     }
 
-    /// True cost of the request's only stream.
+    /// Returns the actual cost of the request's only stream.
     pub fn cost(&self, id: &str) -> Tokens {
         let digest = RequestKey::new("signwise", id).digest();
         let mut streams = self.streams.iter();
@@ -78,23 +78,23 @@
         found.expect("the request ran").1.cost
     }
 
-    /// Streams that run at `now` on `server`.
+    /// Returns the number of streams running on `server` at `now`.
     pub fn running(&self, now: Instant, server: &str) -> usize {
         let streams = self.streams.values();
         let running = streams.filter(|stream| &*stream.server == server && !stream.is_done(now));
         running.count()
     }
 
-    /// Ends a stream early.
+    /// Cancels a stream, unless it has ended.
     pub fn cancel(&mut self, now: Instant, stream: &StreamId) {
         if let Some(stream) = self.streams.get_mut(stream)
             && !stream.is_done(now)
         {
-            stream.cut = true;
+            stream.is_cancelled = true;
         }
     }
 
-    /// What `server` tells a sweep of `holder`.
+    /// Returns the streams of `holder` on `server`, as listed for a sweep.
     pub fn list(&self, now: Instant, server: &str, holder: &str) -> Vec<StreamRecord> {
         let mut records = Vec::new();
         for (name, stream) in &self.streams {
@@ -106,7 +106,7 @@
                 group: stream.group.clone(),
                 hold: stream.hold,
                 done: stream.is_done(now),
-                complete: !stream.cut && stream.is_done(now),
+                complete: !stream.is_cancelled && stream.is_done(now),
                 response: stream.answer.clone().filter(|_| stream.is_done(now)),
                 used: stream.cost,
             });
--- a/crates/fescuewell_node/tests/common/checks.rs
+++ b/crates/fescuewell_node/tests/common/checks.rs
@@ -1,4 +1,4 @@
-//! What tests look at: durable bills, the budget row, what is still open.
+//! State that tests check: durable bills, the budget row, open requests.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,11 +12,11 @@
 use super::document::GROUP;
 use super::world::World;
 
-/// Charged by durable bills, by request; each entry is one bill, named by its log row and place there.
+/// Durable charges per request. Each entry is one bill, identified by its log row and its index in it.
 pub type Bills = BTreeMap<Digest, BTreeMap<(Arc<str>, usize), Tokens>>;
 
 impl World {
-    /// What each durable bill of a request charged.
+    /// Returns the charge of each durable bill of a request.
     pub fn bills(&self, id: &str) -> Vec<u64> {
         let digest = RequestKey::new("signwise", id).digest();
         let bills = self.bills.get(&digest).into_iter();
@@ -25,30 +25,30 @@
             .collect()
     }
 
-    /// Every request with more than one durable bill.
-    pub fn twice_billed(&self) -> Vec<Digest> {
+    /// Returns every request with more than one durable bill.
+    pub fn doubly_billed(&self) -> Vec<Digest> {
         let twice = self.bills.iter().filter(|(_, bills)| bills.len() > 1);
         twice.map(|(digest, _)| *digest).collect()
     }
 
-    /// The sum of all durable bills.
+    /// Returns the sum of all durable bills.
     pub fn charged(&self) -> Tokens {
         let bills = self.bills.values().flat_map(BTreeMap::values);
         bills.copied().sum()
     }
 
-    /// Code of the refusal of a request, if it was refused.
+    /// Returns the code of a request's refusal, if it was refused.
     pub fn code(&self, ticket: Ticket) -> Option<Code> {
-        let refused = self.asked[&ticket].refused.as_ref();
+        let refused = self.requests[&ticket].refused.as_ref();
         refused.map(|(_, refusal)| refusal.code)
     }
 
-    /// Whether a request was answered whole.
+    /// Returns `true` if a request received its complete response.
     pub fn is_answered(&self, ticket: Ticket) -> bool {
-        self.asked[&ticket].answered.is_some()
+        self.requests[&ticket].answered.is_some()
     }
 
-    /// The group's budget row.
+    /// Returns the group's budget row.
     pub fn budget(&self) -> Budget {
         let key = format!("budget/{GROUP}");
         let rows = self.table.rows();
@@ -56,7 +56,7 @@
         Budget::parse(&row.value).unwrap()
     }
 
-    /// Tokens held or owed on live instances, and requests that they have a part in.
+    /// Returns the tokens held or owed on running instances, and their open requests and bills.
     pub fn open(&self) -> (Tokens, usize) {
         let mut tokens = Tokens::ZERO;
         let mut requests = 0;
@@ -74,7 +74,7 @@
         (tokens, requests)
     }
 
-    /// What operators are shown of the instances that run.
+    /// Returns the status summaries of the running instances.
     pub fn summaries(&self) -> Vec<fescuewell_node::state::Summary> {
         let nodes = self
             .members
@@ -83,15 +83,15 @@
         nodes.map(Node::summary).collect()
     }
 
-    /// Instances that run.
+    /// Returns the indexes of the running instances.
     pub fn alive(&self) -> Vec<usize> {
         let members = self.members.iter().enumerate();
         let alive = members.filter(|(_, member)| member.node.is_some());
         alive.map(|(index, _)| index).collect()
     }
 
-    // A commit whose reply is lost may have taken effect all the same: then the rows tell.
-    pub(super) fn note_bills(&mut self, step: &Step, reply: &Reply) {
+    // A commit whose reply is lost may have taken effect, so the rows are checked instead.
+    pub(super) fn record_bills(&mut self, step: &Step, reply: &Reply) {
         let Step::Commit(transaction) = step else {
             return;
         };
--- a/crates/fescuewell_node/tests/common/document.rs
+++ b/crates/fescuewell_node/tests/common/document.rs
@@ -1,22 +1,22 @@
-//! The document that the tests run on.
+//! The document used by the tests.
 
 use std::sync::Arc;
 
 use fescuewell_core::prelude::*;
 use fescuewell_document::prelude::*;
 
-/// The group that pays.
+/// Name of the group that pays.
 pub const GROUP: &str = "handsign";
-/// The model.
+/// Name of the model.
 pub const MODEL: &str = "auslan-7b";
-/// The plain service.
+/// Name of the plain service.
 pub const SERVICE: &str = "desk";
-/// Engines of the document.
+/// Names of the engines.
 pub const ENGINES: [&str; 3] = ["engine-1", "engine-2", "engine-3"];
-/// Servers of the plain service.
+/// Names of the plain service's servers.
 pub const DESKS: [&str; 2] = ["desk-1", "desk-2"];
 
-/// A document with one group, three engines and two servers of a plain service.
+/// Returns a document with one group, three engines and two servers of a plain service.
 pub fn document(prepaid: u64, concurrency: u32) -> Document {
     let names =
         |list: &[&str]| -> Vec<Arc<str>> { list.iter().map(|name| (*name).into()).collect() };
--- a/crates/fescuewell_node/tests/common/mod.rs
+++ b/crates/fescuewell_node/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Entry instances, the platform and backend servers in one thread and in virtual time.
+//! Test harness: entry instances, the platform and backend servers in one thread and in virtual time.
 
 #![allow(dead_code, reason = "each test file uses its own part of the harness")]
 
--- a/crates/fescuewell_node/tests/common/plane.rs
+++ b/crates/fescuewell_node/tests/common/plane.rs
@@ -1,4 +1,4 @@
-//! The data plane: requests as callers send them, and verdicts carried out on the backend servers.
+//! Simulated data plane: submits requests and executes verdicts on the backend servers.
 
 use std::time::Duration;
 
@@ -9,26 +9,26 @@
 
 use super::backend::{Reaction, Stream};
 use super::document::{GROUP, MODEL, SERVICE};
-use super::world::{Asked, Due, World};
+use super::world::{Scheduled, SubmittedRequest, World};
 
 impl World {
-    /// A model request.
-    pub fn ask(&mut self, node: usize, id: &str) -> Ticket {
-        self.ask_model(node, id, "summary", (40, 60))
+    /// Submits a model request of the kind `summary`.
+    pub fn submit(&mut self, node: usize, id: &str) -> Ticket {
+        self.submit_model(node, id, "summary", (40, 60))
     }
 
-    /// A model request of a kind with bounds of prompt and output.
-    pub fn ask_model(&mut self, node: usize, id: &str, kind: &str, size: (u32, u32)) -> Ticket {
+    /// Submits a model request of a kind, with its prompt bound and output limit.
+    pub fn submit_model(&mut self, node: usize, id: &str, kind: &str, size: (u32, u32)) -> Ticket {
         let work = Work::Model {
             model: MODEL.into(),
             prefix: Vec::new(),
             prompt_bound: size.0,
             output_limit: size.1,
         };
-        self.arrive(node, id, kind, work, Duration::from_secs(60))
+        self.submit_work(node, id, kind, work, Duration::from_secs(60))
     }
 
-    /// A plain call.
+    /// Submits a call to the plain service.
     pub fn call(&mut self, node: usize, id: &str, repeatable: bool) -> Ticket {
         let work = Work::Call {
             service: SERVICE.into(),
@@ -36,11 +36,11 @@
             repeatable,
             price: Tokens(20),
         };
-        self.arrive(node, id, "status", work, Duration::from_secs(60))
+        self.submit_work(node, id, "status", work, Duration::from_secs(60))
     }
 
-    /// Any request.
-    pub fn arrive(
+    /// Submits any request.
+    pub fn submit_work(
         &mut self,
         node: usize,
         id: &str,
@@ -48,19 +48,19 @@
         work: Work,
         deadline: Duration,
     ) -> Ticket {
-        let ticket = Ticket(self.asked.len() as u64 + 1);
+        let ticket = Ticket(self.requests.len() as u64 + 1);
         let key = RequestKey::new("signwise", id);
-        let asked = Asked {
+        let request = SubmittedRequest {
             node,
             key: key.clone(),
-            at: self.now,
+            submitted_at: self.now,
             repeatable: work.repeatable(),
             runs: Vec::new(),
             refused: None,
             answered: None,
             is_reader: false,
         };
-        self.asked.insert(ticket, asked);
+        self.requests.insert(ticket, request);
         let fingerprint = Digest::of(format!("{work:?}").as_bytes());
         let arrival = Arrival {
             ticket,
@@ -71,7 +71,7 @@
             work,
             deadline,
         };
-        self.happen(node, NodeEvent::Arrived(arrival));
+        self.handle(node, NodeEvent::Arrived(arrival));
         ticket
     }
 
@@ -79,14 +79,18 @@
         let now = self.now;
         match verdict {
             Verdict::Refuse(refusal) => {
-                let asked = self.asked.get_mut(&ticket).unwrap();
-                assert!(asked.refused.is_none(), "refused twice: {:?}", asked.key);
-                asked.refused = Some((now, refusal));
+                let request = self.requests.get_mut(&ticket).unwrap();
+                assert!(
+                    request.refused.is_none(),
+                    "refused twice: {:?}",
+                    request.key
+                );
+                request.refused = Some((now, refusal));
             }
             Verdict::Stored(_) => {
-                let asked = self.asked.get_mut(&ticket).unwrap();
-                asked.is_reader = true;
-                asked.answered = Some(now);
+                let request = self.requests.get_mut(&ticket).unwrap();
+                request.is_reader = true;
+                request.answered = Some(now);
             }
             Verdict::Attach { stream, .. } => self.attach(node, ticket, &stream),
             Verdict::Run(assignment) => self.run(node, ticket, assignment),
@@ -95,17 +99,17 @@
 
     fn ended(&mut self, node: usize, ticket: Ticket, after: Duration, end: End) {
         let event = NodeEvent::Ended { ticket, end };
-        self.later(
+        self.schedule(
             after + Duration::from_micros(300),
-            Due::Event { node, event },
+            Scheduled::Event { node, event },
         );
     }
 
     fn attach(&mut self, node: usize, ticket: Ticket, stream: &StreamId) {
-        self.asked.get_mut(&ticket).unwrap().is_reader = true;
+        self.requests.get_mut(&ticket).unwrap().is_reader = true;
         let known = self.backend.streams.get(stream);
-        let Some(known) = known.filter(|known| !known.cut) else {
-            self.soon(node, NodeEvent::StreamGone { ticket });
+        let Some(known) = known.filter(|known| !known.is_cancelled) else {
+            self.schedule_delivery(node, NodeEvent::StreamGone { ticket });
             return;
         };
         let left = known.ends.since(self.now);
@@ -113,10 +117,10 @@
     }
 
     fn run(&mut self, node: usize, ticket: Ticket, assignment: Assignment) {
-        let asked = self.asked.get_mut(&ticket).unwrap();
-        asked.runs.push((self.now, assignment.clone()));
-        let (digest, repeatable) = (asked.key.digest(), asked.repeatable);
-        let is_full = self.backend.running(self.now, &assignment.server) >= self.places;
+        let request = self.requests.get_mut(&ticket).unwrap();
+        request.runs.push((self.now, assignment.clone()));
+        let (digest, repeatable) = (request.key.digest(), request.repeatable);
+        let is_full = self.backend.running(self.now, &assignment.server) >= self.max_running;
         let reaction = match is_full {
             true => Some(Reaction::Busy),
             false => self.backend.reactions.pop_front(),
@@ -128,16 +132,18 @@
             delivered,
         };
         match reaction {
-            Some(Reaction::Refuse) => return self.ended(node, ticket, nothing, End::NotSent),
+            Some(Reaction::RefuseConnection) => {
+                return self.ended(node, ticket, nothing, End::NotSent);
+            }
             Some(Reaction::Busy) => return self.ended(node, ticket, nothing, End::Busy),
             _ => self.backend.sent.push((digest, assignment.server.clone())),
         }
-        if reaction == Some(Reaction::Lose) {
+        if reaction == Some(Reaction::LoseResponse) {
             return self.ended(node, ticket, nothing, lost(false, Tokens::ZERO));
         }
         let took = match reaction {
-            Some(Reaction::Take(millis)) => millis,
-            _ => self.random.random_range(self.takes.clone()),
+            Some(Reaction::RunFor(millis)) => millis,
+            _ => self.random.random_range(self.run_ms.clone()),
         };
         let cost = Tokens(self.random.random_range(1..=assignment.hold.0.max(1)));
         let cost = if repeatable { cost } else { assignment.hold };
@@ -155,12 +161,12 @@
             cost,
             started: self.now,
             ends: self.now + took,
-            cut: false,
+            is_cancelled: false,
             answer: response.clone(),
         };
         self.backend.streams.insert(assignment.stream, stream);
         let end = match reaction {
-            Some(Reaction::BreakLate) => lost(true, cost),
+            Some(Reaction::BreakAfterRun) => lost(true, cost),
             _ => done(cost, response),
         };
         self.ended(node, ticket, took, end);
--- a/crates/fescuewell_node/tests/common/world.rs
+++ b/crates/fescuewell_node/tests/common/world.rs
@@ -1,4 +1,4 @@
-//! Drives several nodes by events and actions in virtual time.
+//! Simulation that drives several nodes by events and actions in virtual time.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -21,25 +21,25 @@
 use super::checks::Bills;
 use super::document::{DESKS, ENGINES, MODEL};
 
-/// Time between two ticks of a node.
-const TICK: Duration = Duration::from_millis(10);
-/// Time between two instance lists.
-const LIST: Duration = Duration::from_millis(500);
+/// Interval between two ticks of a node.
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
+/// Interval between two instance lists.
+const LIST_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Something that happens later.
-pub(super) enum Due {
+/// A scheduled event of a node.
+pub(super) enum Scheduled {
     Event { node: usize, event: NodeEvent },
     Tick { node: usize },
     List { node: usize },
 }
 
-/// Something that happens later to one start of an instance.
-struct Planned {
-    life: u64,
-    due: Due,
+/// A scheduled event that applies to one incarnation of an instance.
+struct ScheduledEntry {
+    incarnation: u64,
+    due: Scheduled,
 }
 
-impl Due {
+impl Scheduled {
     fn node(&self) -> usize {
         match self {
             Self::Event { node, .. } | Self::Tick { node } | Self::List { node } => *node,
@@ -47,74 +47,74 @@
     }
 }
 
-/// One instance.
+/// One simulated instance.
 pub struct Member {
-    /// Its name.
+    /// Name of the instance.
     pub name: Arc<str>,
-    /// Number of its present start.
-    pub life: u64,
-    /// Its decisions; `None` once it was killed or has left.
+    /// Current incarnation.
+    pub incarnation: u64,
+    /// The node; `None` after it was killed or has exited.
     pub node: Option<Node>,
-    /// Whether it left by itself.
-    pub has_left: bool,
-    /// Until when it is stopped.
+    /// Whether the instance exited after a drain.
+    pub has_exited: bool,
+    /// Time until which the instance is paused.
     pub paused_until: Instant,
-    /// Versions that it put in force, in order.
+    /// Document versions that the instance applied, in order.
     pub versions: Vec<Version>,
 }
 
-/// A request as its caller sees it.
+/// A request from its caller's perspective.
 #[derive(Debug, Clone)]
-pub struct Asked {
-    /// The node that was asked.
+pub struct SubmittedRequest {
+    /// The node that received the request.
     pub node: usize,
-    /// Which request.
+    /// Key of the request.
     pub key: RequestKey,
-    /// When it was asked.
-    pub at: Instant,
-    /// Whether it may run more than once.
+    /// When the request was submitted.
+    pub submitted_at: Instant,
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// When it was sent to a backend server, each time.
+    /// Attempts sent to backend servers, with their times.
     pub runs: Vec<(Instant, Assignment)>,
-    /// The refusal and when it came.
+    /// The refusal and its time.
     pub refused: Option<(Instant, Refusal)>,
-    /// Whether the answer came whole.
+    /// When the response was complete.
     pub answered: Option<Instant>,
-    /// Whether the answer is that of another run.
+    /// Whether the response is that of another attempt.
     pub is_reader: bool,
 }
 
-/// Everything.
+/// The whole simulation.
 pub struct World {
-    /// The time.
+    /// Current virtual time.
     pub now: Instant,
     /// The table service.
     pub table: Table,
-    /// Instances, dead ones included.
+    /// Instances, including terminated ones.
     pub members: Vec<Member>,
     /// Backend servers.
     pub backend: Backend,
     /// Requests by ticket.
-    pub asked: BTreeMap<Ticket, Asked>,
-    /// Messages lost, out of 1000.
+    pub requests: BTreeMap<Ticket, SubmittedRequest>,
+    /// Messages lost between instances, per mille.
     pub loss: u32,
-    /// Streams that a backend server runs at once; beyond them it answers "busy".
-    pub places: usize,
-    /// Milliseconds that a stream runs.
-    pub takes: std::ops::Range<u64>,
-    /// Settings of instances that are started.
+    /// Maximum concurrent streams of a backend server, which responds "busy" to any more.
+    pub max_running: usize,
+    /// Range of the duration of a stream, in milliseconds.
+    pub run_ms: std::ops::Range<u64>,
+    /// Settings of newly started instances.
     pub settings: Settings,
-    /// Whether instances cannot reach each other.
-    pub is_parted: bool,
-    /// Charged by durable bills, by request; each entry is one bill.
+    /// Whether the instances are partitioned from each other.
+    pub is_partitioned: bool,
+    /// Durable charges per request; each entry is one bill.
     pub(super) bills: Bills,
     objects: Objects,
-    due: BTreeMap<(Instant, u64), Planned>,
+    due: BTreeMap<(Instant, u64), ScheduledEntry>,
     sequence: u64,
     pub(super) random: SmallRng,
 }
 
-/// Settings with short times, so that a test's virtual time is short.
+/// Returns settings with short times, so that tests need little virtual time.
 pub fn settings() -> Settings {
     let mut settings = Settings::sized(3);
     settings.slots = 8;
@@ -128,19 +128,19 @@
 }
 
 impl World {
-    /// Starts `nodes` instances on a document and waits until they serve.
+    /// Starts `nodes` instances with a document and waits until they are ready.
     pub fn new(nodes: usize, document: &Document, seed: u64) -> Self {
         let mut world = Self {
             now: Instant::from_millis(1_000),
             table: Table::default(),
             members: Vec::new(),
             backend: Backend::default(),
-            asked: BTreeMap::new(),
+            requests: BTreeMap::new(),
             loss: 0,
-            places: usize::MAX,
-            takes: 20..400,
+            max_running: usize::MAX,
+            run_ms: 20..400,
             settings: settings(),
-            is_parted: false,
+            is_partitioned: false,
             bills: BTreeMap::new(),
             objects: Objects::new(),
             due: BTreeMap::new(),
@@ -155,7 +155,7 @@
         world
     }
 
-    /// Accepts a document in the table.
+    /// Accepts a new document in the table.
     pub fn accept(&mut self, before: &Document, after: &Document) {
         let head = self.table.read(HEAD_KEY).unwrap();
         let base = head
@@ -180,15 +180,15 @@
         assert!(matches!(outcome, Outcome::Committed { .. }));
     }
 
-    /// Starts one more instance.
+    /// Starts another instance.
     pub fn start(&mut self) -> usize {
         let number = self.members.len();
         let name: Arc<str> = format!("entry-{number}").into();
         self.members.push(Member {
             name,
-            life: 0,
+            incarnation: 0,
             node: None,
-            has_left: false,
+            has_exited: false,
             paused_until: Instant::default(),
             versions: Vec::new(),
         });
@@ -196,17 +196,17 @@
         number
     }
 
-    /// Starts an instance that was killed or has left, under its name and as its next incarnation.
+    /// Restarts an instance that was killed or has exited, under the same name and the next incarnation.
     pub fn restart(&mut self, number: usize) {
         let seed = self.random.random();
         let address = ([127, 0, 0, 1], 7_000 + number as u16).into();
         let member = &mut self.members[number];
-        member.life += 1;
-        member.has_left = false;
+        member.incarnation += 1;
+        member.has_exited = false;
         member.paused_until = Instant::default();
         let me = Me {
             instance: member.name.clone(),
-            incarnation: Incarnation(member.life),
+            incarnation: Incarnation(member.incarnation),
             caller_address: address,
             peer_address: address,
             operator_address: address,
@@ -214,32 +214,32 @@
             formats: 1,
         };
         member.node = Some(Node::new(self.settings.clone(), me, seed));
-        self.later(Duration::from_micros(10), Due::List { node: number });
-        self.later(Duration::from_micros(20), Due::Tick { node: number });
+        self.schedule(Duration::from_micros(10), Scheduled::List { node: number });
+        self.schedule(Duration::from_micros(20), Scheduled::Tick { node: number });
     }
 
-    /// Ends an instance without warning.
+    /// Kills an instance without a drain.
     pub fn kill(&mut self, node: usize) {
         self.members[node].node = None;
     }
 
-    /// Stops an instance for a while; what reaches it waits.
+    /// Pauses an instance; its events are delayed until it resumes.
     pub fn pause(&mut self, node: usize, millis: u64) {
         self.members[node].paused_until = self.now + Duration::from_millis(millis);
     }
 
-    /// Asks an instance to leave.
+    /// Starts the drain of an instance.
     pub fn terminate(&mut self, node: usize) {
-        self.happen(node, NodeEvent::Terminate);
+        self.handle(node, NodeEvent::Terminate);
     }
 
-    /// The caller goes away.
+    /// Disconnects the caller of a request.
     pub fn withdraw(&mut self, ticket: Ticket) {
-        let node = self.asked[&ticket].node;
-        self.happen(node, NodeEvent::Withdrawn { ticket });
+        let node = self.requests[&ticket].node;
+        self.handle(node, NodeEvent::Withdrawn { ticket });
     }
 
-    /// Lets time pass.
+    /// Advances the virtual time.
     pub fn run_for(&mut self, millis: u64) {
         let end = self.now + Duration::from_millis(millis);
         while let Some(entry) = self.due.first_entry() {
@@ -253,7 +253,7 @@
         self.now = end;
     }
 
-    /// Lets time pass until something holds; whether it came to hold within the limit.
+    /// Advances the virtual time until `check` holds; returns `false` if it does not within the limit.
     pub fn run_until<Check>(&mut self, limit_ms: u64, check: Check) -> bool
     where
         Check: Fn(&Self) -> bool,
@@ -268,38 +268,38 @@
         check(self)
     }
 
-    pub(super) fn later(&mut self, after: Duration, due: Due) {
-        let life = self.members[due.node()].life;
+    pub(super) fn schedule(&mut self, after: Duration, due: Scheduled) {
+        let incarnation = self.members[due.node()].incarnation;
         self.sequence += 1;
-        let planned = Planned { life, due };
-        self.due.insert((self.now + after, self.sequence), planned);
+        let entry = ScheduledEntry { incarnation, due };
+        self.due.insert((self.now + after, self.sequence), entry);
     }
 
-    pub(super) fn soon(&mut self, node: usize, event: NodeEvent) {
+    pub(super) fn schedule_delivery(&mut self, node: usize, event: NodeEvent) {
         let delay = Duration::from_micros(self.random.random_range(500..4_000));
-        self.later(delay, Due::Event { node, event });
+        self.schedule(delay, Scheduled::Event { node, event });
     }
 
-    fn carry_out(&mut self, Planned { life, due }: Planned) {
+    fn carry_out(&mut self, ScheduledEntry { incarnation, due }: ScheduledEntry) {
         let member = &self.members[due.node()];
-        if member.node.is_none() || member.life != life {
+        if member.node.is_none() || member.incarnation != incarnation {
             return;
         }
         if member.paused_until > self.now {
             let rest = member.paused_until.since(self.now);
-            self.later(rest, due);
+            self.schedule(rest, due);
             return;
         }
         match due {
-            Due::Event { node, event } => self.happen(node, event),
-            Due::Tick { node } => {
-                self.later(TICK, Due::Tick { node });
-                self.happen(node, NodeEvent::Tick);
+            Scheduled::Event { node, event } => self.handle(node, event),
+            Scheduled::Tick { node } => {
+                self.schedule(TICK_INTERVAL, Scheduled::Tick { node });
+                self.handle(node, NodeEvent::Tick);
             }
-            Due::List { node } => {
-                self.later(LIST, Due::List { node });
+            Scheduled::List { node } => {
+                self.schedule(LIST_INTERVAL, Scheduled::List { node });
                 let list = self.listing();
-                self.happen(node, NodeEvent::InstancesListed(list));
+                self.handle(node, NodeEvent::InstancesListed(list));
                 self.report(node);
             }
         }
@@ -318,7 +318,7 @@
                 report,
                 loaded: vec![MODEL.into()],
             };
-            self.happen(node, event);
+            self.handle(node, event);
         }
     }
 
@@ -347,14 +347,14 @@
         list
     }
 
-    pub(super) fn happen(&mut self, node: usize, event: NodeEvent) {
+    pub(super) fn handle(&mut self, node: usize, event: NodeEvent) {
         if let NodeEvent::Ended {
             ticket,
             end: End::Done { .. },
         } = &event
-            && let Some(asked) = self.asked.get_mut(ticket)
+            && let Some(request) = self.requests.get_mut(ticket)
         {
-            asked.answered = Some(self.now);
+            request.answered = Some(self.now);
         }
         let Some(machine) = &mut self.members[node].node else {
             return;
@@ -372,12 +372,12 @@
             } => self.send(node, &instance, message),
             Action::Table { component, step } => {
                 let reply = table::carry_out(&self.table, &step);
-                self.note_bills(&step, &reply);
-                self.soon(node, NodeEvent::TableReply { component, reply });
+                self.record_bills(&step, &reply);
+                self.schedule_delivery(node, NodeEvent::TableReply { component, reply });
             }
             Action::Fetch { name } => {
                 let content = self.objects.get(&name).map(|bytes| bytes.to_vec());
-                self.soon(node, NodeEvent::ObjectFetched { name, content });
+                self.schedule_delivery(node, NodeEvent::ObjectFetched { name, content });
             }
             Action::ListStreams { server, holder, .. } => {
                 let streams = Some(self.backend.list(self.now, &server, &holder));
@@ -386,12 +386,12 @@
                     holder,
                     streams,
                 };
-                self.soon(node, event);
+                self.schedule_delivery(node, event);
             }
             Action::CancelStream { stream, .. } => self.backend.cancel(self.now, &stream),
             Action::ApplyDocument { version, .. } => self.members[node].versions.push(version),
             Action::Exit => {
-                self.members[node].has_left = true;
+                self.members[node].has_exited = true;
                 self.members[node].node = None;
             }
             Action::Order { order, .. } => {
@@ -402,12 +402,12 @@
     }
 
     fn send(&mut self, from: usize, to: &str, message: Message) {
-        let lost = self.is_parted || self.random.random_range(0..1_000) < self.loss;
+        let lost = self.is_partitioned || self.random.random_range(0..1_000) < self.loss;
         let to = self.members.iter().position(|member| &*member.name == to);
         let (Some(to), false) = (to, lost) else {
             return;
         };
         let from = self.members[from].name.clone();
-        self.soon(to, NodeEvent::PeerMessage { from, message });
+        self.schedule_delivery(to, NodeEvent::PeerMessage { from, message });
     }
 }
--- a/crates/fescuewell_node/tests/faults.rs
+++ b/crates/fescuewell_node/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Composed nodes under faults of the table, of each other and of backend servers.
+//! A fleet of nodes under faults of the table, the instances and the backend servers.
 
 mod common;
 
@@ -17,18 +17,18 @@
     world.open() == (Tokens::ZERO, 0)
 }
 
-/// A world whose first node has an allowance and has measured its use.
+/// Returns a world whose nodes have allowances and have measured their use.
 fn warm_world(seed: u64) -> World {
     let mut world = world(seed);
     for number in 0..6 {
-        world.ask(number % 3, &format!("warm-{number}"));
+        world.submit(number % 3, &format!("warm-{number}"));
         world.run_for(300);
     }
     assert!(world.run_until(5_000, is_settled));
     world
 }
 
-/// Lets every instance leave; whether all of them did.
+/// Drains every instance; returns `true` if all of them exited.
 fn leave(world: &mut World) -> bool {
     for node in world.alive() {
         world.terminate(node);
@@ -38,18 +38,18 @@
 
 #[test]
 fn without_the_table_repeatable_requests_go_on_and_others_are_refused_at_once() {
-    // Symptom: a call that may not be repeated runs twice, because it was sent while its claim could not
-    // be recorded; or everything stops with the table.
+    // Guards against running a non-repeatable call twice because it was sent while its claim could not be
+    // recorded, and against refusing all requests while the table is unavailable.
     let mut world = warm_world(21);
     world.table.fault().set_down(true);
     world.run_for(1_000);
 
-    let model = world.ask(0, "job-1");
+    let model = world.submit(0, "job-1");
     let call = world.call(1, "file-1", false);
     world.run_for(3_000);
     let before = world.bills("job-1");
-    let refused = world.asked[&call].refused.clone();
-    let asked = world.asked[&call].at;
+    let refused = world.requests[&call].refused.clone();
+    let submitted_at = world.requests[&call].submitted_at;
     world.table.fault().set_down(false);
     let settled = world.run_until(30_000, is_settled);
 
@@ -57,22 +57,22 @@
     assert!(world.is_answered(model) && before.is_empty());
     assert_eq!(refusal.code, Code::NoClaim);
     assert!(
-        at.since(asked).as_millis() <= 1_500,
+        at.since(submitted_at).as_millis() <= 1_500,
         "{:?}",
-        at.since(asked)
+        at.since(submitted_at)
     );
     assert!(settled);
     assert_eq!(world.bills("job-1").len(), 1);
-    assert!(world.asked[&call].runs.is_empty() && world.bills("file-1").is_empty());
+    assert!(world.requests[&call].runs.is_empty() && world.bills("file-1").is_empty());
 }
 
 #[test]
 fn streams_of_a_node_that_dies_are_settled_once_and_its_grant_comes_back() {
-    // Symptom: tokens used by a dead router's streams are never billed, or are billed twice; or what it
-    // drew stays lost to the group.
+    // Guards against tokens of a terminated router's streams that are never billed or billed twice, and
+    // against an allowance that is not returned to the group.
     let mut world = warm_world(22);
-    world.backend.reactions.push_back(Reaction::Take(2_000));
-    world.ask(0, "job-1");
+    world.backend.reactions.push_back(Reaction::RunFor(2_000));
+    world.submit(0, "job-1");
     world.run_for(500);
     let cost = world.backend.cost("job-1");
 
@@ -90,15 +90,15 @@
 
 #[test]
 fn a_caller_that_asks_again_elsewhere_reads_the_stream_of_a_dead_node() {
-    // Symptom: the answer is run and billed a second time after its router died.
+    // Guards against a second run and bill of a request whose router terminated.
     let mut world = warm_world(23);
-    world.backend.reactions.push_back(Reaction::Take(3_000));
-    world.ask(0, "job-1");
+    world.backend.reactions.push_back(Reaction::RunFor(3_000));
+    world.submit(0, "job-1");
     world.run_for(500);
     world.kill(0);
 
     world.run_for(200);
-    let again = world.ask(1, "job-1");
+    let again = world.submit(1, "job-1");
     world.run_until(5_000, |world| {
         world.is_answered(again) || world.code(again).is_some()
     });
@@ -115,17 +115,17 @@
 
 #[test]
 fn a_drain_serves_on_then_refuses_then_leaves_with_nothing_behind() {
-    // Symptom: a stream is cut, a bill is lost, or an allowance stays out when an instance leaves.
+    // Guards against a cancelled stream, a lost bill or an allowance not returned when an instance drains.
     let mut world = warm_world(24);
-    world.backend.reactions.push_back(Reaction::Take(4_000));
-    let long = world.ask(0, "long-1");
+    world.backend.reactions.push_back(Reaction::RunFor(4_000));
+    let long = world.submit(0, "long-1");
     world.run_for(100);
 
     world.terminate(0);
-    let early = world.ask(0, "early-1");
+    let early = world.submit(0, "early-1");
     world.run_for(2_000);
-    let late = world.ask(0, "late-1");
-    let left = world.run_until(60_000, |world| world.members[0].has_left);
+    let late = world.submit(0, "late-1");
+    let left = world.run_until(60_000, |world| world.members[0].has_exited);
 
     assert!(left);
     assert!(world.is_answered(long) && world.is_answered(early));
@@ -138,10 +138,10 @@
 
 #[test]
 fn a_drain_during_an_outage_of_the_table_hands_its_bills_over() {
-    // Symptom: an instance that leaves while the table is away takes its bills with it.
+    // Guards against losing the bills of an instance that drains while the table is unavailable.
     let mut world = warm_world(25);
     world.table.fault().set_down(true);
-    let ticket = world.ask(0, "job-1");
+    let ticket = world.submit(0, "job-1");
     world.run_for(1_500);
     world.terminate(0);
     world.run_for(10_000);
@@ -170,7 +170,7 @@
     let mut world = world(26);
     for number in 0..20 {
         world.table.fault().lose_next_replies(2);
-        world.ask(number % 3, &format!("job-{number}"));
+        world.submit(number % 3, &format!("job-{number}"));
         world.run_for(400);
     }
     world.table.fault().lose_next_replies(0);
@@ -189,7 +189,7 @@
 
 #[test]
 fn a_document_never_goes_back_to_an_older_version() {
-    // Symptom: a node that reads late, or is cut off from its peers, serves under an older document.
+    // Guards against applying an older document on a node that reads late or does not reach its peers.
     let mut world = world(27);
     let mut before = document(PREPAID, 8);
     world.loss = 300;
@@ -215,8 +215,8 @@
 
 #[test]
 fn a_withdrawn_claim_never_blocks_the_request() {
-    // Symptom: a caller hangs up, asks again, and is told for ever that its request is under way. The claim
-    // overtakes its own release, or is granted after it, and nobody gives it up.
+    // Guards against a request that stays in progress forever after its caller disconnected. Its claim arrives
+    // after its own release, or is granted after it, and is never released.
     let mut world = world(28);
     world.loss = 100;
     let mut tickets = Vec::new();
@@ -231,7 +231,7 @@
     world.run_for(20_000);
 
     for (number, (id, first)) in tickets.into_iter().enumerate() {
-        if !world.asked[&first].runs.is_empty() {
+        if !world.requests[&first].runs.is_empty() {
             continue;
         }
         let again = world.call((number + 1) % 3, &id, number % 2 == 0);
@@ -245,34 +245,34 @@
 
 #[test]
 fn answers_lost_before_delivery_run_again_whatever_the_order_of_messages() {
-    // Symptom: the claim for the second run overtakes the release of the first and finds the request
-    // under way: by itself.
-    // Few enough in each world not to spend the retry budget.
+    // Guards against a request that is refused because of its own first attempt: the claim for the second
+    // attempt arrives before the release of the first. Each world has few enough requests to stay within the
+    // retry budget.
     for seed in 40..46 {
         let mut world = world(seed);
         for number in 0..8 {
-            world.backend.reactions.push_back(Reaction::Lose);
-            let ticket = world.ask(number % 3, &format!("job-{number}"));
+            world.backend.reactions.push_back(Reaction::LoseResponse);
+            let ticket = world.submit(number % 3, &format!("job-{number}"));
             world.run_until(10_000, |world| {
                 world.is_answered(ticket) || world.code(ticket).is_some()
             });
             assert!(
                 world.is_answered(ticket),
                 "{seed} {:?}",
-                world.asked[&ticket]
+                world.requests[&ticket]
             );
             world.run_for(300);
         }
         assert!(world.run_until(20_000, is_settled));
-        assert!(world.twice_billed().is_empty());
+        assert!(world.doubly_billed().is_empty());
     }
 }
 
 #[test]
 fn an_answer_broken_off_late_is_billed_once_for_what_it_used() {
     let mut world = world(30);
-    world.backend.reactions.push_back(Reaction::BreakLate);
-    world.ask(0, "job-1");
+    world.backend.reactions.push_back(Reaction::BreakAfterRun);
+    world.submit(0, "job-1");
 
     assert!(world.run_until(10_000, is_settled));
     let cost = world.backend.cost("job-1");
@@ -287,15 +287,15 @@
 
 #[test]
 fn a_whole_fleet_that_leaves_at_once_bills_what_was_open() {
-    // Symptom: after a restart of everything the instances hang until their limit and their bills are in
-    // doubt. None of them is a candidate for slots any more, so nobody can record the bills.
+    // Guards against a drain of the whole fleet that hangs until its limit and leaves bills in doubt, because
+    // no instance is eligible for slots any more and none can record the bills.
     let mut world = warm_world(31);
     for number in 0..9 {
         world
             .backend
             .reactions
-            .push_back(Reaction::Take(2_000 + 300 * number));
-        world.ask(number as usize % 3, &format!("job-{number}"));
+            .push_back(Reaction::RunFor(2_000 + 300 * number));
+        world.submit(number as usize % 3, &format!("job-{number}"));
     }
     world.run_for(100);
 
@@ -315,16 +315,16 @@
 
 #[test]
 fn a_claim_of_a_node_that_dies_before_it_has_money_costs_nothing() {
-    // Symptom: the bills of a group come to more than its routers were granted. A router claims, dies before it
-    // has drawn an allowance, and the sweep bills its open claim at the hold.
+    // Guards against a group's bills that exceed the grants of its routers. A router claims, terminates before
+    // it has drawn an allowance, and the sweep bills its open claim at the hold.
     for wait in 0..20 {
         let mut world = world(50);
-        world.ask(0, "job-1");
+        world.submit(0, "job-1");
         world.call(0, "file-1", false);
         world.run_for(wait);
         world.kill(0);
 
-        // Past the lease, the lag of the list and the sweep.
+        // Longer than the lease, the lag of the instance list and the sweep.
         world.run_for(20_000);
         let swept = world.run_until(90_000, |world| {
             let summaries = world.summaries();
@@ -346,10 +346,11 @@
 
 #[test]
 fn a_node_that_restarts_under_its_name_settles_what_its_last_start_left() {
-    // Symptom: what the earlier process drew or ran is taken for its successor's, or for nobody's.
+    // Guards against attributing the allowance or streams of the previous process to its successor, or to no
+    // holder.
     let mut world = warm_world(32);
-    world.backend.reactions.push_back(Reaction::Take(2_000));
-    world.ask(0, "job-1");
+    world.backend.reactions.push_back(Reaction::RunFor(2_000));
+    world.submit(0, "job-1");
     world.run_for(500);
     let cost = world.backend.cost("job-1");
     world.kill(0);
@@ -359,7 +360,7 @@
     let swept = world.run_until(90_000, |world| {
         !world.bills("job-1").is_empty() && !world.budget().grants.contains_key("entry-0.1")
     });
-    let next = world.ask(0, "job-2");
+    let next = world.submit(0, "job-2");
     world.run_until(10_000, |world| world.is_answered(next));
 
     assert!(swept, "{:#?} {:?}", world.summaries(), world.budget());
@@ -371,10 +372,10 @@
 
 #[test]
 fn a_fleet_that_restarts_at_once_with_the_table_slow_recovers_and_settles() {
-    // Symptom: after a stop of everything nobody settles the old processes' streams, or two do.
+    // Guards against streams of the old processes that are settled never or twice after a full restart.
     let mut world = warm_world(33);
     for number in 0..9 {
-        world.ask(number % 3, &format!("job-{number}"));
+        world.submit(number % 3, &format!("job-{number}"));
     }
     world.run_for(30);
     for node in 0..3 {
@@ -393,13 +394,13 @@
         let mut holders = budget.grants.keys();
         holders.all(|holder| holder.ends_with(".2")) && world.open() == (Tokens::ZERO, 0)
     });
-    let next = world.ask(1, "job-10");
+    let next = world.submit(1, "job-10");
     world.run_until(10_000, |world| world.is_answered(next));
     world.run_until(10_000, is_settled);
 
     assert!(swept, "{:#?} {:?}", world.summaries(), world.budget());
     assert!(world.is_answered(next), "{:?}", world.code(next));
-    assert!(world.twice_billed().is_empty());
+    assert!(world.doubly_billed().is_empty());
     let used: Tokens = world
         .backend
         .streams
@@ -413,12 +414,12 @@
 
 #[test]
 fn without_the_table_a_spent_allowance_is_not_called_a_spent_budget() {
-    // Symptom: a caller is told that its group's money is gone, while the truth cannot be had.
+    // Guards against a refusal for an exhausted budget while the budget's state cannot be read.
     let mut world = warm_world(34);
     world.table.fault().set_down(true);
     let mut codes = Vec::new();
     for number in 0..200 {
-        let ticket = world.ask(0, &format!("job-{number}"));
+        let ticket = world.submit(0, &format!("job-{number}"));
         world.run_for(60);
         codes.push(ticket);
     }
@@ -441,14 +442,14 @@
 
 #[test]
 fn streams_on_a_server_that_left_the_document_are_settled_too() {
-    // Symptom: a grant is freed while a stream still spends it. The stream's router died, and its server was taken
-    // out of the document before the sweep asked all servers of the document.
+    // Guards against freeing a grant that a stream still spends. The stream's router terminated, and its server
+    // was removed from the document before the sweep listed the streams of the document's servers.
     let mut world = warm_world(35);
-    world.backend.reactions.push_back(Reaction::Take(12_000));
-    let ticket = world.ask(0, "job-1");
+    world.backend.reactions.push_back(Reaction::RunFor(12_000));
+    let ticket = world.submit(0, "job-1");
     world.run_for(500);
     let cost = world.backend.cost("job-1");
-    let server = world.asked[&ticket].runs[0].1.server.clone();
+    let server = world.requests[&ticket].runs[0].1.server.clone();
     let before = document(PREPAID, 8);
     let mut after = before.clone();
     after.servers.retain(|known| known.name != server);
@@ -469,18 +470,18 @@
     assert_eq!(world.budget().spent, world.charged());
 }
 
-/// Guards against a request that takes one backend server after the other with it, since its tries have ids of their own.
+/// Guards against a request that crashes one backend server after another, since each try has its own id.
 #[test]
 fn a_request_whose_answers_are_lost_again_and_again_is_sent_no_more() {
     let mut world = World::new(1, &document(PREPAID, 8), 31);
     world.run_for(3_000);
-    world.backend.reactions = [Reaction::Lose; 20].into();
+    world.backend.reactions = [Reaction::LoseResponse; 20].into();
 
     let mut last = None;
     for number in 0..6 {
-        let ticket = world.ask(0, &format!("crashing-{number}"));
+        let ticket = world.submit(0, &format!("crashing-{number}"));
         world.run_for(3_000);
-        last = world.asked[&ticket].refused.clone();
+        last = world.requests[&ticket].refused.clone();
     }
 
     let (_, refusal) = last.expect("the last one was refused");
--- a/crates/fescuewell_node/tests/messages.rs
+++ b/crates/fescuewell_node/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Every message between instances survives its way through the codec.
+//! Codec round trip of every message between instances.
 
 use fescuewell_budget::message::Message as BudgetMessage;
 use fescuewell_claims::message::{Reply, Request};
@@ -67,10 +67,9 @@
 
 #[test]
 fn every_message_is_read_as_it_was_written() {
-    // Symptom: peers' messages were refused as unreadable, some thirty a start, and documents spread by the
-    // table alone.
-    // Events: an instance passes a member's row on in its gossip; the receiver cannot decode the message.
-    // Cause: the row left a field out when it was false, which the codec, having no field names, cannot see.
+    // Guards against gossip messages that the receiver cannot decode: some thirty were rejected per start, and
+    // documents propagated through the table alone. A member row skipped a field when it was false, but the
+    // codec has no field names and cannot detect a missing field.
     for message in messages() {
         let bytes = postcard::to_stdvec(&message).expect("messages can be written");
 
--- a/crates/fescuewell_node/tests/paths.rs
+++ b/crates/fescuewell_node/tests/paths.rs
@@ -1,4 +1,4 @@
-//! Requests through composed nodes in fair weather: one run, one bill, truthful refusals.
+//! Requests through a fleet of nodes without infrastructure faults: one run, one bill, correct refusals.
 
 mod common;
 
@@ -24,7 +24,7 @@
 fn a_repeatable_request_is_answered_and_billed_once() {
     let mut world = world();
 
-    let ticket = world.ask(0, "job-1");
+    let ticket = world.submit(0, "job-1");
     let settled = world.run_until(5_000, is_settled);
 
     let cost = world.backend.cost("job-1");
@@ -46,32 +46,31 @@
 
 #[test]
 fn a_duplicate_at_another_node_does_not_run_again() {
-    // Symptom: a caller that asks two addresses at once pays twice.
+    // Guards against billing a caller twice that sends a request to two addresses at once.
     let mut world = world();
 
-    world.backend.reactions.push_back(Reaction::Take(300));
-    let first = world.ask(0, "job-1");
-    let second = world.ask(1, "job-1");
+    world.backend.reactions.push_back(Reaction::RunFor(300));
+    let first = world.submit(0, "job-1");
+    let second = world.submit(1, "job-1");
     let settled = world.run_until(10_000, is_settled);
 
-    assert!(settled, "{:?}", world.asked);
+    assert!(settled, "{:?}", world.requests);
     assert_eq!(world.backend.sent.len(), 1);
     assert_eq!(world.bills("job-1").len(), 1);
-    let (mut answered, mut told) = (0, 0);
+    let (mut answered, mut in_progress) = (0, 0);
     for ticket in [first, second] {
         answered += usize::from(world.is_answered(ticket));
-        told += usize::from(world.code(ticket) == Some(Code::InProgress));
+        in_progress += usize::from(world.code(ticket) == Some(Code::InProgress));
     }
-    assert!(answered >= 1 && answered + told == 2);
+    assert!(answered >= 1 && answered + in_progress == 2);
 }
 
 #[test]
 fn a_repeat_of_a_call_that_is_about_to_end_gets_its_answer() {
-    // Symptom: a confirmation was answered, and its repeat at another router was refused as being under way. Sequence: the
-    // first router answers its caller and then tells the slot's holder; the repeat reaches the holder before that. Cause: a
-    // call under way was refused at once.
+    // Guards against refusing a repeat as in progress after the first router has responded. The router responds
+    // to its caller before it reports to the slot's holder, and the repeat reaches the holder in between.
     let mut world = world();
-    world.backend.reactions.push_back(Reaction::Take(300));
+    world.backend.reactions.push_back(Reaction::RunFor(300));
     let first = world.call(0, "file-1", false);
     let sent = world.run_until(5_000, |world| !world.backend.sent.is_empty());
 
@@ -88,7 +87,7 @@
 #[test]
 fn a_repeat_of_a_call_that_lasts_is_told_so_within_seconds() {
     let mut world = world();
-    world.backend.reactions.push_back(Reaction::Take(8_000));
+    world.backend.reactions.push_back(Reaction::RunFor(8_000));
     world.call(0, "file-1", false);
     world.run_until(5_000, |world| !world.backend.sent.is_empty());
 
@@ -108,7 +107,7 @@
     let repeat = world.call(2, "file-1", false);
     let settled = world.run_until(5_000, is_settled);
 
-    assert!(settled && world.is_answered(repeat) && world.asked[&repeat].is_reader);
+    assert!(settled && world.is_answered(repeat) && world.requests[&repeat].is_reader);
     assert_eq!(world.backend.sent.len(), 1);
     assert_eq!(world.bills("file-1"), [20]);
 }
@@ -116,10 +115,10 @@
 #[test]
 fn the_same_id_with_another_body_is_a_conflict() {
     let mut world = world();
-    world.ask(0, "job-1");
+    world.submit(0, "job-1");
     world.run_until(5_000, is_settled);
 
-    let other = world.ask_model(1, "job-1", "summary", (41, 60));
+    let other = world.submit_model(1, "job-1", "summary", (41, 60));
     let settled = world.run_until(5_000, is_settled);
 
     assert!(settled);
@@ -131,7 +130,7 @@
     let mut world = World::new(3, &document(1_000, 8), 12);
     let mut refused = Vec::new();
     for number in 0..60 {
-        let ticket = world.ask(number % 3, &format!("job-{number}"));
+        let ticket = world.submit(number % 3, &format!("job-{number}"));
         world.run_until(5_000, |world| {
             world.is_answered(ticket) || world.code(ticket).is_some()
         });
@@ -142,7 +141,7 @@
     }
 
     let charged = world.charged();
-    // A request holds 100: with less than that left, none can be accepted.
+    // A request holds 100 tokens; with fewer left, none can be accepted.
     assert!(
         charged > Tokens(900) && charged <= Tokens(1_000),
         "{charged}"
@@ -158,20 +157,26 @@
 fn an_attempt_that_was_not_sent_goes_to_another_server_and_is_refused_in_the_end() {
     let mut world = world();
 
-    world.backend.reactions.push_back(Reaction::Refuse);
-    let first = world.ask(0, "job-1");
+    world
+        .backend
+        .reactions
+        .push_back(Reaction::RefuseConnection);
+    let first = world.submit(0, "job-1");
     let settled = world.run_until(5_000, is_settled);
-    world.backend.reactions.extend([Reaction::Refuse; 3]);
-    let second = world.ask(0, "job-2");
+    world
+        .backend
+        .reactions
+        .extend([Reaction::RefuseConnection; 3]);
+    let second = world.submit(0, "job-2");
     world.run_until(5_000, is_settled);
 
-    let runs = &world.asked[&first].runs;
+    let runs = &world.requests[&first].runs;
     assert!(settled && world.is_answered(first));
     assert_eq!(runs.len(), 2);
     assert_ne!(runs[0].1.server, runs[1].1.server);
     assert_eq!(world.code(second), Some(Code::NoServer));
     assert_eq!(Code::NoServer.run(), Run::NotRun);
-    assert_eq!(world.asked[&second].runs.len(), 3);
+    assert_eq!(world.requests[&second].runs.len(), 3);
     assert!(world.bills("job-2").is_empty());
     assert!(is_settled(&world));
 }
@@ -180,15 +185,15 @@
 fn a_lost_answer_of_which_nothing_was_delivered_runs_again_as_a_new_attempt() {
     let mut world = world();
 
-    world.backend.reactions.push_back(Reaction::Lose);
-    let ticket = world.ask(0, "job-1");
+    world.backend.reactions.push_back(Reaction::LoseResponse);
+    let ticket = world.submit(0, "job-1");
     let settled = world.run_until(10_000, is_settled);
 
-    let runs = &world.asked[&ticket].runs;
+    let runs = &world.requests[&ticket].runs;
     assert!(
         settled && world.is_answered(ticket),
         "{:?}",
-        world.asked[&ticket]
+        world.requests[&ticket]
     );
     assert_eq!(runs.len(), 2);
     assert_ne!(runs[0].1.attempt, runs[1].1.attempt);
@@ -199,32 +204,32 @@
 #[test]
 fn a_caller_that_goes_away_leaves_no_hold_and_no_claim() {
     let mut world = World::new(3, &document(PREPAID, 1), 13);
-    world.backend.reactions.extend([Reaction::Take(3_000); 3]);
+    world.backend.reactions.extend([Reaction::RunFor(3_000); 3]);
     for number in 0..3 {
-        world.ask(0, &format!("long-{number}"));
+        world.submit(0, &format!("long-{number}"));
     }
     world.run_for(500);
 
-    let ticket = world.ask(0, "job-1");
+    let ticket = world.submit(0, "job-1");
     world.run_for(500);
     let queued = world.members[0].node.as_ref().unwrap().summary().queued;
     world.withdraw(ticket);
     world.run_for(3_500);
     let settled = world.run_until(10_000, is_settled);
-    let again = world.ask(1, "job-1");
+    let again = world.submit(1, "job-1");
     world.run_until(5_000, is_settled);
 
     assert_eq!(queued, 1);
-    assert!(settled && world.asked[&ticket].runs.is_empty());
+    assert!(settled && world.requests[&ticket].runs.is_empty());
     assert!(world.is_answered(again));
 }
 
 #[test]
 fn a_request_that_cannot_start_before_its_deadline_is_refused_before_it() {
     let mut world = World::new(3, &document(PREPAID, 1), 14);
-    world.backend.reactions.extend([Reaction::Take(8_000); 3]);
+    world.backend.reactions.extend([Reaction::RunFor(8_000); 3]);
     for number in 0..3 {
-        world.ask(0, &format!("long-{number}"));
+        world.submit(0, &format!("long-{number}"));
     }
     world.run_for(500);
 
@@ -234,27 +239,27 @@
         prompt_bound: 40,
         output_limit: 60,
     };
-    let ticket = world.arrive(0, "job-1", "summary", work, Duration::from_secs(2));
+    let ticket = world.submit_work(0, "job-1", "summary", work, Duration::from_secs(2));
     world.run_for(2_100);
 
-    let refused = world.asked[&ticket].refused.clone();
+    let refused = world.requests[&ticket].refused.clone();
     let (_, refusal) = refused.expect("it was refused");
     assert!(matches!(
         refusal.code,
         Code::DeadlineTooNear | Code::DeadlinePassed
     ));
-    assert!(world.asked[&ticket].runs.is_empty());
+    assert!(world.requests[&ticket].runs.is_empty());
     assert!(world.run_until(10_000, is_settled));
 }
 
 #[test]
 fn a_verdict_that_nobody_takes_gives_its_place_on_the_server_back() {
-    // Symptom: a backend server fills up with attempts that nobody makes, until this instance sends it nothing.
-    // The caller goes away at the moment at which its request is sent.
+    // Guards against attempts that count as in flight but were never sent, until this instance sends nothing
+    // to the server. The caller disconnects at the moment at which its request is dispatched.
     let mut world = world();
-    world.backend.reactions.push_back(Reaction::Take(60_000));
-    let ticket = world.ask(0, "job-1");
-    world.run_until(1_000, |world| !world.asked[&ticket].runs.is_empty());
+    world.backend.reactions.push_back(Reaction::RunFor(60_000));
+    let ticket = world.submit(0, "job-1");
+    world.run_until(1_000, |world| !world.requests[&ticket].runs.is_empty());
 
     world.withdraw(ticket);
 
@@ -272,19 +277,22 @@
 
 #[test]
 fn waiting_bulk_work_does_not_keep_urgent_requests_out() {
-    // Symptom: urgent requests are refused as too many while the backend servers have places for them.
+    // Guards against refusing urgent requests as overload while the backend servers have capacity for them.
     let mut world = World::new(0, &document(PREPAID, 8), 15);
     world.settings.max_requests = 40;
     world.start();
     world.run_for(8_000);
-    world.backend.reactions.extend([Reaction::Take(20_000); 40]);
+    world
+        .backend
+        .reactions
+        .extend([Reaction::RunFor(20_000); 40]);
     let bulk: Vec<Ticket> = (0..40)
-        .map(|number| world.ask(0, &format!("bulk-{number}")))
+        .map(|number| world.submit(0, &format!("bulk-{number}")))
         .collect();
     world.run_for(1_000);
 
     world.backend.reactions.clear();
-    let urgent = world.ask_model(0, "urgent-1", "status", (40, 60));
+    let urgent = world.submit_model(0, "urgent-1", "status", (40, 60));
     world.run_for(1_000);
 
     let refused = bulk
@@ -296,11 +304,11 @@
 
 #[test]
 fn a_request_that_every_server_is_too_busy_for_waits_and_runs() {
-    // Symptom: a request is refused after three "busy" within milliseconds, with a minute of its time left.
+    // Guards against a refusal after three "busy" responses within milliseconds, a minute before the deadline.
     let mut world = world();
     world.backend.reactions.extend([Reaction::Busy; 7]);
 
-    let ticket = world.ask(0, "job-1");
+    let ticket = world.submit(0, "job-1");
     let settled = world.run_until(5_000, is_settled);
 
     assert!(
@@ -308,6 +316,6 @@
         "{:?}",
         world.code(ticket)
     );
-    assert_eq!(world.asked[&ticket].runs.len(), 8);
+    assert_eq!(world.requests[&ticket].runs.len(), 8);
     assert_eq!(world.bills("job-1").len(), 1);
 }
--- a/crates/fescuewell_node/tests/random.rs
+++ b/crates/fescuewell_node/tests/random.rs
@@ -1,4 +1,4 @@
-//! Random schedules of requests and faults, with the same verdict on every run.
+//! Random schedules of requests and faults, reproducible by seed.
 
 mod common;
 
@@ -10,21 +10,21 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Steps of one schedule.
+/// Number of steps in a schedule.
 const STEPS: usize = 90;
-/// Most instances that a schedule kills.
-const MOST_DEATHS: usize = 2;
+/// Maximum number of instances that a schedule kills.
+const MAX_KILLS: usize = 2;
 
 /// One schedule in progress.
 struct Schedule {
     world: World,
     random: SmallRng,
     prepaid: Tokens,
-    /// Id, whether it may be repeated, and ticket of every request.
+    /// Id, repeatability and ticket of every request.
     requests: Vec<(String, bool, Ticket)>,
-    deaths: usize,
-    table_back: Instant,
-    peers_back: Instant,
+    kills: usize,
+    table_up_at: Instant,
+    peers_up_at: Instant,
 }
 
 impl Schedule {
@@ -34,9 +34,9 @@
             random: SmallRng::seed_from_u64(seed ^ 0x5eed),
             prepaid: Tokens(prepaid),
             requests: Vec::new(),
-            deaths: 0,
-            table_back: Instant::default(),
-            peers_back: Instant::default(),
+            kills: 0,
+            table_up_at: Instant::default(),
+            peers_up_at: Instant::default(),
         }
     }
 
@@ -45,8 +45,8 @@
         alive[self.random.random_range(0..alive.len())]
     }
 
-    fn millis(&mut self, most: u64) -> std::time::Duration {
-        std::time::Duration::from_millis(self.random.random_range(100..most))
+    fn millis(&mut self, max_ms: u64) -> std::time::Duration {
+        std::time::Duration::from_millis(self.random.random_range(100..max_ms))
     }
 
     fn step(&mut self) {
@@ -55,9 +55,9 @@
             45..60 => self.ask(false),
             60..70 => self.repeat(),
             70..75 => self.withdraw(),
-            75..85 => self.trouble_backend(),
+            75..85 => self.inject_backend_fault(),
             85..89 => {
-                self.table_back = self.world.now + self.millis(4_000);
+                self.table_up_at = self.world.now + self.millis(4_000);
                 self.world.table.fault().set_down(true);
             }
             89..92 => self.world.table.fault().lose_next_replies(2),
@@ -69,15 +69,15 @@
             95 => self.leave(),
             96 => self.top_up(),
             97 => {
-                self.peers_back = self.world.now + self.millis(2_000);
-                self.world.is_parted = true;
+                self.peers_up_at = self.world.now + self.millis(2_000);
+                self.world.is_partitioned = true;
             }
-            _ => self.die(),
+            _ => self.kill(),
         }
         let pause = self.random.random_range(0..300);
         self.world.run_for(pause);
         self.heal();
-        self.check_money();
+        self.check_budget();
     }
 
     fn ask(&mut self, repeatable: bool) {
@@ -89,7 +89,7 @@
 
     fn send(&mut self, node: usize, id: &str, repeatable: bool) -> Ticket {
         match repeatable {
-            true => self.world.ask(node, id),
+            true => self.world.submit(node, id),
             false => self.world.call(node, id, false),
         }
     }
@@ -106,34 +106,34 @@
         self.requests.push((id, repeatable, ticket));
     }
 
-    // The listener withdraws a request only while no verdict is there.
+    // The listener withdraws a request only before it has received a verdict.
     fn withdraw(&mut self) {
         let Some((_, _, ticket)) = self.requests.last().cloned() else {
             return;
         };
-        let asked = &self.world.asked[&ticket];
-        if asked.runs.is_empty() && asked.refused.is_none() && !asked.is_reader {
+        let request = &self.world.requests[&ticket];
+        if request.runs.is_empty() && request.refused.is_none() && !request.is_reader {
             self.world.withdraw(ticket);
         }
     }
 
-    fn trouble_backend(&mut self) {
-        let troubles = [
-            Reaction::Refuse,
+    fn inject_backend_fault(&mut self) {
+        let faults = [
+            Reaction::RefuseConnection,
             Reaction::Busy,
-            Reaction::Lose,
-            Reaction::BreakLate,
-            Reaction::Take(4_000),
+            Reaction::LoseResponse,
+            Reaction::BreakAfterRun,
+            Reaction::RunFor(4_000),
         ];
-        let index = self.random.random_range(0..troubles.len());
-        self.world.backend.reactions.push_back(troubles[index]);
+        let index = self.random.random_range(0..faults.len());
+        self.world.backend.reactions.push_back(faults[index]);
     }
 
-    fn die(&mut self) {
-        if self.deaths == MOST_DEATHS {
+    fn kill(&mut self) {
+        if self.kills == MAX_KILLS {
             return;
         }
-        self.deaths += 1;
+        self.kills += 1;
         let node = self.node();
         self.world.kill(node);
         if self.random.random() {
@@ -152,7 +152,7 @@
     }
 
     fn top_up(&mut self) {
-        if self.world.now < self.table_back {
+        if self.world.now < self.table_up_at {
             return;
         }
         self.world.table.fault().lose_next_replies(0);
@@ -162,23 +162,23 @@
     }
 
     fn heal(&mut self) {
-        if self.world.now >= self.table_back {
+        if self.world.now >= self.table_up_at {
             self.world.table.fault().set_down(false);
         }
-        if self.world.now >= self.peers_back {
-            self.world.is_parted = false;
+        if self.world.now >= self.peers_up_at {
+            self.world.is_partitioned = false;
         }
     }
 
-    fn check_money(&self) {
+    fn check_budget(&self) {
         assert!(self.world.budget().is_sound(), "{:?}", self.world.budget());
         assert!(self.world.charged() <= self.prepaid);
-        assert_eq!(self.world.twice_billed(), []);
+        assert_eq!(self.world.doubly_billed(), []);
     }
 
     fn finish(mut self, seed: u64) -> usize {
-        self.table_back = Instant::default();
-        self.peers_back = Instant::default();
+        self.table_up_at = Instant::default();
+        self.peers_up_at = Instant::default();
         self.heal();
         self.world.table.fault().lose_next_replies(0);
         self.world.backend.reactions.clear();
@@ -199,7 +199,7 @@
             self.world.summaries(),
             self.world.budget()
         );
-        self.check_money();
+        self.check_budget();
         self.check_requests(seed);
         for node in self.world.alive() {
             self.world.terminate(node);
@@ -211,25 +211,27 @@
         let budget = self.world.budget();
         assert!(budget.grants.is_empty(), "seed {seed} {budget:?}");
         assert_eq!(budget.spent, self.world.charged(), "seed {seed}");
-        let requests = self.world.asked.values();
-        requests.filter(|asked| asked.answered.is_some()).count()
+        let requests = self.world.requests.values();
+        requests
+            .filter(|request| request.answered.is_some())
+            .count()
     }
 
     fn check_requests(&self, seed: u64) {
         for (id, repeatable, ticket) in &self.requests {
-            let asked = &self.world.asked[ticket];
-            let sends = self.world.backend.sends(asked.key.digest());
+            let request = &self.world.requests[ticket];
+            let sends = self.world.backend.sends(request.key.digest());
             assert!(
                 *repeatable || sends <= 1,
                 "seed {seed} {id} sent {sends} times"
             );
-            if asked.answered.is_some() {
+            if request.answered.is_some() {
                 assert_eq!(self.world.bills(id).len(), 1, "seed {seed} {id}");
             }
-            let refusal = asked.refused.as_ref().map(|(_, refusal)| refusal);
-            let said_not_run = refusal.is_some_and(|refusal| refusal.run == Run::NotRun);
+            let refusal = request.refused.as_ref().map(|(_, refusal)| refusal);
+            let refused_as_not_run = refusal.is_some_and(|refusal| refusal.run == Run::NotRun);
             assert!(
-                !said_not_run || asked.runs.iter().all(|(_, run)| !self.ran(&run.stream)),
+                !refused_as_not_run || request.runs.iter().all(|(_, run)| !self.ran(&run.stream)),
                 "seed {seed} {id}: {refusal:?}"
             );
         }
@@ -240,7 +242,7 @@
     }
 }
 
-/// Runs one schedule; how many requests were answered.
+/// Runs one schedule and returns the number of requests with a complete response.
 fn run(seed: u64, prepaid: u64, loss: u32) -> usize {
     let mut schedule = Schedule::new(seed, prepaid);
     schedule.world.loss = loss;
