--- a/crates/fescuewell_forward/src/crash.rs
+++ b/crates/fescuewell_forward/src/crash.rs
@@ -1,16 +1,16 @@
 //! Requests that crash the backend servers which run them.
 //!
-//! Each attempt of a caller has its own id and may reach any instance, so a single attempt does not show that earlier servers
-//! crashed under the same request. A [`Fingerprint`] identifies the request across attempts, a [`Watch`] distinguishes a server
-//! crash from a lost connection, and a [`Quarantine`] counts crashes per request across instances and decides whether the request
-//! may be sent again.
+//! Each attempt of a caller has its own id and may reach any instance, so a single attempt does not show that earlier
+//! servers crashed under the same request. A [`Fingerprint`] identifies the request across attempts, a [`Detector`]
+//! distinguishes a server crash from a lost connection, and a [`Quarantine`] counts crashes per request across
+//! instances and decides whether the request may be sent again.
 
+mod detector;
 mod fingerprint;
 mod quarantine;
 mod record;
-mod watch;
 
+pub use detector::{Detector, Evidence, Finding, Loss};
 pub use fingerprint::{Content, Fingerprint};
 pub use quarantine::{Quarantine, Update, Verdict};
 pub use record::{Crash, Record, THRESHOLD};
-pub use watch::{Evidence, Finding, Loss, Watch};
--- a/crates/fescuewell_gateway/src/control/peers.rs
+++ b/crates/fescuewell_gateway/src/control/peers.rs
@@ -85,7 +85,7 @@
         .load
         .report(gateway.settings.name.clone(), number, now_ms);
     let own = gateway.settings.peer;
-    let advertised = state.directory.named();
+    let advertised = state.directory.advertised();
     let peers = advertised.iter().filter_map(|(_, member)| member.peer);
     let peers = peers.filter(|peer| Some(*peer) != own).collect();
     (report, peers)
@@ -129,8 +129,8 @@
         gateway.record_peer_message();
     }
     match message {
-        Some(Message::Ask(request)) => lending.handle_request(&key, request, from),
-        Some(Message::Answer(response)) => lending.handle_response(&response),
+        Some(Message::LoanRequest(request)) => lending.handle_request(&key, request, from),
+        Some(Message::LoanResponse(response)) => lending.handle_response(&response),
         Some(Message::Digest(digest)) => watch::receive_digest(control, digest),
         Some(Message::Crashes(updates)) => crashes::receive(control, updates, from),
         Some(Message::CrashesWanted) => crashes::send_records(control, socket, from),
@@ -154,6 +154,6 @@
             continue;
         };
         let now_ms = control.gateway.now_ms();
-        control.gateway.state().load.hear(report, now_ms);
+        control.gateway.state().load.apply_report(report, now_ms);
     }
 }
--- a/crates/fescuewell_gateway/src/job/permit.rs
+++ b/crates/fescuewell_gateway/src/job/permit.rs
@@ -53,7 +53,7 @@
         self.gateway
             .state()
             .load
-            .read(&self.server.id, prefill_tokens);
+            .finish_prefill(&self.server.id, prefill_tokens);
         self.gateway.notify_load_changed();
     }
 
@@ -65,7 +65,7 @@
         let server = self.server.clone();
         async move {
             let mut exits = gateway.server_exits();
-            while !gateway.state().registry.is_reborn(&server) {
+            while !gateway.state().registry.has_restarted(&server) {
                 if exits.changed().await.is_err() {
                     std::future::pending::<()>().await;
                 }
@@ -78,8 +78,10 @@
         let now_ms = self.gateway.now_ms();
         let latency_ms = latency.as_secs_f64() * 1_000.0;
         let mut state = self.gateway.state();
-        if !state.registry.is_reborn(&self.server) {
-            state.health.time(&self.server.id, latency_ms, now_ms);
+        if !state.registry.has_restarted(&self.server) {
+            state
+                .health
+                .record_latency(&self.server.id, latency_ms, now_ms);
         }
     }
 
@@ -87,11 +89,13 @@
     pub(crate) fn record_outcome(&self, outcome: Outcome) {
         let now_ms = self.gateway.now_ms();
         let mut state = self.gateway.state();
-        if state.registry.is_reborn(&self.server) {
+        if state.registry.has_restarted(&self.server) {
             // The previous process's outcome does not apply to the new one.
             return;
         }
-        let ejected = state.health.outcome(&self.server.id, outcome, now_ms);
+        let ejected = state
+            .health
+            .record_outcome(&self.server.id, outcome, now_ms);
         drop(state);
         if ejected {
             log_event!(
@@ -111,7 +115,9 @@
         };
         let now_ms = self.gateway.now_ms();
         let mut state = self.gateway.state();
-        state.load.read(&self.server.id, self.prefill_tokens);
+        state
+            .load
+            .finish_prefill(&self.server.id, self.prefill_tokens);
         state.load.end(&self.server.id);
         if !self.is_settled.load(Ordering::Relaxed) {
             let request = in_flight.request();
--- a/crates/fescuewell_node/src/limits.rs
+++ b/crates/fescuewell_node/src/limits.rs
@@ -5,7 +5,7 @@
 use fescuewell_core::prelude::*;
 use fescuewell_queue::limit::{Class, Limit, Outcome, Settings};
 use fescuewell_routing::router::Router;
-use fescuewell_routing::server::Room;
+use fescuewell_routing::server::Headroom;
 
 /// The limit of each backend server, and which servers have no headroom.
 ///
@@ -154,16 +154,16 @@
             return;
         };
         let max_bulk = server_limit.max_bulk(now, self.bulk_share);
-        let room = Room {
+        let headroom = Headroom {
             urgent: server_limit.limit.has_place(now, Class::Urgent),
             bulk: server_limit.bulk_in_flight < max_bulk
                 && server_limit.limit.has_place(now, Class::Bulk),
         };
-        match room.urgent && room.bulk {
+        match headroom.urgent && headroom.bulk {
             true => self.without_headroom.remove(&server),
             false => self.without_headroom.insert(server),
         };
-        router.set_room(server, room);
+        router.set_headroom(server, headroom);
     }
 }
 
--- a/crates/fescuewell_node/src/node.rs
+++ b/crates/fescuewell_node/src/node.rs
@@ -12,9 +12,9 @@
 use fescuewell_forward::crash::Quarantine;
 use fescuewell_membership::drain::Drain;
 use fescuewell_membership::gossip::Gossip;
-use fescuewell_membership::member::{Me, Members};
+use fescuewell_membership::member::{InstanceInfo, Members};
 use fescuewell_membership::propagate::Propagation;
-use fescuewell_membership::slots::Keeper;
+use fescuewell_membership::slots::Assigner;
 use fescuewell_queue::admission::Admission;
 use fescuewell_queue::retry;
 use fescuewell_routing::router::Router;
@@ -65,7 +65,7 @@
     pub(crate) reserve_raised_at: Instant,
     pub(crate) router: Router,
     pub(crate) members: Members,
-    pub(crate) keeper: Keeper,
+    pub(crate) keeper: Assigner,
     pub(crate) gossip: Gossip,
     pub(crate) propagation: Propagation,
     pub(crate) collector: Collector,
@@ -85,7 +85,7 @@
 
 impl Node {
     /// Creates a node without a document or members. All jitter and random choices derive from `seed`.
-    pub fn new(settings: Settings, me: Me, seed: u64) -> Self {
+    pub fn new(settings: Settings, me: InstanceInfo, seed: u64) -> Self {
         let holder: Arc<str> = format!("{}.{:x}", me.instance, me.incarnation.0).into();
         let identity = Identity {
             instance: me.instance.clone(),
@@ -110,7 +110,7 @@
             reserve_raised_at: Instant::default(),
             router: Router::new(settings.routing, zone.clone(), seed ^ 5),
             members: Members::new(settings.members.clone(), me, seed ^ 6),
-            keeper: Keeper::new(instance.clone(), settings.slots, settings.min_ready_time),
+            keeper: Assigner::new(instance.clone(), settings.slots, settings.min_ready_time),
             gossip: Gossip::new(settings.gossip.clone(), instance, zone, seed ^ 7),
             propagation: Propagation::new(settings.propagation.clone(), seed ^ 8),
             collector: Collector::default(),
@@ -154,7 +154,7 @@
             NodeEvent::PeerMessage { from, message } => self.receive_message(&from, message),
             NodeEvent::TableReply { component, reply } => self.handle_table_reply(component, reply),
             NodeEvent::InstancesListed(list) => {
-                self.members.instance_list(now, &list);
+                self.members.apply_instance_list(now, &list);
                 self.sweeps.update_servers(&list);
             }
             NodeEvent::ObjectFetched { name, content } => {
@@ -166,7 +166,7 @@
                 loaded,
             } => {
                 if let Some(key) = self.catalog.server(&server) {
-                    self.router.load_report(now, key, report);
+                    self.router.record_load(now, key, report);
                     self.router.set_loaded(key, &loaded);
                     self.needs_dispatch = true;
                 }
@@ -181,10 +181,10 @@
                 event,
             } => {
                 if let Some(key) = self.catalog.server(&server) {
-                    self.router.cache_event(now, key, sequence, event);
+                    self.router.record_cache_event(now, key, sequence, event);
                 }
             }
-            NodeEvent::ServerLeaving { server } => self.members.server_leaves(now, &server),
+            NodeEvent::ServerLeaving { server } => self.members.mark_server_leaving(now, &server),
             NodeEvent::StreamsListed {
                 server,
                 holder,
@@ -262,6 +262,8 @@
 
     /// Returns `true` if this instance accepts requests.
     pub fn is_ready(&self) -> bool {
-        self.propagation.is_ready() && !self.members.view().isolated && self.drain.takes_requests()
+        self.propagation.is_ready()
+            && !self.members.view().isolated
+            && self.drain.accepts_requests()
     }
 }
--- a/crates/fescuewell_node/src/placement.rs
+++ b/crates/fescuewell_node/src/placement.rs
@@ -6,9 +6,9 @@
 
 use fescuewell_core::prelude::*;
 use fescuewell_document::model::ServerRole;
-use fescuewell_placement::fleet::Seen;
-use fescuewell_placement::order::{Answer, Order};
-use fescuewell_placement::planner::{Duty as PlacementDuty, Notice, Planner};
+use fescuewell_placement::fleet::Observation;
+use fescuewell_placement::order::{Order, Response};
+use fescuewell_placement::planner::{Leadership, Notice, Planner};
 use fescuewell_placement::settings::Settings;
 
 use crate::event::{Action, ModelReport};
@@ -74,22 +74,26 @@
 
     /// Passes a backend server's report of its models to the planner.
     pub(crate) fn observe_models(&mut self, server: &str, report: ModelReport) {
-        let seen = Seen {
-            asked: report.requested_at,
+        let observation = Observation {
+            requested_at: report.requested_at,
             loaded: report.loaded.into_iter().collect(),
             loading: report.loading.into_iter().collect(),
             // An engine without support for roles would otherwise be ordered to change its role forever.
             role: report.role.unwrap_or_else(|| self.placement.role.clone()),
         };
-        self.placement.planner.seen(self.now, server, seen);
+        self.placement
+            .planner
+            .observe(self.now, server, observation);
     }
 
     /// Passes the result of an order to the planner.
-    pub(crate) fn handle_order_response(&mut self, order: &Order, response: Answer) {
-        if matches!(response, Answer::Stale | Answer::Refused) {
+    pub(crate) fn handle_order_response(&mut self, order: &Order, response: Response) {
+        if matches!(response, Response::Stale | Response::Refused) {
             self.log(Event::OrderRefused, format!("{order} answer={response:?}"));
         }
-        self.placement.planner.answered(self.now, order, response);
+        self.placement
+            .planner
+            .handle_response(self.now, order, response);
     }
 
     /// Updates the planner's inputs and runs it.
@@ -115,8 +119,8 @@
             }
         }
         let epoch = self.arbiter.epoch(PLACEMENT_SLOT);
-        let leadership = epoch.map(|epoch| PlacementDuty { epoch });
-        self.placement.planner.set_duty(now, leadership);
+        let leadership = epoch.map(|epoch| Leadership { epoch });
+        self.placement.planner.set_leadership(now, leadership);
         for notice in self.placement.planner.tick(now) {
             self.log_notice(notice);
         }
--- a/crates/fescuewell_node/src/pump.rs
+++ b/crates/fescuewell_node/src/pump.rs
@@ -256,7 +256,7 @@
     }
 
     fn advance_document(&mut self) {
-        for want in self.propagation.wants(self.now, &mut self.collector) {
+        for want in self.propagation.next_fetches(self.now, &mut self.collector) {
             match want.from {
                 Source::Store => self.actions.push(Action::Fetch { name: want.name }),
                 Source::Peer(instance) => {
@@ -271,7 +271,7 @@
             Ok(document) => {
                 self.apply_document(head.version, document);
                 self.propagation
-                    .applied(self.now, head, &mut self.collector);
+                    .mark_applied(self.now, head, &mut self.collector);
                 self.gossip.set_head(head);
             }
             Err(error) => {
@@ -279,7 +279,8 @@
                     Event::DocumentRefused,
                     format!("version={} reason={error}", head.version.0),
                 );
-                self.propagation.unreadable(self.now, &mut self.collector);
+                self.propagation
+                    .mark_unreadable(self.now, &mut self.collector);
             }
         }
     }
@@ -326,7 +327,7 @@
     /// Handles a message from another instance.
     pub(crate) fn receive_message(&mut self, from: &Arc<str>, message: Message) {
         let now = self.now;
-        self.members.peer_answered(now, from);
+        self.members.record_peer_response(now, from);
         match message {
             Message::SlotRequest {
                 correlation,
@@ -380,10 +381,10 @@
             let peer = self.members.view().peer(from);
             let near = peer.is_some_and(|peer| peer.zone == self.identity.zone);
             self.propagation
-                .hear(now, from, near, head, &mut self.collector);
+                .record_peer_head(now, from, near, head, &mut self.collector);
         }
-        for news in message.news.clone() {
-            self.members.hear(now, news);
+        for news in message.updates.clone() {
+            self.members.apply_update(now, news);
         }
         self.gossip.receive(now, from, message);
     }
@@ -406,7 +407,9 @@
     fn update_health(&mut self) {
         for change in self.router.tick(self.now) {
             let (event, server, why) = match change {
-                Change::Ejected { server, why } => (Event::ServerEjected, server, why.to_string()),
+                Change::Ejected { server, cause } => {
+                    (Event::ServerEjected, server, cause.to_string())
+                }
                 Change::Returned { server } => {
                     (Event::ServerReturned, server, "why=progress".into())
                 }
@@ -453,7 +456,7 @@
         // A draining instance keeps the slots assigned to it until it has released them all: when all
         // instances drain at once, no other instance can record their last bills.
         if self.keeper.update(now, view) && !self.has_released_slots {
-            self.arbiter.set_wanted(now, &self.keeper.mine());
+            self.arbiter.set_wanted(now, &self.keeper.own_slots());
         }
         self.members.set_watch(self.keeper.watch().clone());
         for slot in 0..self.settings.slots {
@@ -461,14 +464,14 @@
             let owner = self.keeper.assignment().owner(slot).cloned();
             self.claims_client.set_holder(now, slot, owner);
         }
-        let news = self.members.take_news();
-        self.gossip.spread(now, news);
+        let news = self.members.take_updates();
+        self.gossip.broadcast(now, news);
         for outgoing in self.gossip.take_outgoing(now, self.members.view()) {
             self.send_to(&outgoing.to, Message::Gossip(outgoing.message));
         }
         self.start_due_sweep();
         let view = self.members.view();
-        if view.superseded || view.leave_wanted {
+        if view.superseded || view.drain_requested {
             self.terminate();
         }
     }
--- a/crates/fescuewell_node/src/sweeps.rs
+++ b/crates/fescuewell_node/src/sweeps.rs
@@ -239,7 +239,7 @@
     }
 
     fn finish_sweep(&mut self, sweep: &Sweep) {
-        self.members.settled(sweep.holder());
+        self.members.mark_settled(sweep.holder());
         self.sweeps.pending_requests.clear();
         if self.sweeps.settled.len() >= MAX_SETTLED {
             self.sweeps.settled.pop_first();
