--- a/crates/fescuewell_node/src/catalog.rs
+++ b/crates/fescuewell_node/src/catalog.rs
@@ -264,8 +264,8 @@
         policies.collect()
     }
 
-    /// Returns the backend servers' policies for routing.
-    pub fn server_policies(&self) -> Vec<ServerSpec> {
+    /// Returns the backend servers' specs for routing.
+    pub fn server_specs(&self) -> Vec<ServerSpec> {
         let servers = self.document.servers.iter();
         let policies = servers.filter_map(|server| {
             Some(ServerSpec {
--- a/crates/fescuewell_node/src/node.rs
+++ b/crates/fescuewell_node/src/node.rs
@@ -65,7 +65,7 @@
     pub(crate) reserve_raised_at: Instant,
     pub(crate) router: Router,
     pub(crate) members: Members,
-    pub(crate) keeper: Assigner,
+    pub(crate) slot_assigner: Assigner,
     pub(crate) gossip: Gossip,
     pub(crate) propagation: Propagation,
     pub(crate) collector: Collector,
@@ -85,15 +85,15 @@
 
 impl Node {
     /// Creates a node without a document or members. All jitter and random choices derive from `seed`.
-    pub fn new(settings: Settings, me: InstanceInfo, seed: u64) -> Self {
-        let holder: Arc<str> = format!("{}.{:x}", me.instance, me.incarnation.0).into();
+    pub fn new(settings: Settings, info: InstanceInfo, seed: u64) -> Self {
+        let holder: Arc<str> = format!("{}.{:x}", info.instance, info.incarnation.0).into();
         let identity = Identity {
-            instance: me.instance.clone(),
+            instance: info.instance.clone(),
             holder: holder.clone(),
-            zone: me.zone.clone(),
+            zone: info.zone.clone(),
         };
-        let instance = me.instance.clone();
-        let zone = me.zone.clone();
+        let instance = info.instance.clone();
+        let zone = info.zone.clone();
         Self {
             now: Instant::default(),
             actions: Vec::new(),
@@ -109,8 +109,8 @@
             estimator: Estimator::default(),
             reserve_raised_at: Instant::default(),
             router: Router::new(settings.routing, zone.clone(), seed ^ 5),
-            members: Members::new(settings.members.clone(), me, seed ^ 6),
-            keeper: Assigner::new(instance.clone(), settings.slots, settings.min_ready_time),
+            members: Members::new(settings.members.clone(), info, seed ^ 6),
+            slot_assigner: Assigner::new(instance.clone(), settings.slots, settings.min_ready_time),
             gossip: Gossip::new(settings.gossip.clone(), instance, zone, seed ^ 7),
             propagation: Propagation::new(settings.propagation.clone(), seed ^ 8),
             collector: Collector::default(),
@@ -233,7 +233,7 @@
         self.admission.set_kinds(&self.catalog.kind_policies());
         self.admission.set_groups(&self.catalog.group_policies());
         self.router
-            .set_servers(self.now, &self.catalog.server_policies());
+            .set_servers(self.now, &self.catalog.server_specs());
         self.update_limits();
         self.update_planner();
         self.members.set_version(version);
--- a/crates/fescuewell_node/src/pump.rs
+++ b/crates/fescuewell_node/src/pump.rs
@@ -256,11 +256,11 @@
     }
 
     fn advance_document(&mut self) {
-        for want in self.propagation.next_fetches(self.now, &mut self.collector) {
-            match want.from {
-                Source::Store => self.actions.push(Action::Fetch { name: want.name }),
+        for fetch in self.propagation.next_fetches(self.now, &mut self.collector) {
+            match fetch.from {
+                Source::Store => self.actions.push(Action::Fetch { name: fetch.name }),
                 Source::Peer(instance) => {
-                    self.send_to(&instance, Message::ChunkRequest { name: want.name });
+                    self.send_to(&instance, Message::ChunkRequest { name: fetch.name });
                 }
             }
         }
@@ -383,8 +383,8 @@
             self.propagation
                 .record_peer_head(now, from, near, head, &mut self.collector);
         }
-        for news in message.updates.clone() {
-            self.members.apply_update(now, news);
+        for update in message.updates.clone() {
+            self.members.apply_update(now, update);
         }
         self.gossip.receive(now, from, message);
     }
@@ -455,17 +455,18 @@
         self.arbiter.set_terminated(now, view.terminated.clone());
         // A draining instance keeps the slots assigned to it until it has released them all: when all
         // instances drain at once, no other instance can record their last bills.
-        if self.keeper.update(now, view) && !self.has_released_slots {
-            self.arbiter.set_wanted(now, &self.keeper.own_slots());
+        if self.slot_assigner.update(now, view) && !self.has_released_slots {
+            self.arbiter
+                .set_wanted(now, &self.slot_assigner.own_slots());
         }
-        self.members.set_watch(self.keeper.watch().clone());
+        self.members.set_watch(self.slot_assigner.watch().clone());
         for slot in 0..self.settings.slots {
             let slot = SlotKey(slot);
-            let owner = self.keeper.assignment().owner(slot).cloned();
+            let owner = self.slot_assigner.assignment().owner(slot).cloned();
             self.claims_client.set_holder(now, slot, owner);
         }
-        let news = self.members.take_updates();
-        self.gossip.broadcast(now, news);
+        let updates = self.members.take_updates();
+        self.gossip.broadcast(now, updates);
         for outgoing in self.gossip.take_outgoing(now, self.members.view()) {
             self.send_to(&outgoing.to, Message::Gossip(outgoing.message));
         }
--- a/crates/fescuewell_node/src/sweeps.rs
+++ b/crates/fescuewell_node/src/sweeps.rs
@@ -163,7 +163,7 @@
         self.sweeps.next_correlation += 1;
         let number = SWEEP_BIT | self.sweeps.next_correlation;
         self.sweeps.pending_requests.insert(number, pending);
-        let owner = self.keeper.assignment().owner(slot).cloned();
+        let owner = self.slot_assigner.assignment().owner(slot).cloned();
         let Some(owner) = owner else {
             return;
         };
--- a/crates/fescuewell_node/tests/common/world.rs
+++ b/crates/fescuewell_node/tests/common/world.rs
@@ -204,7 +204,7 @@
         member.incarnation += 1;
         member.has_exited = false;
         member.paused_until = Instant::default();
-        let me = InstanceInfo {
+        let info = InstanceInfo {
             instance: member.name.clone(),
             incarnation: Incarnation(member.incarnation),
             caller_address: address,
@@ -213,7 +213,7 @@
             zone: "a".into(),
             formats: 1,
         };
-        member.node = Some(Node::new(self.settings.clone(), me, seed));
+        member.node = Some(Node::new(self.settings.clone(), info, seed));
         self.schedule(Duration::from_micros(10), Scheduled::List { node: number });
         self.schedule(Duration::from_micros(20), Scheduled::Tick { node: number });
     }
--- a/crates/fescuewell_node/tests/messages.rs
+++ b/crates/fescuewell_node/tests/messages.rs
@@ -30,7 +30,7 @@
         version: Version(4),
         root: Digest(9),
     };
-    let news = vec![Update::Member {
+    let updates = vec![Update::Member {
         instance: "entry-1".into(),
         row: member_row(),
     }];
@@ -54,7 +54,7 @@
         },
         Message::Gossip(GossipMessage {
             head: Some(head),
-            updates: news,
+            updates,
         }),
         Message::ChunkRequest { name: "00".into() },
         Message::Chunk {
