--- a/crates/fescuewell_node/src/lib.rs
+++ b/crates/fescuewell_node/src/lib.rs
@@ -1,30 +1,30 @@
-//! One entry instance's decisions, composed: events and time in, actions out.
+//! The decision logic of one entry instance as a state machine: events and time in, actions out.
 //!
-//! [`node::Node`] joins the pure machines of the other crates (budget, claims, queue, routing,
-//! membership, placement) into one. It opens no socket and starts no thread; `fescuewell_router` does that.
+//! [`node::Node`] combines the state machines of the other crates (budget, claims, queue, routing,
+//! membership, placement). It performs no I/O and starts no thread; `fescuewell_router` does that.
 
 pub mod admit;
 pub mod assembly;
 pub mod catalog;
 pub mod dispatch;
+pub mod estimate;
 pub mod event;
 pub mod limits;
 pub mod message;
 pub mod node;
-mod placing;
+mod placement;
 pub mod pump;
+mod quarantine;
 pub mod record;
 pub mod request;
 pub mod settings;
 pub mod settle;
 pub mod state;
-mod suspect;
-pub mod sweeping;
-pub mod usual;
+pub mod sweeps;
 
-/// The names that a driver of nodes uses.
+/// Common imports for code that drives a node.
 pub mod prelude {
-    pub use crate::event::{Action, Duty, Event as NodeEvent, ReadBack, StreamRecord};
+    pub use crate::event::{Action, Component, Event as NodeEvent, ModelReport, StreamRecord};
     pub use crate::message::Message;
     pub use crate::node::Node;
     pub use crate::request::{Arrival, Assignment, End, Ticket, Verdict, Work};
