--- a/crates/fescuewell_node/src/node.rs
+++ b/crates/fescuewell_node/src/node.rs
@@ -1,4 +1,4 @@
-//! One entry instance's decisions: the machines, and how events reach them.
+//! The node: its component state machines and the dispatch of events to them.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -12,189 +12,193 @@
 use fescuewell_forward::crash::Quarantine;
 use fescuewell_membership::drain::Drain;
 use fescuewell_membership::gossip::Gossip;
-use fescuewell_membership::member::{Me, Members};
+use fescuewell_membership::member::{InstanceInfo, Members};
 use fescuewell_membership::propagate::Propagation;
-use fescuewell_membership::slots::Keeper;
-use fescuewell_queue::admission::Admission;
+use fescuewell_membership::slots::Assigner;
+use fescuewell_queue::admission::Queue;
 use fescuewell_queue::retry;
 use fescuewell_routing::router::Router;
 use fescuewell_routing::server::Ticket as RouteTicket;
 
 use crate::assembly::Collector;
 use crate::catalog::Catalog;
-use crate::event::{Action, Duty, Event as Happening};
+use crate::estimate::Estimator;
+use crate::event::{Action, Component, Event as NodeEvent};
 use crate::limits::Limits;
-use crate::placing::Placing;
-use crate::pump::Asker;
-use crate::record::Book;
+use crate::placement::Placement;
+use crate::pump::Requester;
+use crate::record::Requests;
 use crate::request::Ticket;
 use crate::settings::Settings;
-use crate::sweeping::Sweeping;
-use crate::usual::Usual;
+use crate::sweeps::Sweeps;
 
-/// Who this instance is.
+/// Identity of this instance.
 #[derive(Debug, Clone)]
 pub struct Identity {
     /// Name of the instance.
     pub instance: Arc<str>,
-    /// `instance.incarnation`, the name under which it holds money and slots.
+    /// `instance.incarnation`, the name under which it holds allowances and slots.
     pub holder: Arc<str>,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: Arc<str>,
 }
 
-/// The decisions of one entry instance.
+/// The state machine of one entry instance.
 ///
-/// [`Node::handle`] takes an event and the present time and returns what to do. Nothing else goes in
-/// or out, so that a test or a bench can drive any number of them step by step.
+/// [`Node::handle`] takes an event and the current time and returns the actions to perform. It has no
+/// other input or output, so a test or benchmark can drive any number of nodes step by step.
 pub struct Node {
     pub(crate) settings: Settings,
-    pub(crate) me: Identity,
+    pub(crate) identity: Identity,
     pub(crate) now: Instant,
     pub(crate) actions: Vec<Action>,
     pub(crate) catalog: Catalog,
-    pub(crate) book: Book,
+    pub(crate) requests: Requests,
     pub(crate) ledger: Ledger,
     pub(crate) arbiter: Arbiter,
-    pub(crate) courier: Client,
-    pub(crate) admission: Admission,
+    pub(crate) claims_client: Client,
+    pub(crate) admission: Queue,
     pub(crate) retries: retry::Budget,
     pub(crate) quarantine: Quarantine,
     pub(crate) limits: Limits,
-    pub(crate) usual: Usual,
-    pub(crate) crowded_at: Instant,
+    pub(crate) estimator: Estimator,
+    pub(crate) reserve_raised_at: Instant,
     pub(crate) router: Router,
     pub(crate) members: Members,
-    pub(crate) keeper: Keeper,
+    pub(crate) slot_assigner: Assigner,
     pub(crate) gossip: Gossip,
     pub(crate) propagation: Propagation,
     pub(crate) collector: Collector,
     pub(crate) drain: Drain,
     pub(crate) has_released_slots: bool,
-    pub(crate) sweeping: Sweeping,
-    pub(crate) placing: Placing,
-    pub(crate) askers: HashMap<u64, Asker>,
-    pub(crate) next_asker: u64,
+    pub(crate) sweeps: Sweeps,
+    pub(crate) placement: Placement,
+    pub(crate) requesters: HashMap<u64, Requester>,
+    pub(crate) next_requester: u64,
     pub(crate) lookups: BTreeSet<Ticket>,
-    pub(crate) reclaims: BTreeSet<Ticket>,
-    pub(crate) busy: BTreeSet<Duty>,
+    pub(crate) claim_retries: BTreeSet<Ticket>,
+    pub(crate) busy_components: BTreeSet<Component>,
     pub(crate) needs_dispatch: bool,
-    pub(crate) next_review: Instant,
+    pub(crate) next_update_at: Instant,
     pub(crate) refusals: BTreeMap<Code, u64>,
 }
 
 impl Node {
-    /// A node that knows nothing yet. `seed` feeds all jitter and random choices.
-    pub fn new(settings: Settings, me: Me, seed: u64) -> Self {
-        let holder: Arc<str> = format!("{}.{:x}", me.instance, me.incarnation.0).into();
+    /// Creates a node without a document or members. All jitter and random choices derive from `seed`.
+    pub fn new(settings: Settings, info: InstanceInfo, seed: u64) -> Self {
+        let holder: Arc<str> = format!("{}.{:x}", info.instance, info.incarnation.0).into();
         let identity = Identity {
-            instance: me.instance.clone(),
+            instance: info.instance.clone(),
             holder: holder.clone(),
-            zone: me.zone.clone(),
+            zone: info.zone.clone(),
         };
-        let instance = me.instance.clone();
-        let zone = me.zone.clone();
+        let instance = info.instance.clone();
+        let zone = info.zone.clone();
         Self {
             now: Instant::default(),
             actions: Vec::new(),
             catalog: Catalog::default(),
-            book: Book::default(),
+            requests: Requests::default(),
             ledger: Ledger::new(settings.budget.clone(), holder.clone(), seed ^ 1),
             arbiter: Arbiter::new(settings.arbiter.clone(), holder.clone(), seed ^ 2),
-            courier: Client::new(settings.courier.clone(), holder.clone(), seed ^ 3),
-            admission: Admission::new(settings.queue.clone(), seed ^ 4),
+            claims_client: Client::new(settings.claims_client.clone(), holder.clone(), seed ^ 3),
+            admission: Queue::new(settings.queue.clone(), seed ^ 4),
             retries: retry::Budget::new(settings.retry),
             quarantine: Quarantine::default(),
             limits: Limits::new(settings.limit.clone()),
-            usual: Usual::default(),
-            crowded_at: Instant::default(),
+            estimator: Estimator::default(),
+            reserve_raised_at: Instant::default(),
             router: Router::new(settings.routing, zone.clone(), seed ^ 5),
-            members: Members::new(settings.members.clone(), me, seed ^ 6),
-            keeper: Keeper::new(instance.clone(), settings.slots, settings.slot_settle),
+            members: Members::new(settings.members.clone(), info, seed ^ 6),
+            slot_assigner: Assigner::new(instance.clone(), settings.slots, settings.min_ready_time),
             gossip: Gossip::new(settings.gossip.clone(), instance, zone, seed ^ 7),
             propagation: Propagation::new(settings.propagation.clone(), seed ^ 8),
             collector: Collector::default(),
             drain: Drain::new(settings.drain.clone()),
             has_released_slots: false,
-            sweeping: Sweeping::default(),
-            placing: Placing::new(settings.placement.clone()),
-            askers: HashMap::new(),
-            next_asker: 0,
+            sweeps: Sweeps::default(),
+            placement: Placement::new(settings.placement.clone()),
+            requesters: HashMap::new(),
+            next_requester: 0,
             lookups: BTreeSet::new(),
-            reclaims: BTreeSet::new(),
-            busy: BTreeSet::new(),
+            claim_retries: BTreeSet::new(),
+            busy_components: BTreeSet::new(),
             needs_dispatch: false,
-            next_review: Instant::default(),
+            next_update_at: Instant::default(),
             refusals: BTreeMap::new(),
-            me: identity,
+            identity,
             settings,
         }
     }
 
-    /// Takes an event at a time that never goes back; returns what to do.
-    pub fn handle(&mut self, now: Instant, event: Happening) -> Vec<Action> {
+    /// Handles an event and returns the actions to perform. `now` must not decrease between calls.
+    pub fn handle(&mut self, now: Instant, event: NodeEvent) -> Vec<Action> {
         self.now = now;
         self.apply(event);
         self.pump();
         std::mem::take(&mut self.actions)
     }
 
-    fn apply(&mut self, event: Happening) {
+    fn apply(&mut self, event: NodeEvent) {
         let now = self.now;
         match event {
-            Happening::Arrived(arrival) => self.arrive(arrival),
-            Happening::Resume { ticket, key } => self.look_up(ticket, &key),
-            Happening::Progress { ticket, tokens } => self.progress(ticket, tokens),
-            Happening::Ended { ticket, end } => {
-                self.note_demand(ticket, &end);
-                self.ended(ticket, end);
+            NodeEvent::Arrived(arrival) => self.admit(arrival),
+            NodeEvent::Resume { ticket, key } => self.look_up(ticket, &key),
+            NodeEvent::Progress { ticket, tokens } => self.record_progress(ticket, tokens),
+            NodeEvent::Ended { ticket, end } => {
+                self.record_demand(ticket, &end);
+                self.finish_attempt(ticket, end);
             }
-            Happening::Withdrawn { ticket } => self.withdraw(ticket),
-            Happening::StreamGone { ticket } => self.stream_gone(ticket),
-            Happening::Peer { from, message } => self.hear(&from, message),
-            Happening::Table { duty, reply } => self.table_replied(duty, reply),
-            Happening::Listed(list) => {
-                self.members.instance_list(now, &list);
-                self.sweeping.note_servers(&list);
+            NodeEvent::Withdrawn { ticket } => self.withdraw(ticket),
+            NodeEvent::StreamGone { ticket } => self.stream_gone(ticket),
+            NodeEvent::PeerMessage { from, message } => self.receive_message(&from, message),
+            NodeEvent::TableReply { component, reply } => self.handle_table_reply(component, reply),
+            NodeEvent::InstancesListed(list) => {
+                self.members.apply_instance_list(now, &list);
+                self.sweeps.update_servers(&list);
             }
-            Happening::Fetched { name, content } => self.object_fetched(&name, content.as_deref()),
-            Happening::Reported {
+            NodeEvent::ObjectFetched { name, content } => {
+                self.object_fetched(&name, content.as_deref())
+            }
+            NodeEvent::LoadReported {
                 server,
                 report,
                 loaded,
             } => {
                 if let Some(key) = self.catalog.server(&server) {
-                    self.router.load_report(now, key, report);
+                    self.router.record_load(now, key, report);
                     self.router.set_loaded(key, &loaded);
                     self.needs_dispatch = true;
                 }
             }
-            Happening::Models { server, said } => self.read_back(&server, said),
-            Happening::Ordered { order, answer } => self.order_answered(&order, answer),
-            Happening::Cache {
+            NodeEvent::ModelsReported { server, report } => self.observe_models(&server, report),
+            NodeEvent::OrderResponse { order, response } => {
+                self.handle_order_response(&order, response)
+            }
+            NodeEvent::CacheEvent {
                 server,
                 sequence,
                 event,
             } => {
                 if let Some(key) = self.catalog.server(&server) {
-                    self.router.cache_event(now, key, sequence, event);
+                    self.router.record_cache_event(now, key, sequence, event);
                 }
             }
-            Happening::Leaving { server } => self.members.server_leaves(now, &server),
-            Happening::Streams {
+            NodeEvent::ServerLeaving { server } => self.members.mark_server_leaving(now, &server),
+            NodeEvent::StreamsListed {
                 server,
                 holder,
                 streams,
             } => {
-                self.streams_listed(&server, &holder, streams);
+                self.handle_stream_list(&server, &holder, streams);
             }
-            Happening::Tick => self.review(),
-            Happening::Terminate => self.terminate(),
+            NodeEvent::Tick => self.tick(),
+            NodeEvent::Terminate => self.terminate(),
         }
     }
 
-    fn progress(&mut self, ticket: Ticket, tokens: u32) {
-        let Some(record) = self.book.get_mut(ticket) else {
+    fn record_progress(&mut self, ticket: Ticket, tokens: u32) {
+        let Some(record) = self.requests.get_mut(ticket) else {
             return;
         };
         match &mut record.output {
@@ -207,21 +211,21 @@
         }
     }
 
-    fn table_replied(&mut self, duty: Duty, reply: table::Reply) {
-        self.busy.remove(&duty);
+    fn handle_table_reply(&mut self, component: Component, reply: table::Reply) {
+        self.busy_components.remove(&component);
         let now = self.now;
-        match duty {
-            Duty::Budget => self.ledger.reply(now, reply),
-            Duty::Claims => self.arbiter.reply(now, reply),
-            Duty::Members => self.members.reply(now, reply),
-            Duty::Head => self.propagation.reply(now, reply, &mut self.collector),
-            Duty::Reclaim => self.sweeping.reclaimed(now, reply),
-            Duty::Placement => self.placement_replied(reply),
+        match component {
+            Component::Budget => self.ledger.reply(now, reply),
+            Component::Claims => self.arbiter.reply(now, reply),
+            Component::Members => self.members.reply(now, reply),
+            Component::Head => self.propagation.reply(now, reply, &mut self.collector),
+            Component::Reclaim => self.sweeps.handle_table_reply(now, reply),
+            Component::Placement => self.handle_placement_reply(reply),
         }
     }
 
-    /// Puts a document in force here.
-    pub(crate) fn put_in_force(&mut self, version: Version, document: Document) {
+    /// Makes a document the current one and updates every component that depends on it.
+    pub(crate) fn apply_document(&mut self, version: Version, document: Document) {
         let document = Arc::new(document);
         self.catalog.replace(version, document.clone());
         self.ledger
@@ -229,34 +233,37 @@
         self.admission.set_kinds(&self.catalog.kind_policies());
         self.admission.set_groups(&self.catalog.group_policies());
         self.router
-            .set_servers(self.now, &self.catalog.server_policies());
-        self.limit_servers();
-        self.place_by_document();
+            .set_servers(self.now, &self.catalog.server_specs());
+        self.update_limits();
+        self.update_planner();
         self.members.set_version(version);
         self.needs_dispatch = true;
-        self.actions.push(Action::InForce { version, document });
+        self.actions
+            .push(Action::ApplyDocument { version, document });
     }
 
-    /// Takes the document's backend servers over into the limits.
-    pub(crate) fn limit_servers(&mut self) {
-        let places = self.catalog.places();
-        let servers = places.map(|(key, place)| (key, place.concurrency));
+    /// Updates the concurrency limits to the document's backend servers.
+    pub(crate) fn update_limits(&mut self) {
+        let endpoints = self.catalog.endpoints();
+        let servers = endpoints.map(|(key, endpoint)| (key, endpoint.concurrency));
         self.limits.set_servers(servers);
-        self.limits.tell_all(self.now, &mut self.router);
+        self.limits.update_all_headroom(self.now, &mut self.router);
     }
 
-    /// Adds a log line to the actions.
+    /// Emits a log line as an action.
     pub(crate) fn log(&mut self, event: Event, text: String) {
         self.actions.push(Action::Log { event, text });
     }
 
-    /// The fleet as this instance knows it.
+    /// This instance's view of the fleet.
     pub fn view(&self) -> &fescuewell_membership::view::View {
         self.members.view()
     }
 
-    /// Whether this instance takes requests.
+    /// Returns `true` if this instance accepts requests.
     pub fn is_ready(&self) -> bool {
-        self.propagation.is_ready() && !self.members.view().isolated && self.drain.takes_requests()
+        self.propagation.is_ready()
+            && !self.members.view().isolated
+            && self.drain.accepts_requests()
     }
 }
--- a/crates/fescuewell_router/src/backends.rs
+++ b/crates/fescuewell_router/src/backends.rs
@@ -10,8 +10,8 @@
 use fescuewell_core::prelude::*;
 use fescuewell_document::model::{Server, ServerRole};
 use fescuewell_http::upstream::{self, Client, Target, Timeouts};
-use fescuewell_node::event::{Event as NodeEvent, ReadBack, StreamRecord};
-use fescuewell_placement::order::{Action, Answer, Order};
+use fescuewell_node::event::{Event as NodeEvent, ModelReport, StreamRecord};
+use fescuewell_placement::order::{Action, Order, Response};
 use fescuewell_routing::load::Report;
 use serde_json::{Value, json};
 
@@ -115,7 +115,7 @@
             return 0;
         };
         let report = read_report(&String::from_utf8_lossy(&metrics));
-        let event = NodeEvent::Reported {
+        let event = NodeEvent::LoadReported {
             server: server.name.clone(),
             report,
             loaded,
@@ -124,12 +124,14 @@
         1
     }
 
-    fn tell_models(&self, server: &Arc<str>, said: Option<ReadBack>) {
-        let Some(said) = said else {
+    fn tell_models(&self, server: &Arc<str>, report: Option<ModelReport>) {
+        let Some(report) = report else {
             return;
         };
         let server = server.clone();
-        let _ = self.events.try_send(NodeEvent::Models { server, said });
+        let _ = self
+            .events
+            .try_send(NodeEvent::ModelsReported { server, report });
     }
 
     async fn work(&self, work: BackendWork) {
@@ -139,8 +141,8 @@
                 order,
                 given,
             } => {
-                let answer = self.order(address, &order, given).await;
-                let event = NodeEvent::Ordered { order, answer };
+                let response = self.order(address, &order, given).await;
+                let event = NodeEvent::OrderResponse { order, response };
                 let _ = self.events.send_async(event).await;
             }
             BackendWork::Cancel { address, stream } => {
@@ -154,7 +156,7 @@
                 ..
             } => {
                 let streams = Some(Vec::new());
-                let event = NodeEvent::Streams {
+                let event = NodeEvent::StreamsListed {
                     server,
                     holder,
                     streams,
@@ -170,7 +172,7 @@
                 let path = format!("/v1/responses?holder={holder}");
                 let body = self.get(address, &path).await;
                 let streams = body.and_then(|body| read_streams(&body));
-                let event = NodeEvent::Streams {
+                let event = NodeEvent::StreamsListed {
                     server,
                     holder,
                     streams,
@@ -186,12 +188,12 @@
     /// instance took the duty over and waited for late orders to die out; on a server that ignores
     /// fencing numbers it would undo the new holder's. So it is looked at just before it is sent, and
     /// sending it is bounded.
-    async fn order(&self, address: SocketAddr, order: &Order, given: Instant) -> Answer {
+    async fn order(&self, address: SocketAddr, order: &Order, given: Instant) -> Response {
         if self.clock.now().since(given) > ORDER_LIFE {
-            return Answer::Refused;
+            return Response::Refused;
         }
         let Some(request) = order_request(order) else {
-            return Answer::Refused;
+            return Response::Refused;
         };
         let target = Target::new(address);
         let open = self.client.open(&target, request, TIMEOUTS);
@@ -201,8 +203,8 @@
                 let body = exchange.whole(LARGEST).await.unwrap_or_default();
                 read_answer(status, &body)
             }
-            Ok(Err(upstream::Error::NotSent { .. })) => Answer::Refused,
-            Ok(Err(_)) | Err(_) => Answer::Unknown,
+            Ok(Err(upstream::Error::NotSent { .. })) => Response::Refused,
+            Ok(Err(_)) | Err(_) => Response::Unknown,
         }
     }
 
@@ -232,11 +234,11 @@
 }
 
 /// Reads which models a server has; `None` when it gave no list, which does not mean that it has none.
-fn read_models(asked: Instant, models: &Value) -> Option<ReadBack> {
+fn read_models(requested_at: Instant, models: &Value) -> Option<ModelReport> {
     models["data"].as_array()?;
     let loading = models["loading"].as_array().into_iter().flatten();
-    Some(ReadBack {
-        asked,
+    Some(ModelReport {
+        requested_at,
         loaded: names_of(models),
         loading: loading
             .filter_map(|name| name.as_str().map(Arc::from))
@@ -258,17 +260,17 @@
 }
 
 /// Whether the server took the order, as its status and error code tell.
-fn read_answer(status: http::StatusCode, body: &[u8]) -> Answer {
+fn read_answer(status: http::StatusCode, body: &[u8]) -> Response {
     if status.is_success() {
-        return Answer::Accepted;
+        return Response::Accepted;
     }
     if !status.is_client_error() {
-        return Answer::Unknown;
+        return Response::Unknown;
     }
     let problem: Value = serde_json::from_slice(body).unwrap_or_default();
     match problem["error"]["code"].as_str() {
-        Some(STALE) => Answer::Stale,
-        _ => Answer::Refused,
+        Some(STALE) => Response::Stale,
+        _ => Response::Refused,
     }
 }
 
@@ -288,7 +290,7 @@
         running: value("engine_requests_running") as u32,
         waiting: value("engine_requests_waiting") as u32,
         cache_used: value("engine_prefix_cache_usage_ratio") as f32,
-        at_age: Duration::from_secs_f64(value("engine_report_age_seconds").max(0.0)),
+        age: Duration::from_secs_f64(value("engine_report_age_seconds").max(0.0)),
     }
 }
 
@@ -310,7 +312,7 @@
         hold: Tokens(hold.unwrap_or_default()),
         done: record["done"].as_bool().unwrap_or_default(),
         complete: matches!(finish, "stop" | "length"),
-        answer: None,
+        response: None,
         used: Tokens(record["usage"]["total_tokens"].as_u64().unwrap_or_default()),
     })
 }
