--- a/crates/fescuewell_node/tests/common/world.rs
+++ b/crates/fescuewell_node/tests/common/world.rs
@@ -371,7 +371,7 @@
                 instance, message, ..
             } => self.send(node, &instance, message),
             Action::Table { component, step } => {
-                let reply = table::carry_out(&self.table, &step);
+                let reply = table::execute(&self.table, &step);
                 self.record_bills(&step, &reply);
                 self.schedule_delivery(node, NodeEvent::TableReply { component, reply });
             }
--- a/crates/fescuewell_placement/src/planner.rs
+++ b/crates/fescuewell_placement/src/planner.rs
@@ -145,7 +145,7 @@
         let mut needs = Needs::new();
         for model in &document.models {
             let mut need = self.needs.remove(&model.name).unwrap_or_default();
-            need.min_servers = model.least_servers;
+            need.min_servers = model.min_servers;
             need.base = model.base.clone();
             needs.insert(model.name.clone(), need);
         }
--- a/crates/fescuewell_placement/src/planner/table.rs
+++ b/crates/fescuewell_placement/src/planner/table.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use fescuewell_core::prelude::*;
-use fescuewell_core::table::{MOST_ENTRIES, Outcome, Range, Reply, Row, Step, Transaction};
+use fescuewell_core::table::{MAX_ENTRIES, Outcome, Range, Reply, Row, Step, Transaction};
 
 use super::{Notice, Planner, Request};
 use crate::fleet::Undelivered;
@@ -12,7 +12,7 @@
 use crate::settings::millis;
 
 /// Maximum number of rows taken over in one transaction.
-const ADOPTION_BATCH: usize = MOST_ENTRIES / 2;
+const ADOPTION_BATCH: usize = MAX_ENTRIES / 2;
 /// Delay before a new scan after a table error or a write conflict.
 const RESCAN_DELAY_MS: u32 = 500;
 
--- a/crates/fescuewell_queue/src/admission/fair_queue.rs
+++ b/crates/fescuewell_queue/src/admission/fair_queue.rs
@@ -179,8 +179,8 @@
             .flows
             .entry(group)
             .or_insert_with(|| Flow::new(virtual_now, weight));
-        let extra_cost = flow.virtual_cost(actual.minus(expected).0);
-        let refund = flow.virtual_cost(expected.minus(actual).0);
+        let extra_cost = flow.virtual_cost(actual.saturating_sub(expected).0);
+        let refund = flow.virtual_cost(expected.saturating_sub(actual).0);
         flow.tag = (flow.tag + extra_cost)
             .saturating_sub(refund)
             .max(flow.base);
@@ -227,7 +227,8 @@
         // A request removed from behind this one is subtracted as if it had been in front, so the result may be too low
         // but never too high: no request is refused because of work that does not exist.
         let own = waiting.offset.saturating_sub(flow.removed);
-        self.ahead(flow, own, 0).min(self.tokens.minus(item.cost))
+        self.ahead(flow, own, 0)
+            .min(self.tokens.saturating_sub(item.cost))
     }
 
     /// Returns the tokens served before the flow's tag plus `own` tokens is reached: per unit of virtual time, each
@@ -241,7 +242,7 @@
     }
 
     fn subtract(&mut self, cost: Tokens) {
-        self.tokens = self.tokens.minus(cost);
+        self.tokens = self.tokens.saturating_sub(cost);
         self.len -= 1;
     }
 
