--- a/crates/fescuewell_forward/src/admission.rs
+++ b/crates/fescuewell_forward/src/admission.rs
@@ -21,7 +21,7 @@
 /// Size of a request's head in bytes.
 const HEAD_BYTES: u64 = 500;
 /// Time for which an instance must be required before it is ready again, in milliseconds; several heartbeats.
-const REQUIRED_MS: u64 = 5_000;
+const MIN_ADVERTISED_MS: u64 = 5_000;
 /// Time within which callers follow a change of readiness, in milliseconds; the maximum TTL of advertised addresses and
 /// two readiness checks. The listener stays closed as long, since callers whose connection is refused try another
 /// instance at once.
@@ -58,7 +58,7 @@
     spare_until_ms: u64,
     throttled_until_ms: u64,
     closed: Window,
-    required_since_ms: Option<u64>,
+    advertised_since_ms: Option<u64>,
     unready_since_ms: u64,
     unready_until_ms: u64,
 }
@@ -76,7 +76,7 @@
             spare_until_ms: 0,
             throttled_until_ms: 0,
             closed: Window::new(CLOSED_WINDOW_MS),
-            required_since_ms: None,
+            advertised_since_ms: None,
             unready_since_ms: 0,
             unready_until_ms: 0,
         }
@@ -94,15 +94,15 @@
         self.fleet_has_capacity = has_capacity;
     }
 
-    /// Sets whether this instance is advertised. After being advertised for `REQUIRED_MS` it becomes ready again; late
+    /// Sets whether this instance is advertised. After being advertised for `MIN_ADVERTISED_MS` it becomes ready again; late
     /// heartbeats may cause it to be advertised for a moment.
-    pub fn set_required(&mut self, now_ms: u64, is_required: bool) {
-        let since = match (is_required, self.required_since_ms) {
+    pub fn set_advertised(&mut self, now_ms: u64, is_advertised: bool) {
+        let since = match (is_advertised, self.advertised_since_ms) {
             (false, _) => None,
             (true, since) => since.or(Some(now_ms)),
         };
-        self.required_since_ms = since;
-        if since.is_some_and(|since| now_ms >= since + REQUIRED_MS) {
+        self.advertised_since_ms = since;
+        if since.is_some_and(|since| now_ms >= since + MIN_ADVERTISED_MS) {
             self.unready_until_ms = 0;
         }
     }
--- a/crates/fescuewell_forward/src/quota.rs
+++ b/crates/fescuewell_forward/src/quota.rs
@@ -48,7 +48,7 @@
 use crate::version;
 
 /// Maximum age, in milliseconds, of a ledger read that may prove an account exhausted. This is the
-/// value for a small fleet; see [`Quota::set_max_age`].
+/// value for a small fleet; see [`Quota::set_ledger_max_age`].
 const LEDGER_MAX_AGE_MS: u64 = 2_500;
 
 /// Result of [`Quota::hold`].
@@ -282,7 +282,7 @@
     ///
     /// Large fleets plan less often than small ones. With the value of a small fleet they would ask
     /// callers of exhausted accounts to retry instead of reporting that no tokens are left.
-    pub fn set_max_age(&mut self, max_age_ms: u64) {
+    pub fn set_ledger_max_age(&mut self, max_age_ms: u64) {
         self.ledger_max_age_ms = max_age_ms.max(LEDGER_MAX_AGE_MS);
     }
 
--- a/crates/fescuewell_forward/tests/admission.rs
+++ b/crates/fescuewell_forward/tests/admission.rs
@@ -272,13 +272,13 @@
     let mut limiter = spare(10.0, 0.12);
     overload(&mut limiter, 50, BODY);
 
-    limiter.set_required(OVERLOAD_MS, true);
+    limiter.set_advertised(OVERLOAD_MS, true);
     assert!(limiter.unready_left_ms(OVERLOAD_MS) > 0);
-    limiter.set_required(OVERLOAD_MS + 1_000, false);
-    limiter.set_required(OVERLOAD_MS + 2_000, true);
-    limiter.set_required(OVERLOAD_MS + 6_000, true);
+    limiter.set_advertised(OVERLOAD_MS + 1_000, false);
+    limiter.set_advertised(OVERLOAD_MS + 2_000, true);
+    limiter.set_advertised(OVERLOAD_MS + 6_000, true);
     assert!(limiter.unready_left_ms(OVERLOAD_MS + 6_000) > 0);
-    limiter.set_required(OVERLOAD_MS + 7_000, true);
+    limiter.set_advertised(OVERLOAD_MS + 7_000, true);
 
     assert_eq!(limiter.unready_left_ms(OVERLOAD_MS + 7_000), 0);
 }
--- a/crates/fescuewell_forward/tests/spread.rs
+++ b/crates/fescuewell_forward/tests/spread.rs
@@ -151,7 +151,7 @@
     cluster.adopt(0, WriteOutcome::Committed);
     cluster.hold(0, 1_000);
     cluster.plan(0, WriteOutcome::Committed);
-    cluster.instances[0].quota.set_max_age(8_100);
+    cluster.instances[0].quota.set_ledger_max_age(8_100);
 
     cluster.store.now_ms += 3_200;
 
--- a/crates/fescuewell_gateway/src/control/members.rs
+++ b/crates/fescuewell_gateway/src/control/members.rs
@@ -10,7 +10,7 @@
 
 use super::rows::{FLEET_PARTITION, log_unreadable, read, row_id};
 use super::{CALL_TIMEOUT, Control};
-use crate::gateway::{ARRIVAL_WINDOW_S, Gateway, State};
+use crate::gateway::{ACCEPTED_WINDOW_S, Gateway, State};
 use crate::settings::Settings;
 use crate::store::Transaction;
 
@@ -51,7 +51,7 @@
         peer: settings.peer,
         zone: settings.zone.clone(),
         weight: weight(settings),
-        requests_per_s: state.arrivals.sum(now_ms) as u32 / ARRIVAL_WINDOW_S,
+        requests_per_s: state.accepted_requests.sum(now_ms) as u32 / ACCEPTED_WINDOW_S,
         usage: state.quota.usage(now_ms),
         era: status.era,
         knows_grants: status.knows_grants,
@@ -154,5 +154,5 @@
     let has_capacity = state.directory.has_capacity_beside(name);
     state.admission.set_fleet_has_capacity(has_capacity);
     let is_advertised = state.directory.is_advertised(name);
-    state.admission.set_required(now_ms, is_advertised);
+    state.admission.set_advertised(now_ms, is_advertised);
 }
--- a/crates/fescuewell_gateway/src/control/sync.rs
+++ b/crates/fescuewell_gateway/src/control/sync.rs
@@ -137,7 +137,7 @@
     let lapse = interval * MAX_MISSED_HEARTBEATS;
     state.directory.set_member_timeout(lapse.as_millis() as u64);
     let fresh = interval.mul_f64(FRESHNESS_INTERVALS);
-    state.quota.set_max_age(fresh.as_millis() as u64);
+    state.quota.set_ledger_max_age(fresh.as_millis() as u64);
 }
 
 /// Returns the minimum interval between two journals of one instance while requests wait for them.
--- a/crates/fescuewell_gateway/src/gateway.rs
+++ b/crates/fescuewell_gateway/src/gateway.rs
@@ -36,7 +36,7 @@
 pub use crash::ProbeRequest;
 
 /// Window over which arriving requests are counted, in seconds.
-pub const ARRIVAL_WINDOW_S: u32 = 4;
+pub const ACCEPTED_WINDOW_S: u32 = 4;
 
 /// Stage of the process's lifecycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -75,8 +75,8 @@
     pub retry: Budget,
     /// The other instances of the fleet.
     pub directory: Directory,
-    /// Requests that arrived within [`ARRIVAL_WINDOW_S`].
-    pub arrivals: Window,
+    /// Requests that arrived within [`ACCEPTED_WINDOW_S`].
+    pub accepted_requests: Window,
     /// Limits on callers' traffic.
     pub admission: admission::Limiter,
     /// Random number generator.
@@ -203,7 +203,7 @@
             quota: Quota::new(settings.name.clone(), 0),
             retry: Budget::new(settings.retry_budget),
             directory: Directory::default(),
-            arrivals: Window::new(u64::from(ARRIVAL_WINDOW_S) * 1_000),
+            accepted_requests: Window::new(u64::from(ACCEPTED_WINDOW_S) * 1_000),
             admission: admission::Limiter::new(settings.link_mbps, settings.cores),
             rng: SmallRng::from_os_rng(),
         };
--- a/crates/fescuewell_gateway/src/job.rs
+++ b/crates/fescuewell_gateway/src/job.rs
@@ -153,7 +153,7 @@
         {
             let mut state = self.gateway.state();
             state.retry.request(&service, now_ms);
-            state.arrivals.add(now_ms, 1);
+            state.accepted_requests.add(now_ms, 1);
         }
         loop {
             let mut permit = match self.pick_server().await {
