--- a/crates/fescuewell_forward/src/admission.rs
+++ b/crates/fescuewell_forward/src/admission.rs
@@ -1,9 +1,10 @@
 //! Admission control: protects an instance whose callers exceed its link or processor.
 //!
-//! Advertised addresses redirect only some callers; the others return to the instance that they used before for as long
-//! as it is ready. A narrow link fills within seconds when all callers of a large account use it, and then connections
-//! to backend servers and calls to the store fail too. An overloaded instance therefore closes its listener for short
-//! intervals, and reports itself unready while the fleet has capacity for its callers.
+//! Advertised addresses redirect only some callers; the others return to the instance that they
+//! used before for as long as it is ready. A narrow link fills within seconds when all callers of a
+//! large account use it, and then connections to backend servers and calls to the store fail too.
+//! While other instances have capacity, an overloaded instance therefore closes its listener for
+//! short intervals, and reports itself unready if the fleet can spare it.
 
 use crate::window::Window;
 
@@ -11,8 +12,8 @@
 const WINDOW_MS: u64 = 1_000;
 /// Window over which callers' traffic is measured, in seconds.
 const WINDOW_S: f64 = WINDOW_MS as f64 / 1_000.0;
-/// Fraction of the link that requests may use; each body is sent again to a backend server, besides responses, retries
-/// and store calls.
+/// Fraction of the link that requests may use; each body is sent again to a backend server, besides
+/// responses, retries and store calls.
 const LINK_FRACTION: f64 = 0.4;
 /// Fraction of the processor that requests may use.
 const PROCESSOR_FRACTION: f64 = 0.6;
@@ -20,20 +21,22 @@
 const PROCESSOR_PER_REQUEST_S: f64 = 0.000_9;
 /// Size of a request's head in bytes.
 const HEAD_BYTES: u64 = 500;
-/// Time for which an instance must be required before it is ready again, in milliseconds; several heartbeats.
+/// Time for which an unready instance must be advertised before it is ready again, in milliseconds;
+/// several heartbeats.
 const MIN_ADVERTISED_MS: u64 = 5_000;
-/// Time within which callers follow a change of readiness, in milliseconds; the maximum TTL of advertised addresses and
-/// two readiness checks. The listener stays closed as long, since callers whose connection is refused try another
-/// instance at once.
+/// Time within which callers follow a change of readiness, in milliseconds; the maximum TTL of
+/// advertised addresses and two readiness checks. The listener stays closed as long, since callers
+/// whose connection is refused try another instance at once.
 const REDIRECT_MS: u64 = 8_000;
-/// Window over which the time with a closed listener is measured, in milliseconds; several times [`THROTTLE_MS`].
+/// Window over which the time with a closed listener is measured, in milliseconds; several times
+/// [`THROTTLE_MS`].
 const CLOSED_WINDOW_MS: u64 = 3_000;
 /// Fraction of the window with a closed listener above which a busy instance is saturated.
 const SATURATED_FRACTION: f64 = 0.6;
 /// Time for which the listener is closed after a request over the limit, in milliseconds.
 pub const THROTTLE_MS: u64 = 300;
-/// Time for which an instance reports itself unready, in milliseconds; long compared to the seconds within which its
-/// callers overload it again.
+/// Time for which an instance reports itself unready, in milliseconds; long compared to the seconds
+/// within which its callers overload it again.
 pub const UNREADY_MS: u64 = 300_000;
 
 /// Consequence of a request.
@@ -82,8 +85,9 @@
         }
     }
 
-    /// Sets until when the fleet can spare this instance; see [`crate::directory::Directory::can_spare`]. It expires,
-    /// since an instance without heartbeats of the others cannot know it.
+    /// Sets until when the fleet can spare this instance; see
+    /// [`crate::directory::Directory::can_spare`]. The permission expires, since an instance that
+    /// cannot read the heartbeats of the others does not know whether they are alive.
     pub fn set_spare(&mut self, until_ms: u64) {
         self.spare_until_ms = until_ms;
     }
@@ -94,8 +98,9 @@
         self.fleet_has_capacity = has_capacity;
     }
 
-    /// Sets whether this instance is advertised. After being advertised for `MIN_ADVERTISED_MS` it becomes ready again; late
-    /// heartbeats may cause it to be advertised for a moment.
+    /// Sets whether this instance is advertised. An unready instance becomes ready again only after
+    /// being advertised for `MIN_ADVERTISED_MS`, since late heartbeats of others may cause it to be
+    /// advertised for a moment.
     pub fn set_advertised(&mut self, now_ms: u64, is_advertised: bool) {
         let since = match (is_advertised, self.advertised_since_ms) {
             (false, _) => None,
@@ -111,8 +116,8 @@
     pub fn admit(&mut self, now_ms: u64, body: usize) -> Action {
         self.bytes.add(now_ms, body as u64 + HEAD_BYTES);
         self.requests.add(now_ms, 1);
-        // Where no other instance has capacity, a rejection with a retry delay serves callers better than a closed
-        // listener.
+        // Where no other instance has capacity, a rejection with a retry delay serves callers
+        // better than a closed listener.
         let is_link_full = self.is_link_full(now_ms);
         if !self.fleet_has_capacity || !(is_link_full || self.is_busy(now_ms)) {
             return Action::Admit;
@@ -120,7 +125,8 @@
         self.throttle(now_ms);
         let is_unready = self.unready_left_ms(now_ms) > 0;
         if is_unready && now_ms >= self.unready_since_ms + REDIRECT_MS {
-            // Callers ignore the readiness, so that it only counts against the instance.
+            // Callers ignore readiness, so that being unready relieves nothing and only uses up the
+            // number of instances that may be unready.
             self.unready_until_ms = 0;
             self.spare_until_ms = 0;
         }
@@ -139,8 +145,8 @@
         self.throttled_until_ms = until_ms;
     }
 
-    /// Returns `true` if the listener was closed for most of the window. Below that an instance serves most of its
-    /// callers, who would lose seconds by moving.
+    /// Returns `true` if the listener was closed for most of the window. Below that an instance
+    /// serves most of its callers, who would lose seconds by moving.
     fn is_saturated(&mut self, now_ms: u64) -> bool {
         self.closed.sum(now_ms) as f64 > CLOSED_WINDOW_MS as f64 * SATURATED_FRACTION
     }
@@ -168,8 +174,8 @@
 
     /// Returns `true` if the listener is closed.
     ///
-    /// A rejected request and its retry both cross the link, so rejections do not relieve a full one; a refused
-    /// connection costs a packet.
+    /// A rejected request and its retry both cross the link, so rejections do not relieve a full
+    /// one; a refused connection costs a packet.
     pub fn is_closed(&self, now_ms: u64) -> bool {
         let is_leaving =
             self.unready_left_ms(now_ms) > 0 && now_ms < self.unready_since_ms + REDIRECT_MS;
--- a/crates/fescuewell_forward/src/choice.rs
+++ b/crates/fescuewell_forward/src/choice.rs
@@ -1,8 +1,9 @@
 //! Load balancing: which backend server receives a request.
 //!
-//! Model engines cache the prompt prefixes that they have processed, and processing them again takes time. All
-//! instances rank the engines for a prefix in the same order (rendezvous hashing), so that they agree without
-//! coordination. The first in that order is picked unless it is clearly busier than the others.
+//! Model engines cache the prompt prefixes that they have processed, and processing them again
+//! takes time. All instances rank the engines for a prefix in the same order (rendezvous hashing),
+//! so that they agree without coordination. The first in that order is picked unless it is clearly
+//! busier than the others.
 
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -33,7 +34,8 @@
     pending_prefill: u64,
 }
 
-/// In-flight requests at each backend server, sent by this instance or reported by others.
+/// Load of the backend servers and the prefixes that they cache, from own requests and from reports
+/// of other instances.
 #[derive(Debug, Default)]
 pub struct Load {
     servers: HashMap<Arc<str>, ServerLoad>,
@@ -41,7 +43,8 @@
     prefixes: PrefixIndex,
 }
 
-/// Index of the servers that cache a prompt prefix, from own requests and reports of other instances.
+/// Index of the servers that cache a prompt prefix, from own requests and reports of other
+/// instances.
 #[derive(Debug, Default)]
 struct PrefixIndex {
     locations: HashMap<u64, Vec<Location>>,
@@ -58,10 +61,11 @@
 
 /// Time after its last use from which a prefix may have been evicted, in milliseconds.
 const PREFIX_TTL_MS: u64 = 20_000;
-/// Time for which a new location is repeated in reports, in milliseconds, since reports may be lost.
+/// Time for which a new location is repeated in reports, in milliseconds, since reports may be
+/// lost.
 const LOCATION_REPEAT_MS: u64 = 300;
-/// Maximum number of servers in a report, the busiest first; each takes some 20 bytes. A report of a hundred servers
-/// does not fit a packet and is not sent at all.
+/// Maximum number of servers in a report, the busiest first; each takes some 20 bytes. A report of
+/// a hundred servers does not fit a packet and is not sent at all.
 const MAX_REPORTED_SERVERS: usize = 40;
 /// Maximum number of prefix locations in a report, which must fit a packet.
 const MAX_REPORTED_LOCATIONS: usize = 24;
@@ -105,7 +109,8 @@
     servers: HashMap<Arc<str>, ServerLoad>,
 }
 
-/// Age from which a report of another instance is ignored, in milliseconds; instances repeat their reports more often.
+/// Age from which a report of another instance is ignored, in milliseconds; instances repeat their
+/// reports more often.
 const REPORT_TTL_MS: u64 = 1_500;
 
 /// Load report of one instance.
@@ -129,14 +134,14 @@
         load.pending_prefill += pending_prefill;
     }
 
-    /// Reports that the server has processed a prompt.
+    /// Removes prompt tokens that the server has processed, or that belong to an abandoned request.
     pub fn finish_prefill(&mut self, id: &str, pending_prefill: u64) {
         if let Some(load) = self.servers.get_mut(id) {
             load.pending_prefill = load.pending_prefill.saturating_sub(pending_prefill);
         }
     }
 
-    /// Removes an in-flight request whose prefill is finished or abandoned.
+    /// Removes an in-flight request, after [`Load::finish_prefill`].
     pub fn end(&mut self, id: &str) {
         let Some(load) = self.servers.get_mut(id) else {
             return;
@@ -157,8 +162,8 @@
         }
     }
 
-    /// Number of tokens of a prompt that a server has to process: all of them, less the shared prefix if it is cached
-    /// there.
+    /// Number of tokens of a prompt that a server has to process: all of them, less the shared
+    /// prefix if it is cached there.
     pub fn uncached_tokens(&self, prompt: u64, criteria: &Criteria<'_>, id: &str) -> u64 {
         let is_cached = criteria
             .affinity
@@ -194,7 +199,8 @@
         }
     }
 
-    /// Applies another instance's report. Older reports than the last one are ignored until that one expires.
+    /// Applies another instance's report. Older reports than the last one are ignored until that
+    /// one expires.
     pub fn apply_report(&mut self, report: Report, now_ms: u64) {
         let known = self.peers.get(&report.instance);
         let is_old = known.is_some_and(|known| {
@@ -260,13 +266,14 @@
     }
 }
 
-/// Cost of processing a cached prefix again at another server, in percent of its tokens. Above 100, since a second copy
-/// costs more than its computation time.
+/// Cost of processing a cached prefix again at another server, in percent of its tokens. Above 100,
+/// since a second copy costs more than its computation time.
 const RECOMPUTE_PERCENT: u64 = 400;
-/// The same if no server is known to cache the prefix; keeps instances in agreement that have not received each other's
-/// reports.
+/// The same if no server is known to cache the prefix; keeps instances in agreement that have not
+/// received each other's reports.
 const UNKNOWN_PERCENT: u64 = 50;
-/// Cost of an in-flight request, in prompt tokens; it slows the others down about as much as processing these would.
+/// Cost of an in-flight request, in prompt tokens; it slows the others down about as much as
+/// processing these would.
 const IN_FLIGHT_TOKENS: u64 = 300;
 /// Minimum number of shared tokens for which reuse of the prefix is worth more than an even load.
 const MIN_SHARED_TOKENS: u64 = 1_000;
@@ -298,7 +305,8 @@
     }
 }
 
-/// Picks the candidate with the fewest in-flight requests, or returns `None` without candidates.
+/// Picks the candidate with the fewest in-flight requests, an ejected one only if all are, or
+/// returns `None` without candidates.
 pub fn least_loaded<'a>(
     candidates: &[&'a Arc<Entry>],
     load: &Load,
@@ -312,8 +320,9 @@
     candidates.iter().copied().min_by_key(|entry| cost(entry))
 }
 
-/// Returns the candidates that are not much slower than the others, or all of them if none remains. Not used for
-/// requests with a shared prefix: processing a long prefix again costs more than a slow server does.
+/// Returns the candidates that are not much slower than the others, or all of them if none remains.
+/// Not used for requests with a shared prefix: processing a long prefix again costs more than a
+/// slow server does.
 fn without_slow<'a>(from: &[&'a Arc<Entry>], health: &Health, now_ms: u64) -> Vec<&'a Arc<Entry>> {
     let ids = from.iter().map(|entry| &*entry.id);
     let limit_ms = health
@@ -332,8 +341,8 @@
     if fast.is_empty() { from.to_vec() } else { fast }
 }
 
-/// Picks the server that would finish processing the prompt first, by its pending tokens and the prefix tokens to
-/// process again.
+/// Picks the server with the lowest cost in prompt tokens: its pending tokens, its in-flight
+/// requests, and the prefix tokens to process again.
 fn pick_by_cost<'a>(
     from: &[&'a Arc<Entry>],
     prefix: &str,
@@ -365,7 +374,7 @@
         .map(|(_, _, entry)| entry)
 }
 
-/// Picks the server with the lowest utilization and health penalty.
+/// Picks the server with the lowest sum of utilization and health penalty.
 fn pick_by_load<'a>(
     from: &[&'a Arc<Entry>],
     criteria: &Criteria<'_>,
--- a/crates/fescuewell_forward/src/config.rs
+++ b/crates/fescuewell_forward/src/config.rs
@@ -71,7 +71,8 @@
 }
 
 impl Route {
-    /// Selects a service by weight, or returns `None` if all weights are 0. `random` is uniformly distributed.
+    /// Selects a service by weight, or returns `None` if all weights are 0. `random` is uniformly
+    /// distributed.
     pub fn service(&self, random: u64) -> Option<&Arc<str>> {
         let total: u64 = self
             .splits
--- a/crates/fescuewell_forward/src/crash.rs
+++ b/crates/fescuewell_forward/src/crash.rs
@@ -1,9 +1,10 @@
 //! Requests that crash the backend servers which run them.
 //!
-//! Each attempt of a caller has its own id and may reach any instance, so a single attempt does not show that earlier
-//! servers crashed under the same request. A [`Fingerprint`] identifies the request across attempts, a [`Detector`]
-//! distinguishes a server crash from a lost connection, and a [`Quarantine`] counts crashes per request across
-//! instances and decides whether the request may be sent again.
+//! Each attempt of a caller has its own id and may reach any instance, so a single attempt does not
+//! show that earlier servers crashed under the same request. A [`Fingerprint`] identifies the
+//! request across attempts, a [`Detector`] distinguishes a server crash from a lost connection, and
+//! a [`Quarantine`] counts crashes per request across instances and decides whether the request may
+//! be sent again.
 
 mod detector;
 mod fingerprint;
--- a/crates/fescuewell_forward/src/crash/detector.rs
+++ b/crates/fescuewell_forward/src/crash/detector.rs
@@ -1,14 +1,14 @@
 //! Distinguishes a backend server crash from a lost connection.
 //!
 //! ```text
-//!             connection broke            refused, or restarted
-//!   Healthy --------------------> Suspected ----------------------> Crashed
+//!             connection broke            refused, restarted or removed
+//!   Healthy --------------------> Suspected -------------------------------> Crashed
 //!     ^                              |
 //!     +--- accepted, or 8 s ---------+
 //! ```
 //!
-//! Servers that are draining, delisted or in an evacuated zone may close connections at any time and must not be
-//! reported to [`Detector::lost`].
+//! Servers that are draining, delisted or in an evacuated zone may close connections at any time
+//! and must not be reported to [`Detector::lost`].
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -16,7 +16,8 @@
 use super::Fingerprint;
 use crate::server::{Entry, Incarnation};
 
-/// Time in milliseconds for which a lost exchange may still turn out to be a crash; exceeds the expiry of list entries.
+/// Time in milliseconds for which a lost exchange may still turn out to be a crash; exceeds the
+/// expiry of list entries.
 const SUSPICION_MS: u64 = 8_000;
 /// Retention of a crash in milliseconds; the connections of one server do not all break at once.
 const CRASHED_MS: u64 = 10_000;
--- a/crates/fescuewell_forward/src/crash/fingerprint.rs
+++ b/crates/fescuewell_forward/src/crash/fingerprint.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-/// Domain separation.
+/// Key derivation context, which separates fingerprints from other hashes.
 const CONTEXT: &str = "fescuewell request fingerprint 1";
 /// Bytes of a fingerprint.
 const LENGTH: usize = 16;
@@ -10,7 +10,8 @@
 /// Content that two attempts of the same request share.
 #[derive(Debug, Clone, Copy)]
 pub struct Content<'a> {
-    /// Name of the client account, empty on a public route. Prevents collisions with requests of other accounts.
+    /// Name of the client account, empty on a public route. Prevents collisions with requests of
+    /// other accounts.
     pub account: &'a str,
     /// Method of the request line.
     pub method: &'a str,
--- a/crates/fescuewell_forward/src/crash/quarantine.rs
+++ b/crates/fescuewell_forward/src/crash/quarantine.rs
@@ -9,9 +9,9 @@
 //!     +-----------------full response--------------------- Probed ---+
 //! ```
 //!
-//! The number of in-flight attempts of a suspect is limited to the crashes left before quarantine, and after its second
-//! crash it goes to the least loaded server. Requests that merely shared a server with the culprit are cleared by their
-//! next response.
+//! The number of in-flight attempts of a suspect is limited to the crashes left before quarantine,
+//! and after its second crash it goes to the least loaded server. Requests that merely shared a
+//! server with the culprit are cleared by their next response.
 
 use std::collections::{HashMap, HashSet};
 use std::num::NonZeroUsize;
@@ -68,7 +68,8 @@
     answered: LruCache<Fingerprint, u64>,
     fresh: Vec<Fingerprint>,
     unrecorded: Vec<Fingerprint>,
-    /// Requests whose crashes this instance detected itself. Only such instances write the store's record.
+    /// Requests whose crashes this instance detected itself. Only such instances write the store's
+    /// record.
     witnessed: HashSet<Fingerprint>,
     next_sample: usize,
     is_loaded: bool,
@@ -127,8 +128,8 @@
         self.records.contains_key(&request)
     }
 
-    /// Records a server crash while the request was running. Returns the number of crashes, or `None` if the crash was
-    /// known or the request is exonerated.
+    /// Records a server crash while the request was running. Returns the number of crashes, or
+    /// `None` if the crash was known or the request is exonerated.
     pub fn crash(
         &mut self,
         request: Fingerprint,
--- a/crates/fescuewell_forward/src/crash/record.rs
+++ b/crates/fescuewell_forward/src/crash/record.rs
@@ -1,7 +1,7 @@
 //! Crash history of one request.
 //!
-//! Merging is commutative, associative and idempotent: crashes by union, the time of the last complete response and the
-//! probes by maximum.
+//! Merging is commutative, associative and idempotent: crashes by union, the time of the last
+//! complete response and the probes by maximum.
 
 use crate::server::Incarnation;
 
@@ -119,7 +119,8 @@
         now_ms >= self.last_ms().saturating_add(kept_ms)
     }
 
-    /// Returns `true` if the record lies in the future, so that its writer's clock cannot be trusted.
+    /// Returns `true` if the record lies in the future, so that its writer's clock cannot be
+    /// trusted.
     pub fn is_ahead(&self, now_ms: u64) -> bool {
         self.last_ms() > now_ms.saturating_add(SKEW_MS)
     }
--- a/crates/fescuewell_forward/src/directory.rs
+++ b/crates/fescuewell_forward/src/directory.rs
@@ -22,14 +22,15 @@
     pub zone: Arc<str>,
     /// Traffic capacity relative to other instances, in thousandths of a core with a link to match.
     pub weight: u32,
-    /// Requests received from callers per second.
+    /// Requests of callers that it accepts per second; those refused before a server is picked are
+    /// not counted.
     pub requests_per_s: u32,
     /// Its usage of the prepaid accounts.
     pub usage: Vec<Usage>,
     /// When it wrote this heartbeat, in milliseconds of the store's clock; 0 once it has left.
     pub heartbeat_at_ms: u64,
-    /// Until when it is unready because callers overloaded it, in milliseconds of the store's clock; see
-    /// [`crate::admission`].
+    /// Until when it is unready because callers overloaded it, in milliseconds of the store's
+    /// clock; see [`crate::admission`].
     pub unready_until_ms: u64,
     /// Era of the store in which it has confirmed its grants; see [`crate::quota::era`].
     pub era: u32,
@@ -37,26 +38,30 @@
     pub knows_grants: bool,
 }
 
-/// Encoded fields that the previous program version does not write: era 0, and grants that it knows.
+/// Encoded defaults of the last two fields, which the previous program version does not write:
+/// `era` 0 and `knows_grants` true.
 const LEGACY_DEFAULTS: [u8; 2] = [0, 1];
 
-/// Age of its last heartbeat, in milliseconds, from which a member counts as failed and its grants as spent. Longer in
-/// large fleets, which send heartbeats less often; see [`Directory::set_member_timeout`].
+/// Age of its last heartbeat, in milliseconds, from which a member counts as failed and its grants
+/// as spent. Longer in large fleets, which send heartbeats less often; see
+/// [`Directory::set_member_timeout`].
 pub const MEMBER_TIMEOUT_MS: u64 = 3_500;
-/// Age of its last heartbeat, in milliseconds, from which a member is no longer advertised. Longer than
-/// [`MEMBER_TIMEOUT_MS`]: an instance without a connection to the store still serves requests, with tokens that no
-/// other instance holds.
+/// Age of its last heartbeat, in milliseconds, from which a member is no longer advertised. Longer
+/// than [`MEMBER_TIMEOUT_MS`]: an instance without a connection to the store still serves requests,
+/// with tokens that no other instance holds.
 const ADVERTISED_TIMEOUT_MS: u64 = 6_000;
-/// Weight, in thousandths of a core, per request a second: a request takes about 0.9 ms of processor time, and half of
-/// the processor is left free.
+/// Weight, in thousandths of a core, per request a second: a request takes about 0.9 ms of
+/// processor time, and half of the processor is left free.
 const WEIGHT_PER_REQUEST: u32 = 2;
-/// Ratio of the advertised instances' capacity to the present traffic, to absorb bursts and the loss of some instances.
+/// Ratio of the advertised instances' capacity to the present traffic, to absorb bursts and the
+/// loss of some instances.
 const HEADROOM_FACTOR: u32 = 2;
-/// An instance whose weight is below the highest weight divided by this is not advertised just to represent its zone: a
-/// narrow link that receives an equal share of the callers would delay all of them.
+/// An instance whose weight is below the highest weight divided by this is not advertised just to
+/// represent its zone: a narrow link that receives an equal share of the callers would delay all of
+/// them.
 const WEAK_DIVISOR: u32 = 3;
-/// One instance in this many is advertised even without traffic, so that a sudden rise finds instances that hold
-/// tokens.
+/// One instance in this many is advertised even without traffic, so that a sudden rise finds
+/// instances that hold tokens.
 const MIN_ADVERTISED_DIVISOR: usize = 6;
 /// One instance in this many of an availability zone may be unready.
 const MAX_UNREADY_DIVISOR: usize = 3;
@@ -94,8 +99,9 @@
         self.read_at_ms = now_ms;
     }
 
-    /// Replaces the members with those read in an era of the store. The first read of an era returns a backup that is
-    /// some seconds old; known newer heartbeats are kept, or most instances would count as failed until their next one.
+    /// Replaces the members with those read in an era of the store. The first read of an era
+    /// returns a backup that is some seconds old; known newer heartbeats are kept, or most
+    /// instances would count as failed until their next one.
     pub fn replace_in_era(
         &mut self,
         era: u32,
@@ -115,9 +121,9 @@
         self.replace(members, now_ms);
     }
 
-    /// Returns the grant status of the instances. Instances without a recent heartbeat are included only if they were
-    /// alive when the backup was made from which the store was restored: one that had failed before cannot have drawn
-    /// tokens since.
+    /// Returns the grant status of the instances. Instances without a recent heartbeat are included
+    /// only if they were alive when the backup was made from which the store was restored: one that
+    /// had failed before cannot have drawn tokens since.
     pub fn statuses(&self) -> Vec<era::Status> {
         let live: BTreeSet<&Arc<str>> = self.live().map(|(name, _)| name).collect();
         let former = self.members.values().filter(|member| member.era < self.era);
@@ -160,9 +166,10 @@
         self.live().count().max(1)
     }
 
-    /// Returns `true` if an instance may be unready: it is not advertised, its availability zone has an instance that
-    /// is, and at most a third of the zone's instances would be unready. If half of them are, callers ignore readiness
-    /// and use all of them; since heartbeats are late, the limit is lower.
+    /// Returns `true` if an instance may be unready: it is not advertised, its availability zone
+    /// has an instance that is, and at most a third of the zone's instances would be unready. If
+    /// half of them are, callers ignore readiness and use all of them; since heartbeats are late,
+    /// the limit is lower.
     pub fn can_spare(&self, name: &str) -> bool {
         let Some(own) = self.members.get(name) else {
             return false;
@@ -201,8 +208,9 @@
         requests < capacity
     }
 
-    /// Returns the readers of an availability zone, see [`crate::relay`]: the instances with the highest weights, with
-    /// ties broken the same way on all instances. Empty if all instances are readers.
+    /// Returns the readers of an availability zone (see [`crate::relay`]): the instances with the
+    /// highest weights, with ties broken the same way on all instances. Empty if all instances are
+    /// readers.
     pub fn readers(&self, zone: &str) -> Vec<&Arc<str>> {
         let mut members = self.live_in_zone(zone);
         if members.len() <= MAX_ALL_READERS {
@@ -253,8 +261,8 @@
         })
     }
 
-    /// Returns the addresses for a caller, at most 64: those of the advertised instances, or `own` if there are none.
-    /// The random number selects among more than 64.
+    /// Returns the addresses for a caller, at most 64: those of the advertised instances, or `own`
+    /// if there are none. The random number selects among more than 64.
     pub fn addresses(&self, own: Option<SocketAddr>, random: u64) -> Vec<SocketAddr> {
         let advertised = self.advertised();
         let mut addresses: Vec<SocketAddr> = advertised
@@ -272,12 +280,13 @@
         addresses
     }
 
-    /// Returns the instances advertised to callers: as many as the traffic requires, and one in each availability zone
-    /// that has one of sufficient weight.
+    /// Returns the instances advertised to callers: as many as the traffic requires, and one in
+    /// each availability zone that has one of sufficient weight.
     ///
-    /// Prepaid tokens are divided among the instances that receive requests. With more of them than the traffic
-    /// requires, the share of each covers only a few requests, and requests are rejected although the account has
-    /// tokens at other instances. All instances select the same ones, since they read the same rows.
+    /// Prepaid tokens are divided among the instances that receive requests. With more of them than
+    /// the traffic requires, the share of each covers only a few requests, and requests are
+    /// rejected although the account has tokens at other instances. All instances select the same
+    /// ones, since they read the same rows.
     pub fn advertised(&self) -> Vec<(&Arc<str>, &Member)> {
         let mut known: Vec<(&Arc<str>, &Member)> = self
             .members
--- a/crates/fescuewell_forward/src/evacuation.rs
+++ b/crates/fescuewell_forward/src/evacuation.rs
@@ -1,8 +1,9 @@
 //! Evacuation of availability zones: servers in an evacuated zone receive no new work.
 //!
-//! The operator evacuates a zone and later withdraws the order. Orders arrive through store reads and through other
-//! instances, out of order and possibly late. Each carries the store version of its write and only the newest per zone
-//! counts, so that a stale read neither ends an evacuation nor starts it again.
+//! The operator evacuates a zone and later withdraws the order. Orders arrive through store reads
+//! and through other instances, out of order and possibly late. Each carries the store version of
+//! its write and only the newest per zone counts, so that a stale read neither ends an evacuation
+//! nor starts it again.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/crates/fescuewell_forward/src/health.rs
+++ b/crates/fescuewell_forward/src/health.rs
@@ -1,7 +1,8 @@
-//! Outlier detection: which backend servers fail or respond slowly, judged by the outcomes of this instance's requests.
+//! Outlier detection: which backend servers fail or respond slowly, judged by the outcomes of this
+//! instance's requests.
 //!
-//! A server can pass its own health check and still fail the requests it receives. Outcomes reveal it within a few
-//! requests; such a server is ejected for a while and then retried.
+//! A server can pass its own health check and still fail the requests it receives. Outcomes reveal
+//! it within a few requests; such a server is ejected for a while and then retried.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -34,18 +35,19 @@
 
 /// Weight of the newest sample in the moving average of latencies.
 const LATENCY_WEIGHT: f64 = 0.2;
-/// Age from which a latency is discarded, in milliseconds; a server that was avoided as slow is then tried again.
+/// Age from which a latency is discarded, in milliseconds; a server that was avoided as slow is
+/// then tried again.
 const LATENCY_TTL_MS: u64 = 3_000;
-/// A server is slow if its latency exceeds the median by this factor
+/// A server is slow if its latency is more than this multiple of the median.
 const SLOW_FACTOR: f64 = 3.0;
-/// and by at least this amount, in milliseconds.
+/// Minimum difference between a slow latency and the median, in milliseconds.
 const MIN_SLOW_EXCESS_MS: f64 = 40.0;
 /// Minimum number of servers with a latency for a meaningful median.
 const MIN_MEASURED_SERVERS: usize = 3;
 
 #[derive(Debug, Default)]
 struct ServerHealth {
-    /// Sum of the outcomes' scores.
+    /// Sum of the outcomes' scores, halved by each good one.
     score: f64,
     ejected_until_ms: u64,
     /// Duration of the last ejection.
@@ -113,7 +115,8 @@
         (now_ms < at + LATENCY_TTL_MS).then_some(server.latency_ms)
     }
 
-    /// Returns the latency above which one of these servers is slow, or `None` if too few of them were measured.
+    /// Returns the latency above which one of these servers is slow, or `None` if too few of them
+    /// were measured.
     pub fn slow_threshold_ms<'a, Ids>(&self, ids: Ids, now_ms: u64) -> Option<f64>
     where
         Ids: Iterator<Item = &'a str>,
--- a/crates/fescuewell_forward/src/lib.rs
+++ b/crates/fescuewell_forward/src/lib.rs
@@ -1,7 +1,7 @@
 //! Decisions of the forwarding path: routing, load balancing, prepaid quotas and retries.
 //!
-//! The crate performs no I/O and uses no threads or clocks: events and times are arguments, and decisions are return
-//! values.
+//! The crate performs no I/O and uses no threads or clocks: events and times are arguments, and
+//! decisions are return values.
 //!
 //! ```
 //! use fescuewell_forward::prelude::*;
--- a/crates/fescuewell_forward/src/message.rs
+++ b/crates/fescuewell_forward/src/message.rs
@@ -25,8 +25,8 @@
 use crate::loan;
 use crate::relay::Digest;
 
-/// First byte of every authenticated message. Load reports are not authenticated and begin with the length of a name,
-/// which is never 0.
+/// First byte of every authenticated message. Load reports are not authenticated and begin with the
+/// length of a name, which is never 0.
 pub const FORMAT: u8 = 0;
 /// Size of the authentication tag in bytes: 128 bits of a keyed hash.
 const TAG_BYTES: usize = 16;
@@ -77,7 +77,8 @@
         bytes
     }
 
-    /// Verifies and decodes a message. Returns `None` if it is malformed or was not sealed with this key.
+    /// Verifies and decodes a message. Returns `None` if it is malformed or was not sealed with
+    /// this key.
     pub fn open(&self, bytes: &[u8]) -> Option<Message> {
         let authenticated = bytes.strip_prefix(&[FORMAT])?;
         let (tag, content) = authenticated.split_at_checked(TAG_BYTES)?;
--- a/crates/fescuewell_forward/src/quota.rs
+++ b/crates/fescuewell_forward/src/quota.rs
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Enters a new era after the store was restored from a snapshot.
+    /// Enters a new era after the store was restored from a backup.
     ///
     /// `journal` is the journal of this holder in the restored store, with its row version;
     /// `ledgers` are the restored ledgers. The holder then rewrites its grants and its journal.
@@ -273,8 +273,8 @@
     /// Returns the accounts with requests that need more than the local grant covers.
     pub fn short_accounts(&self) -> Vec<Arc<str>> {
         let accounts = self.accounts.iter();
-        let unmet = accounts.filter(|(_, account)| account.shortage().is_some());
-        unmet.map(|(name, _)| name.clone()).collect()
+        let short = accounts.filter(|(_, account)| account.shortage().is_some());
+        short.map(|(name, _)| name.clone()).collect()
     }
 
     /// Sets the maximum age, in milliseconds, of a ledger read that may prove an account exhausted,
--- a/crates/fescuewell_forward/src/quota/account.rs
+++ b/crates/fescuewell_forward/src/quota/account.rs
@@ -17,7 +17,8 @@
 /// account that sends one per second, short enough to follow a surge of a few seconds.
 const DEMAND_WINDOW_MS: u64 = 6_000;
 /// Share of the remaining grant, in percent, that a journal admits as a burst. This bounds the cost
-/// of a restart for an account with many tokens left, and lets an outage begin without refusals.
+/// of a restart for an account with many tokens left, and keeps requests from being refused when an
+/// outage begins.
 const BURST_PERCENT: u64 = 8;
 /// Upper bound of that burst, in requests of mean size.
 const BURST_REQUESTS: u64 = 2;
@@ -200,7 +201,7 @@
         {
             return HoldOutcome::Exhausted;
         }
-        let previous = self.shortage.map_or(0, |unmet| unmet.tokens);
+        let previous = self.shortage.map_or(0, |short| short.tokens);
         self.shortage = Some(Shortage {
             tokens: previous.max(tokens),
         });
--- a/crates/fescuewell_forward/src/quota/era.rs
+++ b/crates/fescuewell_forward/src/quota/era.rs
@@ -1,14 +1,14 @@
-//! Grants after the store was restored from a snapshot.
+//! Grants after the store was restored from a backup.
 //!
-//! The writes after the snapshot are lost: the ledgers show older grants, so tokens that a holder
-//! has drawn since appear unallocated and would be spent twice if they were drawn again. Each
-//! restore begins a new era of the store, and in each era:
+//! The writes after the backup are lost: the ledgers show older grants, so tokens that a holder has
+//! drawn since appear unallocated and would be spent twice if they were drawn again. Each restore
+//! begins a new era of the store, and in each era:
 //!
 //! 1. Every ledger transaction expects the version of one row, the [`Fence`]. The first transaction
 //!    of an era rewrites the fence, so that a delayed transaction of a previous era has no effect.
-//! 2. A holder trusts its own knowledge of its grant, not the snapshot, and *confirms* the grant by
+//! 2. A holder trusts its own knowledge of its grant, not the backup, and *confirms* the grant by
 //!    rewriting it with the current era. For holders that have not confirmed theirs yet, it writes
-//!    the larger of the figure in the snapshot and the last one it knew.
+//!    the larger of the figure in the backup and the last one it knew.
 //! 3. No holder draws tokens until the era is *settled*: every live instance has confirmed all its
 //!    grants, and every other one has had time to do so. The fence then lists the unconfirmed
 //!    holders: those that were alive at the time and have not confirmed, or were killed in between
@@ -18,9 +18,9 @@
 //!    these holders have confirmed their grants, the reserve is released.
 //!
 //! ```text
-//!  previous era --- first response of the new one ---> Unconfirmed --- ledgers written ---> Confirmed
-//!                                                                                               |
-//!               draws as usual <--- Settled <--- all confirmed or timed out --------------------+
+//!  previous era --- first response of new one ---> Unconfirmed --- ledgers written ---> Confirmed
+//!                                                                                           |
+//!               draws as usual <--- Settled <--- all confirmed or timed out ----------------+
 //! ```
 
 use std::collections::BTreeSet;
@@ -36,7 +36,8 @@
 pub struct Fence {
     /// Era in which the row was written.
     pub era: u32,
-    /// Holders without confirmed grants when the era was settled; `None` until then.
+    /// Holders that had not confirmed their grants when the era was settled and have not done so
+    /// since; `None` until the era is settled.
     pub unconfirmed: Option<Vec<Arc<str>>>,
 }
 
--- a/crates/fescuewell_forward/src/quota/loans.rs
+++ b/crates/fescuewell_forward/src/quota/loans.rs
@@ -31,8 +31,8 @@
 
 impl Quota {
     /// Lends tokens of the own grant, which count as consumed from now on. Tokens beyond the
-    /// required ones are lent only if the own requests of the next [`OWN_DEMAND_MS`] do not need
-    /// them.
+    /// required ones are lent only if the own requests of the next `OWN_DEMAND_MS` milliseconds do
+    /// not need them.
     pub fn lend(&mut self, request: &Request, now_ms: u64) -> u64 {
         let available = self.available(&request.account, now_ms);
         let account = self.account_mut(&request.account);
--- a/crates/fescuewell_forward/src/quota/origin.rs
+++ b/crates/fescuewell_forward/src/quota/origin.rs
@@ -12,7 +12,7 @@
 pub(super) enum Origin {
     /// The ledger row.
     Ledger,
-    /// Known from before the store was restored from a snapshot; the row still has to be rewritten
+    /// Known from before the store was restored from a backup; the row still has to be rewritten
     /// accordingly.
     Memory,
     /// A previous process may have been granted more than the row shows. The whole grant counts as
@@ -45,7 +45,7 @@
         self.origin = Origin::Unknown;
     }
 
-    /// Handles a restore of the store from a snapshot that has this row for the account, or none.
+    /// Handles a restore of the store from a backup that has this row for the account, or none.
     pub(super) fn restore(&mut self, holder: &str, row: Option<(u64, Ledger)>, era: u32) {
         self.granted = self.granted();
         self.pending_return = None;
--- a/crates/fescuewell_forward/src/quota/plan.rs
+++ b/crates/fescuewell_forward/src/quota/plan.rs
@@ -95,7 +95,7 @@
 ) -> u64 {
     let free = prepaid.saturating_sub(ledger.total());
     let held = own.granted.saturating_sub(own.consumed);
-    let needed = shortage.map_or(0, |unmet| unmet.tokens);
+    let needed = shortage.map_or(0, |short| short.tokens);
     if needed > held {
         return own.granted + (needed - held).min(free);
     }
@@ -121,7 +121,7 @@
     } else {
         share
     };
-    let wanted = share.max(shortage.map_or(0, |unmet| unmet.tokens));
+    let wanted = share.max(shortage.map_or(0, |short| short.tokens));
     let held = own.granted.saturating_sub(own.consumed);
     let slack = share * TOLERANCE_PERCENT / 100;
     let must_grow = shortage.is_some() || held + slack < share;
--- a/crates/fescuewell_forward/src/quota/row.rs
+++ b/crates/fescuewell_forward/src/quota/row.rs
@@ -11,7 +11,8 @@
 /// Leading byte of a ledger without eras, which the previous program version can read as well; see
 /// [`legacy`].
 const LEDGER_V1: u8 = 1;
-/// Leading byte of a ledger, which distinguishes another program version from corruption.
+/// Leading byte of the current ledger format; an unknown leading byte shows that another program
+/// version wrote the row.
 const LEDGER_V2: u8 = 2;
 /// Leading byte of the first journal format; see [`legacy`].
 const JOURNAL_V1: u8 = 1;
@@ -250,7 +251,7 @@
         }
     }
 
-    /// An entry without a bucket, whose rate is limited only by the grant.
+    /// An entry without a bucket: its rate applies until the grant is used up.
     #[derive(Deserialize)]
     pub struct EntryV1 {
         account: Arc<str>,
--- a/crates/fescuewell_forward/src/quota/waiting.rs
+++ b/crates/fescuewell_forward/src/quota/waiting.rs
@@ -1,7 +1,7 @@
 //! Tokens of requests that are held back by the rate limit; the next journal admits them.
 
-/// Time, in milliseconds, for which a rate-limited request counts as waiting. Most requests wait no
-/// longer than this.
+/// Time, in milliseconds, for which rate-limited requests count as waiting, from the first of them.
+/// Most requests wait no longer than this.
 ///
 /// Without this limit the first journal after an outage would admit every request refused during
 /// it, and a kill right after that journal would be charged for all of them.
--- a/crates/fescuewell_forward/src/relay.rs
+++ b/crates/fescuewell_forward/src/relay.rs
@@ -1,10 +1,11 @@
 //! Relays changes of the server list between instances.
 //!
-//! Each backend server writes its row about once a second, and reading the list returns all of these writes. In a large
-//! fleet only a few *readers* per availability zone read it; the other instances are *followers*. Readers send them a
-//! [`Digest`] of the changes: servers that joined, left, are draining or restarted. A digest states the range of store
-//! versions that it covers completely, so that a follower detects a gap. It then reads the list itself, as it does
-//! without digests.
+//! Each backend server writes its row about once a second, and reading the list returns all of
+//! these writes. In a large fleet only a few *readers* per availability zone read it; the other
+//! instances are *followers*. Readers send them a [`Digest`] of the changes: servers that joined,
+//! left, are draining or restarted. A digest states the range of store versions that it covers
+//! completely, so that a follower detects a gap. It then reads the list itself, as it does without
+//! digests.
 //!
 //! ```text
 //!             fresh digest without a gap
@@ -13,7 +14,8 @@
 //!  Reading ---+-> Following --- gap, or DIGEST_TIMEOUT_MS without a digest ---> Reading
 //! ```
 //!
-//! Versions only increase, whatever their source, so that a late, repeated or reordered digest changes nothing.
+//! Versions only increase, whatever their source, so that a late, repeated or reordered digest
+//! changes nothing.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -27,16 +29,19 @@
 pub const READERS: usize = 2;
 /// Number of instances in an availability zone up to which all of them are readers.
 pub const MAX_ALL_READERS: usize = 6;
-/// Time without a digest after which a follower reads the list itself, in milliseconds; about three digests. Under the
-/// strictest bounds a server must receive no new work two seconds after it reports that it is draining.
+/// Time without a digest after which a follower reads the list itself, in milliseconds; about three
+/// digests. Under the strictest bounds a server must receive no new work two seconds after it
+/// reports that it is draining.
 pub const DIGEST_TIMEOUT_MS: u64 = 1_000;
-/// Age from which a digest is ignored, in milliseconds; it was delayed in a queue and may be outdated.
+/// Age from which a digest is ignored, in milliseconds; it was delayed in a queue and may be
+/// outdated.
 const STALE_DIGEST_MS: u64 = 1_000;
 /// Maximum number of rows in a digest, which must fit an Ethernet frame; a row takes some 70 bytes.
 const MAX_ROWS: usize = 14;
 /// Maximum number of evacuation orders in a digest; a fleet has fewer zones.
 const MAX_ORDERS: usize = 16;
-/// Time for which each digest repeats a change, in milliseconds; about ten digests, all but one of which may be lost.
+/// Time for which each digest repeats a change, in milliseconds; about ten digests, all but one of
+/// which may be lost.
 const REPEAT_MS: u64 = 2_500;
 
 /// Changes of the server list.
@@ -76,9 +81,9 @@
         };
     }
 
-    /// Adds the changes after one version up to another, read at `now_ms` of the local clock. Restarts if they leave a
-    /// gap, which occurs when this instance received changes through digests; followers could not detect a gap within a
-    /// digest.
+    /// Adds the changes after one version up to another, read at `now_ms` of the local clock.
+    /// Restarts if they leave a gap, which occurs when this instance received changes through
+    /// digests; followers could not detect a gap within a digest.
     pub fn add(&mut self, rows: Vec<Update>, after: u64, version: u64, now_ms: u64) {
         if after != self.until {
             self.restart(after);
@@ -116,7 +121,8 @@
     }
 }
 
-/// Store version up to which an instance knows the server list, from its own reads and from digests.
+/// Store version up to which an instance knows the server list, from its own reads and from
+/// digests.
 #[derive(Debug, Default)]
 pub struct Cursor {
     version: u64,
@@ -140,8 +146,9 @@
         self.version = self.version.max(version);
     }
 
-    /// Advances to the end of a digest at `now_ms` of the local clock, which is `store_ms` of the store's clock.
-    /// Returns `false` if its rows must not be applied: the digest is stale, or there is a gap before it.
+    /// Advances to the end of a digest at `now_ms` of the local clock, which is `store_ms` of the
+    /// store's clock. Returns `false` if its rows must not be applied: the digest is stale, or
+    /// there is a gap before it.
     pub fn apply(&mut self, digest: &Digest, store_ms: u64, now_ms: u64) -> bool {
         let is_contiguous = digest.after <= self.version && self.version <= digest.until;
         let is_fresh = digest.at_ms.abs_diff(store_ms) < STALE_DIGEST_MS;
--- a/crates/fescuewell_forward/src/retry.rs
+++ b/crates/fescuewell_forward/src/retry.rs
@@ -1,7 +1,7 @@
 //! Retry budget of the fleet, divided among the instances.
 //!
-//! Retries prolong an overload. Each instance may retry a fraction of its own requests plus its share of a fixed
-//! allowance, so that the fleet stays within its budget without coordination.
+//! Retries prolong an overload. Each instance may retry a fraction of its own requests plus its
+//! share of a fixed allowance, so that the fleet stays within its budget without coordination.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -19,8 +19,8 @@
     pub window_ms: u64,
 }
 
-/// Fraction of the budget that is used. The windows of instances are not aligned, and the requests of a failed instance
-/// are not counted by those that take over its callers.
+/// Fraction of the budget that is used. The windows of instances are not aligned, and the requests
+/// of a failed instance are not counted by those that take over its callers.
 const USED_FRACTION: f64 = 0.6;
 
 /// Requests and retries of a service.
@@ -51,7 +51,8 @@
         self.counts(service).requests.add(now_ms, 1);
     }
 
-    /// Takes one retry from the share of an instance among `instances`. Returns `false` if none is left.
+    /// Takes one retry from the share of an instance among `instances`. Returns `false` if none is
+    /// left.
     pub fn try_retry(&mut self, service: &Arc<str>, instances: usize, now_ms: u64) -> bool {
         let Bounds { ratio, slack, .. } = self.bounds;
         let counts = self.counts(service);
--- a/crates/fescuewell_forward/src/retry_after.rs
+++ b/crates/fescuewell_forward/src/retry_after.rs
@@ -2,11 +2,12 @@
 
 /// Minimum retry delay during a store outage in milliseconds; the duration of a few store calls.
 pub const MIN_OUTAGE_DELAY_MS: u64 = 150;
-/// Maximum retry delay during a store outage in milliseconds; callers honour up to a third of their remaining time.
+/// Maximum retry delay during a store outage in milliseconds; callers honour up to a third of their
+/// remaining time.
 pub const MAX_OUTAGE_DELAY_MS: u64 = 4_000;
 
-/// Estimates the remaining time of a store outage in milliseconds as its duration so far, with a jitter of 50% derived
-/// from `random`.
+/// Estimates the remaining time of a store outage in milliseconds as its duration so far, with a
+/// jitter of 50% derived from `random`.
 pub fn outage_left_ms(silence_ms: u64, random: u64) -> u64 {
     let factor = 0.5 + random as f64 / u64::MAX as f64;
     let left_ms = (silence_ms as f64 * factor) as u64;
--- a/crates/fescuewell_forward/src/server.rs
+++ b/crates/fescuewell_forward/src/server.rs
@@ -23,7 +23,8 @@
 pub struct Entry {
     /// Unique name; may be the same after a restart.
     pub id: Arc<str>,
-    /// Start time in Unix milliseconds of the server's clock, if reported. Only used to distinguish incarnations.
+    /// Start time in Unix milliseconds of the server's clock, if reported. Only used to distinguish
+    /// incarnations.
     pub started_at_ms: Option<u64>,
     /// Service that it belongs to.
     pub service: Arc<str>,
@@ -33,7 +34,8 @@
     pub zone: Arc<str>,
     /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// Remaining time for which it is cold when the entry is written, in milliseconds; see [`crate::warmup`].
+    /// Remaining time for which it is cold when the entry is written, in milliseconds; see
+    /// [`crate::warmup`].
     pub cold_left_ms: u64,
     /// Whether it accepts work.
     pub state: State,
@@ -110,20 +112,23 @@
     version: u64,
     /// The server reported in a response that it is draining, before the list did.
     is_marked_draining: bool,
-    /// When the registration expires because the row is missing, in milliseconds of the local clock.
+    /// When the registration expires because the row is missing, in milliseconds of the local
+    /// clock.
     expires_at_ms: Option<u64>,
-    /// Until when the server may be cold, in milliseconds of the local clock. An upper bound, since the entry is
-    /// seconds old when it is read.
+    /// Until when the server may be cold, in milliseconds of the local clock. An upper bound, since
+    /// the entry is seconds old when it is read.
     cold_until_ms: u64,
 }
 
 /// Registry of all backend servers.
 ///
-/// Reads of the server list may be seconds old. Versions of a row only increase and older updates are ignored;
-/// otherwise a stale read would restore a server that has left, and requests sent to it would fail.
+/// Reads of the server list may be seconds old. Versions of a row only increase and older updates
+/// are ignored; otherwise a stale read would restore a server that has left, and requests sent to
+/// it would fail.
 ///
-/// A store that is restored from a backup returns state that is some seconds old, under newer versions. Servers that
-/// were removed or draining and zones that were evacuated stay so until the server or the operator writes again.
+/// A store that is restored from a backup returns state that is some seconds old, under newer
+/// versions. Servers that were removed or draining and zones that were evacuated stay so until the
+/// server or the operator writes again.
 #[derive(Debug, Default)]
 pub struct Registry {
     registrations: HashMap<Arc<str>, Registration>,
@@ -143,21 +148,24 @@
 
 /// Maximum number of tombstones; they prevent stale reads from restoring removed servers.
 const MAX_TOMBSTONES: usize = 4_096;
-/// Duration of a store outage, in milliseconds, from which entries of live servers may have expired. Entries expire
-/// after three missed heartbeats of 1.2 s; one of them may be due when the outage begins.
+/// Duration of a store outage, in milliseconds, from which entries of live servers may have
+/// expired. Entries expire after three missed heartbeats of 1.2 s; one of them may be due when the
+/// outage begins.
 pub const ENTRY_EXPIRY_OUTAGE_MS: u64 = 2_400;
-/// Time after an outage within which live servers write their entries again, in milliseconds. Without this grace period
-/// an instance has no backend servers and rejects requests until the first heartbeats arrive.
+/// Time after an outage within which live servers write their entries again, in milliseconds.
+/// Without this grace period an instance has no backend servers and rejects requests until the
+/// first heartbeats arrive.
 const REMOVAL_GRACE_MS: u64 = 2_000;
-/// Time after a restore within which the operator's lost writes are repeated, in milliseconds. Evacuations that the
-/// backup lacks stay in force until then.
+/// Time after a restore within which the operator's lost writes are repeated, in milliseconds.
+/// Evacuations that the restored list lacks stay in force until then.
 const RESTORE_GRACE_MS: u64 = 5_000;
-/// Tolerance when comparing the ends of cold times, in milliseconds: entries are written about once a second and may
-/// take another second to be read.
+/// Tolerance when comparing the ends of cold times, in milliseconds: entries are written about once
+/// a second and may take another second to be read.
 const COLD_TOLERANCE_MS: u64 = 1_500;
 
 impl Registry {
-    /// Returns `true` if the update changes anything at `now_ms` of the local clock; most are mere heartbeats.
+    /// Returns `true` if the update changes anything at `now_ms` of the local clock; most are mere
+    /// heartbeats.
     pub fn is_change(&self, update: &Update, now_ms: u64) -> bool {
         match (&update.change, self.registrations.get(&update.id)) {
             (Change::Entry(entry), Some(known)) => {
@@ -229,8 +237,8 @@
         applied
     }
 
-    /// Starts the grace periods if the store was restored from a backup. Live servers write entries again that the
-    /// backup lacks.
+    /// Starts the grace periods if the store was restored from a backup. Live servers write entries
+    /// again that the backup lacks.
     fn enter_era(&mut self, era: u32, now_ms: u64) {
         if era <= self.era {
             return;
@@ -240,16 +248,17 @@
         self.restore_grace_until_ms = now_ms + RESTORE_GRACE_MS;
     }
 
-    /// Reports that the store responds again after an outage of `silence_ms`. Entries of live servers may have expired,
-    /// since heartbeats could not be written either.
+    /// Starts the grace period for removals if the store responds again after an outage of
+    /// `silence_ms` that was long enough for entries of live servers to expire, since their
+    /// heartbeats could not be written either.
     pub fn store_recovered(&mut self, silence_ms: u64, now_ms: u64) {
         if silence_ms >= ENTRY_EXPIRY_OUTAGE_MS {
             self.removal_grace_until_ms = now_ms + REMOVAL_GRACE_MS;
         }
     }
 
-    /// Marks a server as draining because it reported so in a response, before the list did. The next update of its row
-    /// replaces the mark.
+    /// Marks a server as draining because it reported so in a response, before the list did. The
+    /// next update of its row replaces the mark.
     pub fn mark_draining(&mut self, id: &str) {
         let Some(known) = self.registrations.get_mut(id) else {
             return;
@@ -260,8 +269,8 @@
         known.is_marked_draining = true;
     }
 
-    /// Takes the last entries of servers that were removed or restarted since the last call. Observations of these
-    /// incarnations do not apply to later ones with the same id.
+    /// Takes the last entries of servers that were removed or restarted since the last call.
+    /// Observations of these incarnations do not apply to later ones with the same id.
     pub fn take_ended(&mut self) -> Vec<Arc<Entry>> {
         std::mem::take(&mut self.ended)
     }
@@ -302,7 +311,8 @@
         &self.zones
     }
 
-    /// Applies an evacuation order at `now_ms` of the local clock. Returns `true` if it changes the zone's state.
+    /// Applies an evacuation order at `now_ms` of the local clock. Returns `true` if it changes the
+    /// zone's state.
     pub fn apply_evacuation(&mut self, order: Order, now_ms: u64) -> bool {
         let zone = order.zone.clone();
         let is_end = !order.is_evacuated;
@@ -335,8 +345,9 @@
         changes
     }
 
-    /// Marks the servers of a zone as cold. They may have cooled down during the evacuation; their own reports arrive a
-    /// second or two after its end, and until then all instances would send to them at once.
+    /// Marks the servers of a zone as cold. They may have cooled down during the evacuation; their
+    /// own reports arrive a second or two after its end, and until then all instances would send to
+    /// them at once.
     fn mark_zone_cold(&mut self, zone: &str, now_ms: u64) {
         for known in self.registrations.values_mut() {
             if &*known.entry.zone != zone {
@@ -423,8 +434,8 @@
 }
 
 impl Registration {
-    /// Returns `true` if the same incarnation was draining in a former era of the store, which the backup may lack. A
-    /// draining server does not become ready again.
+    /// Returns `true` if the same incarnation was draining in a former era of the store, which the
+    /// backup may lack. A draining server does not become ready again.
     fn was_draining_before_restore(&self, entry: &Entry, version: u64) -> bool {
         let is_former = version::era(self.version) < version::era(version);
         is_former && self.entry.state == State::Draining && !is_restart(&self.entry, entry)
--- a/crates/fescuewell_forward/src/version.rs
+++ b/crates/fescuewell_forward/src/version.rs
@@ -1,8 +1,9 @@
 //! Store versions that increase across restores from a backup.
 //!
-//! The store counts its writes. A restore from a backup that is some seconds old sets the count back, so that numbers
-//! are assigned twice; each restore begins a new *era*. A version contains both, with the era in its upper bits, so
-//! that versions of a later era are always newer. Version 0 denotes a row that does not exist.
+//! The store counts its writes. A restore from a backup that is some seconds old sets the count
+//! back, so that numbers are assigned twice; each restore begins a new *era*. A version contains
+//! both, with the era in its upper bits, so that versions of a later era are always newer. Version
+//! 0 denotes a row that does not exist.
 //!
 //! ```
 //! use fescuewell_forward::version;
--- a/crates/fescuewell_forward/src/warmup.rs
+++ b/crates/fescuewell_forward/src/warmup.rs
@@ -1,12 +1,12 @@
 //! Slow start: rate limits for cold backend servers.
 //!
-//! A server that has just started handles few requests a second and fails at many more. The limit holds over all
-//! instances, also those that do not receive each other's messages: only the few instances *assigned* to a cold server
-//! send to it, and each keeps to its share of the rate. All instances compute the same assignment from the same list of
-//! instances.
+//! A server that has just started handles few requests a second and fails at many more. The limit
+//! holds over all instances, also those that do not receive each other's messages: only the few
+//! instances *assigned* to a cold server send to it, and each keeps to its share of the rate. All
+//! instances compute the same assignment from the same list of instances.
 //!
-//! This protects an availability zone that returns all at once: its servers are idle, so that every instance would pick
-//! them.
+//! This protects an availability zone that returns all at once: its servers are idle, so that every
+//! instance would pick them.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -23,8 +23,9 @@
     pub interval: Duration,
 }
 
-/// Number of instances assigned to a cold server. Two, so that one may be down or without traffic. While the list of
-/// instances changes, one or two more may send; the margin of the limit covers them.
+/// Number of instances assigned to a cold server. Two, so that one may be down or without traffic.
+/// While the list of instances changes, one or two more may send; the margin of the limit covers
+/// them.
 pub const INSTANCES_PER_SERVER: usize = 2;
 /// Maximum number of requests in a burst.
 const BURST: f64 = 1.0;
@@ -41,8 +42,9 @@
 pub struct Warmup {
     credits: HashMap<Arc<str>, Credit>,
     instances: Vec<Arc<str>>,
-    /// Number of instances assigned to a server if this one is among them. Cached, since ranking the instances for
-    /// hundreds of cold servers at each request would cost more than the request itself.
+    /// Number of instances assigned to a server if this one is among them. Cached, since ranking
+    /// the instances for hundreds of cold servers at each request would cost more than the request
+    /// itself.
     assignments: HashMap<Arc<str>, Option<usize>>,
 }
 
@@ -55,7 +57,8 @@
         }
     }
 
-    /// Returns the number of instances assigned to a cold server, or `None` if `instance` is not one of them.
+    /// Returns the number of instances assigned to a cold server, or `None` if `instance` is not
+    /// one of them.
     pub fn assigned_count(&mut self, server: &Arc<str>, instance: &str) -> Option<usize> {
         if let Some(count) = self.assignments.get(server) {
             return *count;
