--- a/crates/fescuewell_forward/tests/admission.rs
+++ b/crates/fescuewell_forward/tests/admission.rs
@@ -25,7 +25,8 @@
 const OVERLOAD_S: u64 = 4;
 const OVERLOAD_MS: u64 = OVERLOAD_S * 1_000;
 
-/// Sends requests evenly over four seconds on open connections. Returns `true` if the instance became unready.
+/// Sends requests evenly over four seconds on open connections. Returns `true` if the instance
+/// became unready.
 fn overload(limiter: &mut Limiter, per_second: u64, body: usize) -> bool {
     let mut became_unready = false;
     for request in 0..per_second * OVERLOAD_S {
@@ -49,7 +50,8 @@
     }
 }
 
-/// Two availability zones with a strong instance and three weak ones each; `weak-a-0` may be unready.
+/// Two availability zones with a strong instance and three weak ones each; `weak-a-0` may be
+/// unready.
 fn fleet(unready_until_ms: u64) -> Directory {
     let mut members: BTreeMap<Arc<str>, Member> = BTreeMap::new();
     for (number, zone) in ["a", "b"].into_iter().enumerate() {
@@ -68,9 +70,10 @@
     directory
 }
 
-/// Guards against an instance that reports itself ready behind a full link. Callers of the largest account may stay
-/// with one instance whatever addresses are advertised; with a link of 10 Mbit/s its connections to backend servers and
-/// its store calls timed out, and a third of the zone's requests failed.
+/// Guards against an instance that reports itself ready behind a full link. Callers of the largest
+/// account may stay with one instance whatever addresses are advertised; with a link of 10 Mbit/s
+/// its connections to backend servers and its store calls timed out, and a third of the zone's
+/// requests failed.
 #[test]
 fn a_full_link_sends_its_callers_away() {
     let mut limiter = spare(10.0, 0.12);
@@ -79,8 +82,8 @@
     assert!(limiter.unready_left_ms(OVERLOAD_MS) > 0);
 }
 
-/// Sends requests on a new connection each; they are lost while the listener is closed. Returns the number of accepted
-/// requests and whether the instance became unready.
+/// Sends requests on a new connection each; they are lost while the listener is closed. Returns the
+/// number of accepted requests and whether the instance became unready.
 fn reconnect(limiter: &mut Limiter, per_second: u64, seconds: u64, body: usize) -> (u64, bool) {
     let mut accepted = 0;
     let mut became_unready = false;
@@ -94,9 +97,9 @@
     (accepted, became_unready)
 }
 
-/// Guards against an instance that becomes unready although it serves most of its callers. At 1.8 times its limit it
-/// closed its listener for eight seconds, and so did the next narrow instance: the account was served at 0.12, all
-/// accounts together at 0.79.
+/// Guards against an instance that becomes unready although it serves most of its callers. At 1.8
+/// times its limit it closed its listener for eight seconds, and so did the next narrow instance:
+/// the account was served at 0.12, all accounts together at 0.79.
 #[test]
 fn callers_that_can_mostly_be_served_stay() {
     let mut limiter = spare(1_000.0, 0.12);
@@ -117,7 +120,8 @@
     assert!(became_unready);
 }
 
-/// A full link also delays in-flight requests, so that the instance becomes unready sooner than with a busy processor.
+/// A full link also delays in-flight requests, so that the instance becomes unready sooner than
+/// with a busy processor.
 #[test]
 fn a_full_link_is_left_at_once() {
     let mut limiter = spare(10.0, 0.12);
@@ -141,7 +145,8 @@
     assert!(overload(&mut limiter, 120, 100));
 }
 
-/// Guards against a fleet without a ready instance: when the traffic doubled, each instance became unready on its own.
+/// Guards against a fleet without a ready instance: when the traffic doubled, each instance became
+/// unready on its own.
 #[test]
 fn an_instance_that_cannot_be_spared_stays() {
     let mut limiter = Limiter::new(10.0, 0.12);
@@ -150,8 +155,9 @@
     assert_eq!(limiter.unready_left_ms(OVERLOAD_MS), 0);
 }
 
-/// Guards against a permission to become unready that never expires. During a store outage nine of sixteen instances of
-/// a zone relied on an old one, and callers reached none of them for half a minute.
+/// Guards against a permission to become unready that never expires. During a store outage nine of
+/// sixteen instances of a zone relied on an old one, and callers reached none of them for half a
+/// minute.
 #[test]
 fn an_instance_that_has_not_heard_of_the_others_stays() {
     let mut limiter = Limiter::new(10.0, 0.12);
@@ -165,9 +171,9 @@
     assert!(!became_unready);
 }
 
-/// Guards against an instance that must stay ready, since two fifths of its zone are unready, and accepts more than its
-/// link can pass on. Connections to backend servers timed out, and an account received one response to sixteen requests
-/// for a whole day.
+/// Guards against an instance that must stay ready, since two fifths of its zone are unready, and
+/// accepts more than its link can pass on. Connections to backend servers timed out, and an account
+/// received one response to sixteen requests for a whole day.
 #[test]
 fn an_instance_that_has_to_stay_lets_in_what_it_passes_on() {
     let mut limiter = with_fleet_capacity(10.0, 0.12);
@@ -194,8 +200,9 @@
     assert!(!limiter.is_closed(OVERLOAD_MS));
 }
 
-/// Guards against an instance that accepts everything until it has read the other members. After a restart its callers
-/// filled the link, it could not read the configuration for eight seconds, and it rejected 958 requests.
+/// Guards against an instance that accepts everything until it has read the other members. After a
+/// restart its callers filled the link, it could not read the configuration for eight seconds, and
+/// it rejected 958 requests.
 #[test]
 fn an_instance_that_starts_keeps_out_what_it_cannot_pass_on() {
     let mut limiter = Limiter::new(10.0, 0.12);
@@ -223,8 +230,8 @@
     assert!(!busy(400).has_capacity_beside("strong-0"));
 }
 
-/// Guards against instances that stay unready in vain. With half of a zone unready callers ignore readiness, and the
-/// unready instances rejected them for half a minute.
+/// Guards against instances that stay unready in vain. With half of a zone unready callers ignore
+/// readiness, and the unready instances rejected them for half a minute.
 #[test]
 fn an_instance_that_callers_come_to_anyway_is_ready_again() {
     let mut limiter = spare(10.0, 0.12);
@@ -303,8 +310,9 @@
     assert!(!directory.can_spare("weak"));
 }
 
-/// Guards against an unlimited number of unready instances. With most of a zone unready, callers ignored readiness and
-/// stayed with an overloaded instance; 7,700 requests within a minute got no response.
+/// Guards against an unlimited number of unready instances. With most of a zone unready, callers
+/// ignored readiness and stayed with an overloaded instance; 7,700 requests within a minute got no
+/// response.
 #[test]
 fn a_third_of_an_availability_zone_stays_out_at_most() {
     assert!(fleet(0).can_spare("weak-a-1"));
--- a/crates/fescuewell_forward/tests/common/mod.rs
+++ b/crates/fescuewell_forward/tests/common/mod.rs
@@ -45,9 +45,9 @@
     Rejected,
 }
 
-/// The contents of the store at one point in time.
+/// A backup of the store.
 #[derive(Debug, Clone, Default)]
-pub struct Snapshot {
+pub struct Backup {
     number: u64,
     ledger: Row<Ledger>,
     journals: Vec<Row<Journal>>,
@@ -105,9 +105,9 @@
         }
     }
 
-    /// Returns a snapshot of the store.
-    pub fn snapshot(&self) -> Snapshot {
-        Snapshot {
+    /// Takes a backup of the store.
+    pub fn backup(&self) -> Backup {
+        Backup {
             number: self.number,
             ledger: self.ledger.clone(),
             journals: self.journals.clone(),
@@ -116,21 +116,21 @@
         }
     }
 
-    /// Restores the store from a snapshot, which begins the next era and resets the write count.
-    pub fn restore(&mut self, snapshot: &Snapshot) {
+    /// Restores the store from a backup, which begins the next era and resets the write count.
+    pub fn restore(&mut self, backup: &Backup) {
         self.era += 1;
         let era = self.era;
         let with_new_era = |previous: u64| version::join(era, version::number(previous));
-        self.number = snapshot.number;
-        self.ledger = snapshot.ledger.clone();
+        self.number = backup.number;
+        self.ledger = backup.ledger.clone();
         self.ledger.version = with_new_era(self.ledger.version);
-        self.journals = snapshot.journals.clone();
+        self.journals = backup.journals.clone();
         for journal in &mut self.journals {
             journal.version = with_new_era(journal.version);
         }
-        self.fence = snapshot.fence.clone();
+        self.fence = backup.fence.clone();
         self.fence.version = with_new_era(self.fence.version);
-        self.statuses = snapshot.statuses.clone();
+        self.statuses = backup.statuses.clone();
     }
 
     fn put_journal(&mut self, index: usize, expected: u64, journal: Journal) -> bool {
--- a/crates/fescuewell_forward/tests/crashes.rs
+++ b/crates/fescuewell_forward/tests/crashes.rs
@@ -64,7 +64,8 @@
     }
 }
 
-/// Guards against a caller that moves bytes between fields to collide with another account's fingerprint.
+/// Guards against a caller that moves bytes between fields to collide with another account's
+/// fingerprint.
 #[test]
 fn a_field_does_not_run_into_the_next_one() {
     let left = Content {
@@ -145,7 +146,8 @@
     assert_eq!(detector.ended(&server, false), None);
 }
 
-/// Guards against a crash that nobody looks for since another request had waited for an answer in vain.
+/// Guards against a broken connection that starts no probe because an earlier request at the same
+/// server timed out.
 #[test]
 fn a_broken_connection_is_followed_by_a_probe_though_the_server_was_silent_before() {
     let mut detector = Detector::default();
--- a/crates/fescuewell_forward/tests/eras.rs
+++ b/crates/fescuewell_forward/tests/eras.rs
@@ -1,4 +1,4 @@
-//! Grants after the store is restored from a snapshot that is a few seconds old.
+//! Grants after the store is restored from a backup that is a few seconds old.
 
 mod common;
 
@@ -53,14 +53,14 @@
 }
 
 /// Guards against spending more than the total: an instance draws and spends tokens, the store is
-/// restored from an older snapshot, and another instance finds the same tokens unallocated.
+/// restored from an older backup, and another instance finds the same tokens unallocated.
 #[test]
 fn what_was_drawn_since_the_copy_is_not_drawn_again() {
     let mut cluster = started_cluster(100_000);
-    let snapshot = cluster.store.snapshot();
+    let backup = cluster.store.backup();
     serve(&mut cluster, 0, 9, 10_000);
 
-    cluster.store.restore(&snapshot);
+    cluster.store.restore(&backup);
     for _ in 0..20 {
         round(&mut cluster, &[0, 1, 2]);
         serve(&mut cluster, 1, 3, 10_000);
@@ -79,10 +79,10 @@
 #[test]
 fn what_is_left_is_drawn_after_a_while() {
     let mut cluster = started_cluster(100_000);
-    let snapshot = cluster.store.snapshot();
+    let backup = cluster.store.backup();
     let before = serve(&mut cluster, 0, 3, 10_000);
 
-    cluster.store.restore(&snapshot);
+    cluster.store.restore(&backup);
     cluster.store.now_ms += HEARTBEAT_TIMEOUT_MS;
     let mut after = 0;
     for _ in 0..20 {
@@ -96,14 +96,14 @@
 }
 
 /// Guards against spending tokens twice: an instance draws and spends them and is killed, the store
-/// is restored from an older snapshot, and the next process finds a journal without them.
+/// is restored from an older backup, and the next process finds a journal without them.
 #[test]
 fn an_instance_that_died_in_the_lost_seconds_is_charged_for_all_that_it_may_have_drawn() {
     let mut cluster = started_cluster(100_000);
-    let snapshot = cluster.store.snapshot();
+    let backup = cluster.store.backup();
     serve(&mut cluster, 0, 9, 10_000);
 
-    cluster.store.restore(&snapshot);
+    cluster.store.restore(&backup);
     cluster.restart(0, 500);
     cluster.adopt(0, WriteOutcome::Committed);
     for _ in 0..20 {
@@ -124,10 +124,10 @@
 #[test]
 fn an_instance_that_is_gone_is_charged_for_all_that_it_may_have_drawn() {
     let mut cluster = started_cluster(100_000);
-    let snapshot = cluster.store.snapshot();
+    let backup = cluster.store.backup();
     serve(&mut cluster, 0, 9, 10_000);
 
-    cluster.store.restore(&snapshot);
+    cluster.store.restore(&backup);
     for _ in 0..30 {
         round(&mut cluster, &[1, 2]);
         serve(&mut cluster, 1, 2, 10_000);
@@ -146,10 +146,10 @@
 #[test]
 fn an_instance_that_missed_the_change_goes_by_its_own_grant() {
     let mut cluster = started_cluster(100_000);
-    let snapshot = cluster.store.snapshot();
+    let backup = cluster.store.backup();
     serve(&mut cluster, 0, 2, 10_000);
 
-    cluster.store.restore(&snapshot);
+    cluster.store.restore(&backup);
     for _ in 0..20 {
         round(&mut cluster, &[1, 2]);
         serve(&mut cluster, 1, 2, 10_000);
@@ -168,12 +168,12 @@
 }
 
 /// Guards against spending tokens twice: an instance returns tokens and another one draws them, but
-/// the snapshot still shows them with the first one.
+/// the backup still shows them with the first one.
 #[test]
 fn what_was_given_back_is_not_spent_after_the_return_of_a_copy() {
     let mut cluster = started_cluster(100_000);
     serve(&mut cluster, 0, 2, 10_000);
-    let snapshot = cluster.store.snapshot();
+    let backup = cluster.store.backup();
     for _ in 0..20 {
         cluster.settle(0, 0);
     }
@@ -181,7 +181,7 @@
     round(&mut cluster, &[0, 1, 2]);
     serve(&mut cluster, 1, 9, 10_000);
 
-    cluster.store.restore(&snapshot);
+    cluster.store.restore(&backup);
     for _ in 0..20 {
         round(&mut cluster, &[0, 1, 2]);
         serve(&mut cluster, 0, 3, 10_000);
@@ -201,7 +201,7 @@
 #[test]
 fn a_write_of_a_former_era_that_arrives_late_has_no_effect() {
     let mut cluster = started_cluster(100_000);
-    let snapshot = cluster.store.snapshot();
+    let backup = cluster.store.backup();
     cluster.store.number += 1_000;
     serve(&mut cluster, 0, 2, 1_000);
     let number = version::number(cluster.store.ledger.version);
@@ -209,7 +209,7 @@
     cluster.hold(1, 1_000);
     cluster.plan(1, WriteOutcome::Delayed);
 
-    cluster.store.restore(&snapshot);
+    cluster.store.restore(&backup);
     for _ in 0..10 {
         round(&mut cluster, &[0, 1, 2]);
     }
@@ -275,7 +275,7 @@
     ]
 }
 
-fn apply(cluster: &mut Cluster, snapshot: &mut Option<common::Snapshot>, step: &Step) {
+fn apply(cluster: &mut Cluster, backup: &mut Option<common::Backup>, step: &Step) {
     match *step {
         Step::Pass(ms) => cluster.store.now_ms += ms,
         Step::Hold(who, tokens) => {
@@ -296,10 +296,10 @@
             cluster.hold(who, tokens);
         }
         Step::LateAnswer => cluster.deliver_response(),
-        Step::Copy => *snapshot = Some(cluster.store.snapshot()),
+        Step::Copy => *backup = Some(cluster.store.backup()),
         Step::Restore => {
-            if let Some(snapshot) = snapshot {
-                cluster.store.restore(snapshot);
+            if let Some(backup) = backup {
+                cluster.store.restore(backup);
             }
         }
     }
@@ -309,13 +309,13 @@
     #![proptest_config(ProptestConfig { cases: 1_500, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(41), ..ProptestConfig::default() })]
 
     /// Guards against spending more than the total: applies any mix of requests, draws, journals,
-    /// loans, kills, lost and delayed writes, snapshots and restores, some of them repeated.
+    /// loans, kills, lost and delayed writes, backups and restores, some of them repeated.
     #[test]
     fn never_more_than_prepaid_over_eras(steps in prop::collection::vec(step(), 1..160)) {
         let mut cluster = started_cluster(60_000);
-        let mut snapshot = Some(cluster.store.snapshot());
+        let mut backup = Some(cluster.store.backup());
         for step in &steps {
-            apply(&mut cluster, &mut snapshot, step);
+            apply(&mut cluster, &mut backup, step);
             prop_assert!(cluster.total_used() <= cluster.max_prepaid, "{} of {} in {}", cluster.total_used(), cluster.max_prepaid, ACCOUNT);
         }
         // Spends everything that is or appears to be unallocated.
--- a/crates/fescuewell_forward/tests/evacuation.rs
+++ b/crates/fescuewell_forward/tests/evacuation.rs
@@ -38,11 +38,11 @@
 /// A registry with one server in each of two zones; their service has a warmup limit.
 fn registry() -> Registry {
     let mut registry = Registry::default();
-    let bound = warmup::Limit {
+    let limit = warmup::Limit {
         duration: Duration::from_secs(3),
         interval: Duration::from_millis(150),
     };
-    registry.set_warmup_limits([(Arc::from(SERVICE), bound)].into_iter());
+    registry.set_warmup_limits([(Arc::from(SERVICE), limit)].into_iter());
     registry.apply_snapshot(10, vec![row("one", "a", 8, 0), row("two", "b", 9, 0)], 0);
     registry
 }
@@ -56,8 +56,8 @@
     ids
 }
 
-/// Guards against an ignored evacuation order: 470 requests reached servers of a zone more than five seconds after its
-/// evacuation.
+/// Guards against an ignored evacuation order: 470 requests reached servers of a zone more than
+/// five seconds after its evacuation.
 #[test]
 fn servers_of_an_evacuated_zone_get_no_work() {
     let mut registry = registry();
@@ -100,8 +100,8 @@
     assert_eq!(ready(&registry, 5_000), ["one".into(), "two".into()]);
 }
 
-/// Guards against overloading servers that cooled down during an evacuation: their own reports are read a second after
-/// its end, and until then all instances would send to the idle servers.
+/// Guards against overloading servers that cooled down during an evacuation: their own reports are
+/// read a second after its end, and until then all instances would send to the idle servers.
 #[test]
 fn servers_of_a_zone_that_is_taken_back_count_as_cold() {
     let mut registry = registry();
@@ -115,8 +115,8 @@
     assert!(!registry.is_cold("two", 5_000));
 }
 
-/// Guards against an evacuation that ends by itself: a snapshot from before the order arrives after the feed has
-/// delivered it.
+/// Guards against an evacuation that ends by itself: a snapshot from before the order arrives after
+/// the feed has delivered it.
 #[test]
 fn an_old_reading_ends_no_evacuation() {
     let mut registry = registry();
@@ -170,7 +170,8 @@
     assert!(is_changed);
 }
 
-/// Guards against relaying each heartbeat of a cold server to the whole fleet because the remaining cold time differs.
+/// Guards against relaying each heartbeat of a cold server to the whole fleet because the remaining
+/// cold time differs.
 #[test]
 fn the_time_that_runs_off_is_no_news() {
     let mut registry = registry();
@@ -186,7 +187,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(31), ..ProptestConfig::default() })]
 
-    /// Guards against instances that disagree after they received the same orders in another sequence or repeatedly.
+    /// Guards against instances that disagree after they received the same orders in another
+    /// sequence or repeatedly.
     #[test]
     fn the_sequence_in_which_orders_are_heard_does_not_matter(
         written in prop::collection::vec(any::<bool>(), 1..12),
--- a/crates/fescuewell_forward/tests/limits.rs
+++ b/crates/fescuewell_forward/tests/limits.rs
@@ -15,8 +15,8 @@
     window_ms: 10_000,
 };
 
-/// Guards against an overload that retries prolong: all requests failed, and each instance used the fleet's whole
-/// allowance.
+/// Guards against an overload that retries prolong: all requests failed, and each instance used the
+/// fleet's whole allowance.
 #[test]
 fn instances_together_keep_within_the_budget() {
     let service: Arc<str> = "pool".into();
@@ -159,8 +159,8 @@
     assert_eq!(directory(60, 70).advertised().len(), 60);
 }
 
-/// Guards against advertising an instance just because it is the best of its zone: with a link of 10 Mbit/s it delayed
-/// callers of all zones.
+/// Guards against advertising an instance just because it is the best of its zone: with a link of
+/// 10 Mbit/s it delayed callers of all zones.
 #[test]
 fn a_weak_instance_is_not_named_for_its_zone() {
     let mut members: BTreeMap<Arc<str>, Member> = BTreeMap::new();
@@ -216,8 +216,8 @@
     assert!(Directory::default().addresses(None, 0).is_empty());
 }
 
-/// Guards against new instances that cannot decode heartbeats of the previous program version, which lack the last
-/// fields, and treat those members as failed during a rolling update.
+/// Guards against new instances that cannot decode heartbeats of the previous program version,
+/// which lack the last fields, and treat those members as failed during a rolling update.
 #[test]
 fn a_sign_of_the_version_before_is_read() {
     let member = member(1, "a", 5, 1_000);
--- a/crates/fescuewell_forward/tests/quarantine.rs
+++ b/crates/fescuewell_forward/tests/quarantine.rs
@@ -94,7 +94,8 @@
     assert_eq!(other.verdict(request(0), START_MS + 10), Verdict::Clear);
 }
 
-/// Guards against a quarantine of a popular request that was running at all servers of a service when they lost power.
+/// Guards against a quarantine of a popular request that was running at all servers of a service
+/// when they lost power.
 #[test]
 fn a_request_that_was_answered_a_moment_ago_is_no_suspect() {
     let mut quarantine = Quarantine::default();
@@ -178,7 +179,8 @@
     assert_eq!(quarantine.take_fresh(1)[0].request, request(0));
 }
 
-/// Guards against false quarantines of requests that were running at servers which crashed for other reasons.
+/// Guards against false quarantines of requests that were running at servers which crashed for
+/// other reasons.
 #[test]
 fn two_waves_of_crashes_quarantine_no_request() {
     let mut quarantine = Quarantine::default();
@@ -248,7 +250,8 @@
     DeliverLate,
     /// All instances exchange messages.
     DeliverAll,
-    /// An instance is killed and loads the records of the store or of another instance when it restarts.
+    /// An instance is killed and loads the records of the store or of another instance when it
+    /// restarts.
     Restart(usize, bool),
 }
 
@@ -337,7 +340,8 @@
         });
     }
 
-    /// Ends the instance's attempts. Without a quarantine in the store it loads the records of another instance.
+    /// Ends the instance's attempts. Without a quarantine in the store it loads the records of
+    /// another instance.
     fn restart(&mut self, at: usize, from_store: bool) {
         self.running[at] = 0;
         self.instances[at] = Quarantine::default();
@@ -355,7 +359,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards against any sequence in which a request is sent although every instance knows of its third crash.
+    /// Guards against any sequence in which a request is sent although every instance knows of its
+    /// third crash.
     #[test]
     fn nobody_sends_a_request_whose_third_crash_is_known(steps in prop::collection::vec(step(), 1..120)) {
         let mut fleet = Fleet::default();
@@ -367,8 +372,8 @@
         prop_assert_eq!(fleet.excess, 0);
     }
 
-    /// Guards against a limit that holds only if all instances learn of each crash at once; each must keep it on its
-    /// own.
+    /// Guards against a limit that holds only if all instances learn of each crash at once; each
+    /// must keep it on its own.
     #[test]
     fn one_instance_crashes_no_more_than_allowed_by_a_suspect(steps in prop::collection::vec(step(), 1..120)) {
         let mut fleet = Fleet::default();
--- a/crates/fescuewell_forward/tests/relay.rs
+++ b/crates/fescuewell_forward/tests/relay.rs
@@ -85,9 +85,9 @@
     }
 }
 
-/// Guards against followers that learn late of a draining server. When each of 300 instances read the list of 3,000
-/// servers itself, they had to read it so rarely that a server received a request 5,010 ms after it was draining (limit
-/// 4,900 ms).
+/// Guards against followers that learn late of a draining server. When each of 300 instances read
+/// the list of 3,000 servers itself, they had to read it so rarely that a server received a request
+/// 5,010 ms after it was draining (limit 4,900 ms).
 #[test]
 fn a_follower_hears_of_a_leaving_server() {
     let mut reader = Instance::started();
@@ -117,8 +117,8 @@
     assert!(!follower.registry.is_ready("one", 1_301));
 }
 
-/// Guards against using a removed server until the list is read again: if all digests of three seconds are lost, the
-/// next one no longer contains the change and must be rejected.
+/// Guards against using a removed server until the list is read again: if all digests of three
+/// seconds are lost, the next one no longer contains the change and must be rejected.
 #[test]
 fn a_gap_is_noticed() {
     let mut reader = Instance::started();
@@ -133,8 +133,8 @@
     assert_eq!(follower.cursor.version(), 10);
 }
 
-/// Guards against using a draining server again because an old digest, of a frozen reader or delayed in a full link,
-/// arrives after newer ones.
+/// Guards against using a draining server again because an old digest, of a frozen reader or
+/// delayed in a full link, arrives after newer ones.
 #[test]
 fn an_old_digest_brings_no_server_back() {
     let mut reader = Instance::started();
@@ -164,8 +164,9 @@
     assert!(!follower.cursor.is_following(100 + DIGEST_TIMEOUT_MS));
 }
 
-/// Guards against followers that keep using a server which reported to one reader that it is draining (`Connection:
-/// close` in a response): the update of the list then is no change for that reader.
+/// Guards against followers that keep using a server which reported to one reader that it is
+/// draining (`Connection: close` in a response): the update of the list then is no change for that
+/// reader.
 #[test]
 fn what_a_server_told_the_reader_alone_is_passed_on() {
     let mut reader = Instance::started();
@@ -258,8 +259,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 600, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(21), ..ProptestConfig::default() })]
 
-    /// Guards against a follower that lacks changes up to its version, in any sequence of writes, reads, snapshots, and
-    /// digests of two readers that are lost, late, reordered or repeated.
+    /// Guards against a follower that lacks changes up to its version, in any sequence of writes,
+    /// reads, snapshots, and digests of two readers that are lost, late, reordered or repeated.
     #[test]
     fn a_follower_knows_the_list_as_of_its_version(steps in prop::collection::vec(step(), 1..200)) {
         let mut store = Store { version: 10, ..Store::default() };
--- a/crates/fescuewell_forward/tests/retry_after.rs
+++ b/crates/fescuewell_forward/tests/retry_after.rs
@@ -2,8 +2,8 @@
 
 use fescuewell_forward::retry_after::{MAX_OUTAGE_DELAY_MS, MIN_OUTAGE_DELAY_MS, outage_left_ms};
 
-/// Guards against callers that retry within the same outage and are rejected again: the delay must grow with the
-/// outage's duration.
+/// Guards against callers that retry within the same outage and are rejected again: the delay must
+/// grow with the outage's duration.
 #[test]
 fn a_long_outage_tells_callers_to_come_back_late() {
     let early = outage_left_ms(400, u64::MAX / 2);
--- a/crates/fescuewell_forward/tests/servers.rs
+++ b/crates/fescuewell_forward/tests/servers.rs
@@ -57,9 +57,9 @@
     ids.map(|id| Arc::new(entry(&id, State::Ready))).collect()
 }
 
-fn shared(part: &str) -> Criteria<'_> {
+fn shared(prefix: &str) -> Criteria<'_> {
     Criteria {
-        affinity: Some(part),
+        affinity: Some(prefix),
         shared_tokens: 10_000,
         zone: "a",
         random: 1,
@@ -79,8 +79,8 @@
         .clone()
 }
 
-/// Guards against restoring a removed server: after the feed had delivered the removal, an older snapshot that still
-/// listed the server replaced it.
+/// Guards against restoring a removed server: after the feed had delivered the removal, an older
+/// snapshot that still listed the server replaced it.
 #[test]
 fn an_old_snapshot_brings_nobody_back() {
     let mut registry = Registry::default();
@@ -127,8 +127,9 @@
     assert!(!registry.is_known("i-0"));
 }
 
-/// Guards against attributing observations to the id alone: after a restart under the same id a server received prompts
-/// as if it still cached their prefixes, and was ejected for failures of its former process.
+/// Guards against attributing observations to the id alone: after a restart under the same id a
+/// server received prompts as if it still cached their prefixes, and was ejected for failures of
+/// its former process.
 #[test]
 fn a_server_that_started_again_is_known_for_nothing() {
     let mut registry = Registry::default();
@@ -165,8 +166,8 @@
     assert!(!registry.has_restarted(&started("i-0", 1_000)));
 }
 
-/// Guards against a draining mark that outlives its incarnation: a server whose address responded for another one was
-/// marked, and received no work after its restart.
+/// Guards against a draining mark that outlives its incarnation: a server whose address responded
+/// for another one was marked, and received no work after its restart.
 #[test]
 fn a_mark_of_leaving_ends_with_the_start() {
     let mut registry = Registry::default();
@@ -179,8 +180,9 @@
     assert!(registry.is_ready("i-0", 0));
 }
 
-/// Guards against removing servers at once after a store outage: all entries had expired without heartbeats, and
-/// requests were rejected without a server until the next heartbeats two seconds later.
+/// Guards against removing servers at once after a store outage: all entries had expired without
+/// heartbeats, and requests were rejected without a server until the next heartbeats two seconds
+/// later.
 #[test]
 fn entries_that_lapsed_in_an_outage_hold_for_two_seconds() {
     let mut registry = Registry::default();
@@ -216,8 +218,8 @@
     assert!(!registry.is_known("i-0"));
 }
 
-/// Guards against one invalid row, written by something else, that makes the whole list unreadable: no server was
-/// known, and every request was rejected.
+/// Guards against one invalid row, written by something else, that makes the whole list unreadable:
+/// no server was known, and every request was rejected.
 #[test]
 fn a_row_that_names_no_server_leaves_the_others() {
     let mut registry = Registry::default();
@@ -229,7 +231,7 @@
     assert!(registry.is_ready("i-0", 0));
     assert!(!registry.is_known("i-1"));
     assert_eq!(applied.len(), 2);
-    assert!(!repeated, "it would be logged with every reading");
+    assert!(!repeated, "it would be logged at every read");
 }
 
 #[test]
@@ -246,7 +248,8 @@
     assert!(registry.is_ready("i-0", 0));
 }
 
-/// Guards against relying on health checks alone: requests kept failing at a server that passed them.
+/// Guards against relying on health checks alone: requests kept failing at a server that passed
+/// them.
 #[test]
 fn a_server_that_fails_is_left_out_and_tried_again() {
     let mut health = Health::default();
@@ -300,16 +303,16 @@
     let candidates = entries(8);
     let health = Health::default();
 
-    for part in ["a", "b", "c", "d"] {
-        let one = chosen(&candidates, &shared(part), &Load::default(), &health);
+    for prefix in ["a", "b", "c", "d"] {
+        let one = chosen(&candidates, &shared(prefix), &Load::default(), &health);
         let reversed: Vec<Arc<Entry>> = candidates.iter().rev().cloned().collect();
-        let other = chosen(&reversed, &shared(part), &Load::default(), &health);
+        let other = chosen(&reversed, &shared(prefix), &Load::default(), &health);
         assert_eq!(one, other);
     }
 }
 
-/// Guards against instances that know only their own load: several sent long prompts to one server at the same time,
-/// and its first events were seconds late while other servers were idle.
+/// Guards against instances that know only their own load: several sent long prompts to one server
+/// at the same time, and its first events were seconds late while other servers were idle.
 #[test]
 fn what_another_instance_sent_there_counts() {
     let candidates = entries(4);
@@ -382,8 +385,9 @@
     assert_eq!(&*server, "i-1");
 }
 
-/// Guards against counting cached tokens as pending: with five requests of one prefix in flight at the server that
-/// caches it, their whole prompts counted, and another server processed the prefix again.
+/// Guards against counting cached tokens as pending: with five requests of one prefix in flight at
+/// the server that caches it, their whole prompts counted, and another server processed the prefix
+/// again.
 #[test]
 fn what_a_server_keeps_does_not_count_as_waiting_there() {
     let candidates = entries(4);
@@ -403,8 +407,8 @@
     assert_eq!(chosen(&candidates, &query, &load, &health), holder);
 }
 
-/// Guards against reports that exceed a packet and are not sent: in a fleet with 140 servers, an instance with requests
-/// at a hundred of them reported no load.
+/// Guards against reports that exceed a packet and are not sent: in a fleet with 140 servers, an
+/// instance with requests at a hundred of them reported no load.
 #[test]
 fn a_report_of_many_servers_fits_a_packet() {
     let mut load = Load::default();
--- a/crates/fescuewell_forward/tests/spread.rs
+++ b/crates/fescuewell_forward/tests/spread.rs
@@ -15,7 +15,8 @@
 /// Prepaid tokens of the account.
 const PREPAID: u64 = 5_800_000;
 
-/// Returns a fleet that has planned, sent heartbeats and written journals for a while without a request.
+/// Returns a fleet that has planned, sent heartbeats and written journals for a while without a
+/// request.
 fn idle_fleet() -> Cluster {
     let mut cluster = Cluster::new(ADVERTISED + 1, PREPAID);
     for index in 0..=OTHER {
@@ -34,9 +35,9 @@
     cluster
 }
 
-/// Guards against instances that draw tokens without demand. The advertised ones had drawn 95% of 5.8 million tokens
-/// before the first request and returned them only two heartbeat rounds later; another instance rejected 608 requests
-/// (`BudgetUnknown`), nearly all of them in the first 16 s.
+/// Guards against instances that draw tokens without demand. The advertised ones had drawn 95% of
+/// 5.8 million tokens before the first request and returned them only two heartbeat rounds later;
+/// another instance rejected 608 requests (`BudgetUnknown`), nearly all of them in the first 16 s.
 #[test]
 fn tokens_that_nobody_asked_for_are_free_for_whoever_is_asked() {
     let mut cluster = idle_fleet();
@@ -55,8 +56,9 @@
     assert!(served >= 99, "{served} of 100");
 }
 
-/// Guards against an account that is used up by restarts: each of 50 advertised instances would hold the tokens of four
-/// requests without demand, and be charged for the first of them when it is killed.
+/// Guards against an account that is used up by restarts: each of 50 advertised instances would
+/// hold the tokens of four requests without demand, and be charged for the first of them when it is
+/// killed.
 #[test]
 fn holders_without_demand_keep_most_of_a_small_account_free() {
     let mut cluster = Cluster::new(50, 1_000_000);
@@ -91,8 +93,9 @@
     }
 }
 
-/// Guards against an idle lender whose journal covers no more than two requests and that does not write the next one:
-/// it held 1.4 million tokens and lent 20,000 in three seconds, while other instances rejected requests.
+/// Guards against an idle lender whose journal covers no more than two requests and that does not
+/// write the next one: it held 1.4 million tokens and lent 20,000 in three seconds, while other
+/// instances rejected requests.
 #[test]
 fn an_idle_lender_makes_room_with_its_next_journal() {
     let mut cluster = Cluster::new(1, PREPAID);
@@ -117,8 +120,8 @@
     assert_eq!(lent, 200_000);
 }
 
-/// Guards against lenders that run short and borrow back: beyond the immediate need of a request, a loan consists only
-/// of tokens that the lender's own requests of the next two seconds do not need.
+/// Guards against lenders that run short and borrow back: beyond the immediate need of a request, a
+/// loan consists only of tokens that the lender's own requests of the next two seconds do not need.
 #[test]
 fn a_lender_keeps_what_its_own_requests_need() {
     let mut cluster = Cluster::new(1, PREPAID);
@@ -143,8 +146,9 @@
     assert_eq!(lent, spare.saturating_sub(2 * demand).max(1_000));
 }
 
-/// Guards against reporting an exhausted account as temporarily unavailable: in a fleet that plans every 3.25 s, rows
-/// counted as outdated after 2.5 s, and 11,675 requests were answered with 503 and only 433 with 402.
+/// Guards against reporting an exhausted account as temporarily unavailable: in a fleet that plans
+/// every 3.25 s, rows counted as outdated after 2.5 s, and 11,675 requests were answered with 503
+/// and only 433 with 402.
 #[test]
 fn a_large_fleet_tells_that_an_account_is_exhausted() {
     let mut cluster = Cluster::new(1, 10_000);
@@ -158,7 +162,8 @@
     assert_eq!(cluster.hold(0, 20_000), HoldOutcome::Exhausted);
 }
 
-/// Guards against heartbeats that list unused accounts: those of 195 instances had an entry for each account.
+/// Guards against heartbeats that list unused accounts: those of 195 instances had an entry for
+/// each account.
 #[test]
 fn nothing_is_said_of_accounts_that_were_never_used() {
     let mut quota = Quota::new("entry-1".into(), 0);
@@ -173,9 +178,9 @@
     assert_eq!(&*usage[0].account, "two");
 }
 
-/// Guards against losing the rest of a loan when its borrower is killed: it was in no row, while the lender's row
-/// counted it as consumed. After a kill of the whole fleet an account was rejected with a quarter of its tokens unused,
-/// in part for this reason.
+/// Guards against losing the rest of a loan when its borrower is killed: it was in no row, while
+/// the lender's row counted it as consumed. After a kill of the whole fleet an account was rejected
+/// with a quarter of its tokens unused, in part for this reason.
 #[test]
 fn what_is_left_of_a_loan_outlives_the_borrower() {
     let mut cluster = Cluster::new(2, PREPAID);
--- a/crates/fescuewell_forward/tests/warmup.rs
+++ b/crates/fescuewell_forward/tests/warmup.rs
@@ -8,9 +8,9 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Rate limit of a cold server in requests per second,
+/// Rate limit of a cold server in requests per second.
 const RATE_PER_S: f64 = 6.6;
-/// and the maximum within any second, over the whole fleet.
+/// Maximum number of requests to a cold server within any second, from the whole fleet.
 const MAX_IN_A_SECOND: usize = 14;
 
 fn limit() -> Limit {
@@ -50,7 +50,8 @@
         }
     }
 
-    /// Sends a request of an instance to the first server that has credit, starting at a random one.
+    /// Sends a request of an instance to the first server that has credit, starting at a random
+    /// one.
     fn request(&mut self, at: usize, now_ms: u64, random: &mut SmallRng) {
         let list: Vec<&Arc<str>> = self.lists[at].iter().collect();
         let start = random.random_range(0..self.servers.len());
@@ -92,9 +93,9 @@
     }
 }
 
-/// Guards against ignoring that servers are cold. When a zone of twenty idle servers returned under 3.5 times the
-/// traffic, all instances picked them: single servers received 16 to 18 requests within a second (limit 14), and 61
-/// engines failed.
+/// Guards against ignoring that servers are cold. When a zone of twenty idle servers returned under
+/// 3.5 times the traffic, all instances picked them: single servers received 16 to 18 requests
+/// within a second (limit 14), and 61 engines failed.
 #[test]
 fn a_zone_that_comes_back_is_not_overrun() {
     for seed in 0..20 {
@@ -110,8 +111,8 @@
     }
 }
 
-/// Guards against exceeding the limit while instances disagree on the members: half of them do not know yet that one
-/// was replaced.
+/// Guards against exceeding the limit while instances disagree on the members: half of them do not
+/// know yet that one was replaced.
 #[test]
 fn instances_with_other_lists_keep_the_bound() {
     for seed in 0..20 {
