--- a/crates/fescuewell_gateway/src/control.rs
+++ b/crates/fescuewell_gateway/src/control.rs
@@ -130,8 +130,8 @@
     /// Completes when the store is reachable again and a call sent before that has had time to get
     /// its response.
     async fn wait_superseded(&self, started: Instant) {
-        let mut returns = self.gateway.store_recoveries();
-        if returns.changed().await.is_err() {
+        let mut recoveries = self.gateway.store_recoveries();
+        if recoveries.changed().await.is_err() {
             // The gateway was dropped, so no call is waiting any more.
             std::future::pending::<()>().await;
         }
--- a/crates/fescuewell_gateway/src/control/crashes.rs
+++ b/crates/fescuewell_gateway/src/control/crashes.rs
@@ -146,7 +146,7 @@
 /// Synchronizes at start, after store outages, periodically, and frequently while isolated.
 async fn sync_periodically(control: &Control) {
     let gateway = &control.gateway;
-    let mut returns = gateway.store_recoveries();
+    let mut recoveries = gateway.store_recoveries();
     while !reconcile(control).await {
         tokio::time::sleep(RETRY_DELAY).await;
     }
@@ -157,13 +157,13 @@
         loop {
             // Limits the read rate while the store flaps.
             tokio::time::sleep(read_interval(control)).await;
-            let has_returned = returns.has_changed().unwrap_or(true);
-            let is_due = has_returned || is_isolated(control) || Instant::now() >= due;
+            let has_recovered = recoveries.has_changed().unwrap_or(true);
+            let is_due = has_recovered || is_isolated(control) || Instant::now() >= due;
             if is_due && gateway.is_store_up() {
                 break;
             }
         }
-        returns.mark_unchanged();
+        recoveries.mark_unchanged();
         reconcile(control).await;
     }
 }
--- a/crates/fescuewell_gateway/src/control/fence.rs
+++ b/crates/fescuewell_gateway/src/control/fence.rs
@@ -1,4 +1,4 @@
-//! The fence row, and recovery after the store was restored from a snapshot. See
+//! The fence row, and recovery after the store was restored from a backup. See
 //! [`fescuewell_forward::quota::era`].
 
 use fescuewell_core::log_event;
@@ -43,8 +43,8 @@
     decode(row, Fence::decode)
 }
 
-/// Moves to the store's current era if the store was restored from a snapshot. Returns `true` if
-/// this instance is in the current era.
+/// Moves to the store's current era if the store was restored from a backup. Returns `true` if this
+/// instance is in the current era.
 ///
 /// Before that, the rows it knows belong to an earlier era, and no transaction on them may be sent.
 pub(super) async fn enter_era(control: &Control) -> bool {
--- a/crates/fescuewell_gateway/src/control/journal.rs
+++ b/crates/fescuewell_gateway/src/control/journal.rs
@@ -38,8 +38,8 @@
     .await
 }
 
-/// Adopts the consumption of the previous process. Retries until it succeeds, because nothing may
-/// be consumed before.
+/// Takes over the consumption of the previous process. Retries until it succeeds, because no token
+/// may be spent before.
 pub(super) async fn adopt(control: &Control) {
     while !try_adopt(control).await {
         tokio::time::sleep(RETRY_DELAY).await;
@@ -58,9 +58,9 @@
     let Ok(journals) = read_journal(control, CALL_TIMEOUT).await else {
         return false;
     };
-    // The local clock started with this process, when the previous one had already ended. Counting
-    // back from the request to that moment leaves the time during which the store was unreachable
-    // out of the charge.
+    // The local clock starts at 0 with this process, when the previous one has already ended. The
+    // store time of that moment is used, so that the time for which the store was unreachable since
+    // then is not charged.
     let ended_ms = journals.now_ms.saturating_sub(requested_ms);
     let own = journals
         .rows
@@ -76,7 +76,7 @@
     let now_ms = gateway.now_ms();
     let era = version::era(journals.version);
     if [&ledgers, &fence].map(|response| version::era(response.version)) != [era, era] {
-        // The store was restored from a snapshot in the meantime.
+        // The store was restored from a backup in the meantime.
         return false;
     }
     let journal = {
--- a/crates/fescuewell_gateway/src/control/lending.rs
+++ b/crates/fescuewell_gateway/src/control/lending.rs
@@ -36,7 +36,7 @@
 /// Reads the fleet key, or generates it if there is none. Without the key nothing is lent or
 /// borrowed, and loading it is retried later.
 ///
-/// A store restored from a snapshot may lack the key, so an instance that knows it writes it again.
+/// A store restored from a backup may lack the key, so an instance that knows it writes it again.
 /// Otherwise instances that start later would generate another key, and the fleet would split into
 /// two groups that reject each other's messages.
 pub(super) async fn load_key(control: &Control) {
--- a/crates/fescuewell_gateway/src/control/members.rs
+++ b/crates/fescuewell_gateway/src/control/members.rs
@@ -27,8 +27,8 @@
     let id = row_id(MEMBER_TABLE, FLEET_PARTITION, &gateway.settings.name);
     let member = own_member(gateway);
     let mut transaction = Transaction::default();
-    // Keep the row if callers were sent away: the next process reads it and stays unready, or they
-    // would come back at once.
+    // A leaving instance keeps its row if that declares it unready: the next process reads it and
+    // stays unready, since its callers would overload it again at once.
     if gateway.is_draining() && member.unready_until_ms == 0 {
         transaction.deletes.push(id);
     } else {
@@ -141,16 +141,17 @@
     advertised.iter().map(|(name, _)| (*name).clone()).collect()
 }
 
-/// Keeps the instance unready for as long as its previous process was to be, unless it is needed.
+/// Updates the admission limits from the member list. The instance stays unready for as long as its
+/// member row says, also after a restart.
 fn update_admission(state: &mut State, name: &str, now_ms: u64) {
     let left_ms = state.directory.unready_left_ms(name);
     state.admission.set_unready(now_ms, left_ms);
-    let spared_ms = match state.directory.can_spare(name) {
-        // Half of the lapse time, which is two heartbeats.
+    let spare_ms = match state.directory.can_spare(name) {
+        // Half of the member timeout, which is two heartbeats.
         true => state.directory.member_timeout_ms() / 2,
         false => 0,
     };
-    state.admission.set_spare(now_ms + spared_ms);
+    state.admission.set_spare(now_ms + spare_ms);
     let has_capacity = state.directory.has_capacity_beside(name);
     state.admission.set_fleet_has_capacity(has_capacity);
     let is_advertised = state.directory.is_advertised(name);
--- a/crates/fescuewell_gateway/src/control/peers.rs
+++ b/crates/fescuewell_gateway/src/control/peers.rs
@@ -15,9 +15,9 @@
 
 /// Minimum interval between two load reports.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(10);
-/// Number of peers up to which that interval applies. With more peers it grows, so that the
-/// bandwidth stays constant.
-const PEERS_AT_MIN_INTERVAL: u32 = 4;
+/// Number of peers that get a report per minimum interval. With more peers the interval grows in
+/// proportion, so that the bandwidth stays about constant.
+const PEERS_PER_MIN_INTERVAL: u32 = 4;
 /// Interval after which an unchanged report is repeated, to repair losses.
 const REPEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// Maximum message size in bytes; fits one Ethernet frame.
@@ -70,12 +70,12 @@
                 let _ = socket.try_send_to(&bytes, *peer);
             }
         }
-        let factor = peers.len() as u32 / PEERS_AT_MIN_INTERVAL;
+        let factor = peers.len() as u32 / PEERS_PER_MIN_INTERVAL;
         tokio::time::sleep(MIN_REPORT_INTERVAL * factor.max(1)).await;
     }
 }
 
-/// Builds the load report and lists its receivers, the instances that callers are sent to.
+/// Builds the load report and lists its receivers, the other advertised instances.
 fn report(control: &Control, number: u64) -> (Report, Vec<SocketAddr>) {
     let gateway = &control.gateway;
     let now_ms = gateway.now_ms();
--- a/crates/fescuewell_gateway/src/control/sync.rs
+++ b/crates/fescuewell_gateway/src/control/sync.rs
@@ -6,8 +6,8 @@
 //!
 //! Three loops run concurrently, so that none blocks another: the journal, draws for waiting
 //! requests, and the reconciliation of all accounts with the heartbeat. In a single loop, a journal
-//! that requests wait for is delayed by the conflicts of a reconciliation, and a holder with tokens
-//! refuses those requests.
+//! that requests wait for is delayed by the conflicts of a reconciliation, and this instance
+//! refuses those requests although it holds tokens.
 
 use std::time::Duration;
 
@@ -42,8 +42,8 @@
 const BURST_INTERVALS: u32 = 2;
 /// Fraction of the store's write capacity that all journals may use together.
 const WRITE_SHARE: f64 = 0.4;
-/// Fraction of one partition's write capacity that all heartbeats, and all reconciliations, may
-/// use.
+/// Fraction of one partition's write capacity that all heartbeats together, and all reconciliations
+/// together, may use.
 const PARTITION_SHARE: f64 = 0.3;
 
 /// Synchronizes grants, journal and membership with the store.
@@ -134,10 +134,14 @@
 /// Adapts the staleness limits to the interval at which the data is renewed.
 fn set_staleness(control: &Control, interval: Duration) {
     let mut state = control.gateway.state();
-    let lapse = interval * MAX_MISSED_HEARTBEATS;
-    state.directory.set_member_timeout(lapse.as_millis() as u64);
-    let fresh = interval.mul_f64(FRESHNESS_INTERVALS);
-    state.quota.set_ledger_max_age(fresh.as_millis() as u64);
+    let member_timeout = interval * MAX_MISSED_HEARTBEATS;
+    state
+        .directory
+        .set_member_timeout(member_timeout.as_millis() as u64);
+    let ledger_max_age = interval.mul_f64(FRESHNESS_INTERVALS);
+    state
+        .quota
+        .set_ledger_max_age(ledger_max_age.as_millis() as u64);
 }
 
 /// Returns the minimum interval between two journals of one instance while requests wait for them.
--- a/crates/fescuewell_gateway/src/control/watch.rs
+++ b/crates/fescuewell_gateway/src/control/watch.rs
@@ -40,7 +40,7 @@
 /// Interval after which a follower, which is informed of newer versions by readers, rereads the
 /// configuration.
 const FOLLOWER_REREAD_INTERVAL: Duration = Duration::from_secs(20);
-/// Interval at which a follower checks for news from readers.
+/// Interval at which a follower checks whether readers reported a newer configuration.
 const FOLLOWER_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Minimum interval between two polls for server changes. Each server writes about once a second,
 /// and every write completes a poll. A leaving server is still noticed within this time.
@@ -266,7 +266,7 @@
     let evacuations = gateway.state().registry.zones().orders();
     let configuration = configuration.unwrap_or_default();
     let digest = outbox.digest(name, response.now_ms, configuration, evacuations);
-    // If the queue is full, this digest is not needed.
+    // If the queue is full, the next digest contains these changes.
     let _ = control.digests.0.try_send(digest);
     Ok(())
 }
--- a/crates/fescuewell_gateway/src/dialect.rs
+++ b/crates/fescuewell_gateway/src/dialect.rs
@@ -41,10 +41,10 @@
     pub max_output: u64,
 }
 
-/// Segment of a prompt, the unit in which backend servers cache prompts.
+/// Part of a prompt, the unit in which backend servers cache prompts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Id of the segment, equal in all prompts that share it.
+    /// Id of the part, equal in all prompts that share it.
     pub id: Arc<str>,
     /// Number of tokens.
     pub tokens: u64,
@@ -61,7 +61,7 @@
     pub account_key: Option<Arc<str>>,
     /// Declared token counts.
     pub tokens: Option<TokenCounts>,
-    /// Segments of the prompt in order; the last one belongs to this request only.
+    /// Parts of the prompt in order; the last one belongs to this request only.
     pub prompt_parts: Vec<PromptPart>,
     /// Id of the last event that the caller received.
     pub last_event_id: Option<u64>,
--- a/crates/fescuewell_gateway/src/gateway.rs
+++ b/crates/fescuewell_gateway/src/gateway.rs
@@ -35,7 +35,7 @@
 
 pub use crash::ProbeRequest;
 
-/// Window over which arriving requests are counted, in seconds.
+/// Window over which accepted requests are counted, in seconds.
 pub const ACCEPTED_WINDOW_S: u32 = 4;
 
 /// Stage of the process's lifecycle.
@@ -67,15 +67,16 @@
     pub crashes: Detector,
     /// Requests that crash backend servers.
     pub quarantine: Quarantine,
-    /// In-flight requests per backend server.
+    /// Load of the backend servers.
     pub load: Load,
     /// Prepaid tokens of the client accounts.
     pub quota: Quota,
     /// Retry budget.
     pub retry: Budget,
-    /// The other instances of the fleet.
+    /// Instances of the fleet.
     pub directory: Directory,
-    /// Requests that arrived within [`ACCEPTED_WINDOW_S`].
+    /// Requests accepted within [`ACCEPTED_WINDOW_S`], without those that were refused before a
+    /// server was picked.
     pub accepted_requests: Window,
     /// Limits on callers' traffic.
     pub admission: admission::Limiter,
@@ -133,7 +134,7 @@
 /// respond costs 30 ms, one that responds a few.
 ///
 /// Without this limit a request would wait forever if nothing receives borrow requests, because the
-/// instance has no address for peer messages.
+/// socket for peer messages could not be bound.
 const BORROW_TIMEOUT: Duration = Duration::from_millis(150);
 /// Maximum number of pending borrow requests. More could not be served before they time out.
 const MAX_BORROW_REQUESTS: usize = 256;
@@ -389,13 +390,12 @@
         self.fleet_key.load_full()
     }
 
-    /// Store era in which the key was read.
+    /// Store era in which the key was last read or written.
     pub fn fleet_key_era(&self) -> u32 {
         self.fleet_key_era.load(Ordering::Relaxed)
     }
 
-    /// Sets the key, as read in an era of the store. The stored key is replaced only if the store
-    /// has lost it.
+    /// Sets the key, as read from the store or written to it in an era.
     pub fn set_fleet_key(&self, key: Key, era: u32) {
         self.fleet_key.store(Some(Arc::new(key)));
         self.fleet_key_era.store(era, Ordering::Relaxed);
--- a/crates/fescuewell_gateway/src/gateway/crash.rs
+++ b/crates/fescuewell_gateway/src/gateway/crash.rs
@@ -31,8 +31,8 @@
         self.quarantine.verdict(request, self.store_ms(now_ms))
     }
 
-    /// Reports a lost exchange with a server. Returns `None` if the server is draining or no longer
-    /// listed.
+    /// Reports a lost exchange with a server. Returns `None` if nothing follows from it: the server
+    /// is draining, delisted or in an evacuated zone, or has restarted without a known crash.
     pub fn report_loss(
         &mut self,
         server: &Entry,
--- a/crates/fescuewell_gateway/src/gateway/gate.rs
+++ b/crates/fescuewell_gateway/src/gateway/gate.rs
@@ -11,9 +11,9 @@
 use super::Gateway;
 
 impl Gateway {
-    /// Records a caller's request with a body of so many bytes. If the instance is overloaded,
-    /// closes the listener to new connections, and reports the instance unready if the fleet has
-    /// capacity for its callers. Must be called inside a listener's runtime.
+    /// Records a caller's request with a body of so many bytes. If the instance is overloaded and
+    /// others have capacity, closes the listener to new connections, and reports the instance
+    /// unready if the fleet can spare it. Must be called inside a listener's runtime.
     pub fn record_arrival(self: &Arc<Self>, body: usize) {
         let action = self.state().admission.admit(self.now_ms(), body);
         match action {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Reopens the listener once the traffic is back within the limits.
+    /// Reopens the listener once the limiter allows it.
     fn reopen_later(self: &Arc<Self>) {
         let gateway = self.clone();
         spawn(async move {
--- a/crates/fescuewell_gateway/src/hold.rs
+++ b/crates/fescuewell_gateway/src/hold.rs
@@ -40,7 +40,7 @@
     /// # Errors
     ///
     /// [`Code::BudgetExhausted`] if the fleet does not have enough tokens, [`Code::BudgetUnknown`]
-    /// if only this instance does not.
+    /// if this instance cannot get them in time.
     pub async fn acquire(
         gateway: &Arc<Gateway>,
         account: &Arc<str>,
@@ -100,8 +100,8 @@
                 HoldOutcome::InsufficientGrant => gateway.request_plan(),
                 _ => gateway.request_journal(),
             }
-            // The request takes whichever comes first: tokens lent by another instance, or
-            // ungranted ones.
+            // A loan is requested while the plan is written; whichever succeeds first provides the
+            // tokens.
             if outcome == HoldOutcome::InsufficientGrant
                 && gateway.borrow_tokens(account, max_cost).await
             {
--- a/crates/fescuewell_gateway/src/job.rs
+++ b/crates/fescuewell_gateway/src/job.rs
@@ -217,7 +217,7 @@
         Ok(())
     }
 
-    /// Selects a backend server that has not been tried.
+    /// Picks a backend server that has not been tried and registers the request there.
     pub(crate) async fn pick_server(&mut self) -> Result<Permit, Code> {
         self.await_capacity().await?;
         if Instant::now() >= self.route_deadline {
@@ -264,10 +264,10 @@
         if let (Some(server), Some(part)) = (&chosen, criteria.affinity) {
             state.load.record_prefix(part, &server.id, now_ms);
         }
-        if let (Some(server), Some(bound)) = (&chosen, &self.service.warmup)
+        if let (Some(server), Some(limit)) = (&chosen, &self.service.warmup)
             && let Some(share) = shares.get(&server.id)
         {
-            state.warmup.record_send(&server.id, bound, *share, now_ms);
+            state.warmup.record_send(&server.id, limit, *share, now_ms);
         }
         let running = chosen.as_ref().map(|entry| state.load.in_flight(&entry.id));
         drop(state);
--- a/crates/fescuewell_gateway/src/job/attempt.rs
+++ b/crates/fescuewell_gateway/src/job/attempt.rs
@@ -19,12 +19,14 @@
 
 /// Connect timeout. Backend servers are a few milliseconds away.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Hedging delay of a safe request as a multiple of its target latency.
-const SAFE_HEDGE_FACTOR: u32 = 2;
-/// Minimum hedging delay of a safe request.
-const MIN_SAFE_HEDGE_DELAY: Duration = Duration::from_millis(200);
-/// Hedging delay of a resumable stream before its first event, as a multiple of its target latency.
-const STREAM_HEDGE_FACTOR: u32 = 2;
+/// Attempt timeout of a safe request as a multiple of its target latency. An attempt that exceeds
+/// it is abandoned if a retry is available, and continues otherwise.
+const SAFE_TIMEOUT_FACTOR: u32 = 2;
+/// Minimum attempt timeout of a safe request.
+const MIN_SAFE_TIMEOUT: Duration = Duration::from_millis(200);
+/// Attempt timeout of a resumable stream before its response head, as a multiple of its target
+/// latency.
+const STREAM_TIMEOUT_FACTOR: u32 = 2;
 /// Gap between events after which a resumable stream is resumed on another server, as a multiple of
 /// the route's gap objective.
 const GAP_TIMEOUT_FACTOR: f64 = 1.25;
@@ -77,7 +79,7 @@
         let gateway = self.gateway.clone();
         let opened = gateway.client.open(&target, request, self.timeouts());
         tokio::pin!(opened);
-        let hedge_delay = self.hedge_delay();
+        let attempt_timeout = self.attempt_timeout();
         let opened = loop {
             tokio::select! {
                 biased;
@@ -86,7 +88,7 @@
                     self.sends += 1;
                     return self.handle_exit(permit).await;
                 }
-                () = sleep_or_pend(hedge_delay) => {
+                () = sleep_or_pend(attempt_timeout) => {
                     if self.may_abandon() {
                         self.mark_sent();
                         return self.unknown_outcome(permit, "no answer for so long, and a retry is available");
@@ -270,15 +272,15 @@
         self.sends + 1 >= self.route.max_attempts
     }
 
-    /// Returns the hedging delay, or `None` if the attempt must not be hedged.
-    fn hedge_delay(&self) -> Option<Duration> {
+    /// Returns the attempt timeout, or `None` if the attempt must not be abandoned.
+    fn attempt_timeout(&self) -> Option<Duration> {
         if self.is_last_attempt() {
             return None;
         }
         let target = self.route.target_latency;
         match self.route.kind {
-            Kind::Safe => Some((target * SAFE_HEDGE_FACTOR).max(MIN_SAFE_HEDGE_DELAY)),
-            Kind::Stream { resumable: true } => Some(target * STREAM_HEDGE_FACTOR),
+            Kind::Safe => Some((target * SAFE_TIMEOUT_FACTOR).max(MIN_SAFE_TIMEOUT)),
+            Kind::Stream { resumable: true } => Some(target * STREAM_TIMEOUT_FACTOR),
             _ => None,
         }
     }
--- a/crates/fescuewell_gateway/src/job/candidates.rs
+++ b/crates/fescuewell_gateway/src/job/candidates.rs
@@ -52,11 +52,11 @@
     entry: &Entry,
     now_ms: u64,
 ) -> bool {
-    let Some(bound) = &job.service.warmup else {
+    let Some(limit) = &job.service.warmup else {
         return true;
     };
     match shares.get(&entry.id) {
-        Some(share) => state.warmup.has_credit(&entry.id, bound, *share, now_ms),
+        Some(share) => state.warmup.has_credit(&entry.id, limit, *share, now_ms),
         None => !state.registry.is_cold(&entry.id, now_ms),
     }
 }
--- a/crates/fescuewell_gateway/src/lib.rs
+++ b/crates/fescuewell_gateway/src/lib.rs
@@ -8,8 +8,8 @@
 //! | thread | purpose |
 //! | --- | --- |
 //! | `front-0` | callers' connections, and the requests to backend servers made for them |
-//! | `directory-0`, `ready-0` | addresses of instances; readiness checks |
-//! | `control` | configuration, backend servers, grants, membership |
+//! | `directory-0`, `ready-0`, `metrics-0` | addresses of instances; readiness checks; metrics |
+//! | `control` | configuration, backend servers, grants, membership, messages between instances |
 //!
 //! ```
 //! use fescuewell_gateway::settings::Settings;
--- a/crates/fescuewell_gateway/src/metrics.rs
+++ b/crates/fescuewell_gateway/src/metrics.rs
@@ -12,7 +12,7 @@
 
 use crate::gateway::Gateway;
 
-/// Maximum number of accounts with token gauges. In a larger fleet only the first accounts by name
+/// Maximum number of accounts with token gauges. With more accounts only the first ones by name
 /// have them, which bounds the size of the page.
 const MAX_ACCOUNTS: usize = 64;
 
--- a/crates/fescuewell_gateway/src/refusal.rs
+++ b/crates/fescuewell_gateway/src/refusal.rs
@@ -8,7 +8,8 @@
 use http::header::{CONNECTION, CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use http::{HeaderMap, StatusCode};
 
-/// Retry delay after a start: the configuration is loaded within this time.
+/// Retry delay while the instance starts or drains; a starting one loads the configuration within
+/// this time.
 const START_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Retry delay for tokens: another instance, or this one after its next plan, may have them.
 const TOKEN_RETRY_DELAY: Duration = Duration::from_millis(150);
--- a/crates/fescuewell_gateway/src/side.rs
+++ b/crates/fescuewell_gateway/src/side.rs
@@ -46,8 +46,8 @@
         let may_list_self = is_loaded || self.gateway.uptime() > SELF_LIST_DELAY;
         let own = self.gateway.is_ready() && may_list_self;
         let own = own.then_some(self.gateway.settings.front);
-        let draw = self.gateway.random_u64();
-        let addresses = self.gateway.state().directory.addresses(own, draw);
+        let random = self.gateway.random_u64();
+        let addresses = self.gateway.state().directory.addresses(own, random);
         if addresses.is_empty() {
             refusal::send(reply, Code::NotReady, None, false);
             return;
--- a/crates/fescuewell_gateway/src/store.rs
+++ b/crates/fescuewell_gateway/src/store.rs
@@ -94,7 +94,7 @@
 ///
 /// Versions are those of [`fescuewell_forward::version`].
 pub trait Store: Send + Sync {
-    /// Returns how often the store has been restored from a snapshot, according to its responses.
+    /// Returns how often the store has been restored from a backup, according to its responses.
     fn era(&self) -> u32;
 
     /// Reads the rows of a partition.
--- a/crates/fescuewell_gateway/tests/common/mod.rs
+++ b/crates/fescuewell_gateway/tests/common/mod.rs
@@ -133,7 +133,7 @@
         self.content.lock().unwrap()
     }
 
-    /// Simulates one call. The mode at the time of arrival applies.
+    /// Simulates one call. The behaviour at the time of its arrival applies.
     async fn simulate_call(&self) -> Result<(), Error> {
         let behaviour = self.content().behaviour;
         match behaviour {
