--- a/tests/forward/answers.rs
+++ b/tests/forward/answers.rs
@@ -1,4 +1,5 @@
-//! Tests of responses: they reach their own caller completely, and unsafe requests run at most once.
+//! Tests of responses: they reach their own caller completely, and unsafe requests run at most
+//! once.
 
 use std::io::Write;
 use std::time::Duration;
@@ -32,8 +33,8 @@
     assert!(!run.headers.contains_key(wire::KEY));
 }
 
-/// Guards against a caller that uses another account's name or memory reservation, because reserved headers of its
-/// request are forwarded.
+/// Guards against a caller that uses another account's name or memory reservation, because reserved
+/// headers of its request are forwarded.
 #[test]
 fn headers_of_the_system_are_not_taken_from_callers() {
     let fixture = Fixture::ready(1, 1_000_000);
@@ -55,8 +56,8 @@
     }
 }
 
-/// Guards against a booking that is made twice: after its response is lost, an unsafe request must neither be sent to a
-/// second server nor be reported as not run.
+/// Guards against a booking that is made twice: after its response is lost, an unsafe request must
+/// neither be sent to a second server nor be reported as not run.
 #[test]
 fn an_unsafe_request_whose_answer_is_lost_is_not_repeated() {
     let fixture = Fixture::ready(2, 1_000_000);
@@ -101,8 +102,8 @@
     assert_eq!(fixture.runs("r-1"), 0);
 }
 
-/// Guards against returning the response to another request when it arrives on the connection, because the echoed
-/// request id is not compared.
+/// Guards against returning the response to another request when it arrives on the connection,
+/// because the echoed request id is not compared.
 #[test]
 fn an_answer_to_another_request_is_not_passed_on() {
     let fixture = Fixture::ready(1, 1_000_000);
@@ -114,8 +115,8 @@
     assert_eq!(response.header(wire::SEAL), None);
 }
 
-/// Guards against a stream with a repeated or partial event: when a server fails in the middle of an event, the partial
-/// event must not be forwarded before the complete one of the next server.
+/// Guards against a stream with a repeated or partial event: when a server fails in the middle of
+/// an event, the partial event must not be forwarded before the complete one of the next server.
 #[test]
 fn a_broken_stream_goes_on_at_another_server_within_the_answer() {
     let fixture = Fixture::ready(2, 1_000_000);
@@ -132,7 +133,8 @@
 
     let all: Vec<u64> = (1..=EVENTS).collect();
     let first_two: Vec<u64> = vec![1, 2];
-    // If both servers break after event 2, the second one, which resumes at event 3, breaks at once.
+    // If both servers break after event 2, the second one, which resumes at event 3, breaks at
+    // once.
     assert!(response.events() == all || (response.events() == first_two && !response.is_complete));
     assert!(!response.text().contains("ha\n") && !response.text().ends_with("ha"));
     assert_eq!(fixture.runs("r-1"), 2);
@@ -161,8 +163,8 @@
     }
 }
 
-/// Guards against an interrupted stream that looks complete: if the stream may not be resumed, the end of the response
-/// must not be written.
+/// Guards against an interrupted stream that looks complete: if the stream may not be resumed, the
+/// end of the response must not be written.
 #[test]
 fn a_stream_that_may_not_be_resumed_ends_without_its_end() {
     let fixture = Fixture::ready(2, 1_000_000);
@@ -181,8 +183,8 @@
     assert_eq!(fixture.runs("r-1"), 1);
 }
 
-/// Guards against servers that continue to work for a caller that has closed its connection, because the upstream
-/// request is kept open.
+/// Guards against servers that continue to work for a caller that has closed its connection,
+/// because the upstream request is kept open.
 #[test]
 fn a_caller_that_leaves_frees_the_server() {
     let fixture = Fixture::ready(1, 1_000_000);
@@ -211,7 +213,8 @@
     }
 }
 
-/// Guards against a planned stop that interrupts streams, because the process exits on SIGTERM before they end.
+/// Guards against a planned stop that interrupts streams, because the process exits on SIGTERM
+/// before they end.
 #[test]
 fn a_stop_lets_streams_end() {
     let mut fixture = Fixture::ready(1, 1_000_000);
@@ -234,21 +237,22 @@
     assert_eq!(response.events().len() as u64, EVENTS);
 }
 
-/// Configuration of a route that considers a server silent after 200 ms and has a timeout of 20 s.
-fn with_short_silence() -> serde_json::Value {
+/// Configuration of a route with an attempt timeout of 200 ms and a request timeout of 20 s.
+fn with_short_attempt_timeout() -> serde_json::Value {
     let mut configuration = configuration(1, 1_000_000);
     configuration["routes"][0]["targetLatencyMs"] = 50.into();
     configuration["routes"][0]["timeoutMs"] = 20_000.into();
     configuration
 }
 
-/// Guards against cancelling an attempt that has taken twice its target latency before it is known whether the retry
-/// budget allows another one. At three times the traffic, with all servers slow and no retry left, one request in eight
-/// ended with an unknown outcome, its prompt processed and charged.
+/// Guards against cancelling an attempt that has taken twice its target latency before it is known
+/// whether the retry budget allows another one. At three times the traffic, with all servers slow
+/// and no retry left, one request in eight ended with an unknown outcome, its prompt processed and
+/// charged.
 #[test]
 fn a_send_is_not_given_up_without_a_repeat() {
     let mut fixture = Fixture::without_configuration(2);
-    fixture.configure(&with_short_silence());
+    fixture.configure(&with_short_attempt_timeout());
     fixture.retry_slack = 0.0;
     fixture.start();
     fixture.wait_ready();
@@ -260,7 +264,7 @@
     let caller = std::thread::spawn(move || send(front, &request));
     assert!(wait_until(|| fixture.runs("r-1") == 1));
 
-    // Longer than the time after which a server counts as silent.
+    // Longer than the attempt timeout.
     std::thread::sleep(Duration::from_millis(600));
     fixture.workers.iter().for_each(Worker::release);
 
@@ -272,12 +276,12 @@
 #[test]
 fn with_a_repeat_in_hand_a_silent_server_is_given_up() {
     let mut fixture = Fixture::without_configuration(2);
-    fixture.configure(&with_short_silence());
+    fixture.configure(&with_short_attempt_timeout());
     fixture.start();
     fixture.wait_ready();
     let front = fixture.front;
     let request = Request::new("GET /safe/x", "r-1").with(wire::DEADLINE, "20000");
-    // The first server that gets the request never responds.
+    // Neither server responds.
     for worker in &fixture.workers {
         worker.next(&[Behaviour::Hang]);
     }
--- a/tests/forward/configuration.rs
+++ b/tests/forward/configuration.rs
@@ -25,8 +25,8 @@
     );
 }
 
-/// Guards against serving a removed route again, because an older version of the configuration that is read later
-/// replaces the active one.
+/// Guards against serving a removed route again, because an older version of the configuration that
+/// is read later replaces the active one.
 #[test]
 fn an_older_version_never_comes_back() {
     let fixture = Fixture::ready(1, 1_000_000);
@@ -40,8 +40,8 @@
     assert_eq!(fixture.version(), 6);
 }
 
-/// Guards against missing a change when the feed reports nothing at the time of the write and its history is compacted
-/// afterwards, because only the feed is followed.
+/// Guards against missing a change when the feed reports nothing at the time of the write and its
+/// history is compacted afterwards, because only the feed is followed.
 #[test]
 fn a_change_that_the_feed_missed_is_found() {
     let fixture = Fixture::ready(1, 1_000_000);
@@ -80,8 +80,8 @@
     }
 }
 
-/// Guards against sending all callers of a zone to one instance with a narrow link, because it returns only its own
-/// address before it has read the list of instances.
+/// Guards against sending all callers of a zone to one instance with a narrow link, because it
+/// returns only its own address before it has read the list of instances.
 #[test]
 fn no_address_is_told_before_the_list_was_read() {
     let mut fixture = Fixture::without_instance(1, 1_000_000);
@@ -104,8 +104,9 @@
     assert_eq!(addresses, [fixture.front.to_string()]);
 }
 
-/// Guards against refusing every request for lack of a server, because one row that no backend server has written
-/// (arbitrary bytes, another type or an unknown state) makes the whole list unreadable.
+/// Guards against refusing every request for lack of a server, because one row that no backend
+/// server has written (arbitrary bytes, another type or an unknown state) makes the whole list
+/// unreadable.
 #[test]
 fn rows_of_another_writer_leave_the_list_in_use() {
     let mut fixture = Fixture::without_instance(2, 1_000_000);
@@ -132,8 +133,9 @@
     assert!(fixture.workers[1].runs().is_empty());
 }
 
-/// Guards against a caller that waits until its deadline: its server crashes, restarts under the same name and leaves
-/// the old connection silent, and the restart is not detected because servers are identified by name alone.
+/// Guards against a caller that waits until its deadline: its server crashes, restarts under the
+/// same name and leaves the old connection silent, and the restart is not detected because servers
+/// are identified by name alone.
 #[test]
 fn a_request_at_a_server_that_started_again_goes_on_elsewhere() {
     let fixture = Fixture::ready(2, 1_000_000);
@@ -176,7 +178,8 @@
 
     fixture.configure(&unreadable);
     fixture.store.put("op", "", "evacuate/a", b"{}");
-    // The evacuation is read together with the configuration, so its effect shows that both rows were processed.
+    // The evacuation is read together with the configuration, so its effect shows that both rows
+    // were processed.
     fixture.wait_server("i-0", false);
     let gateway = fixture.daemon.as_ref().unwrap().gateway();
     let is_store_up = gateway.is_store_up();
--- a/tests/forward/crashes.rs
+++ b/tests/forward/crashes.rs
@@ -22,7 +22,8 @@
         .with_body(body)
 }
 
-/// Guards against a request that crashes one backend server after another, since each retry has its own id.
+/// Guards against a request that crashes one backend server after another, since each retry has its
+/// own id.
 #[test]
 fn a_request_that_crashes_servers_reaches_three_at_most() {
     let fixture = fixture();
@@ -62,8 +63,8 @@
     assert_eq!(fixture.crashes(), 3);
 }
 
-/// Guards against losing a quarantine when the whole fleet loses power: the request could then crash three more
-/// servers.
+/// Guards against losing a quarantine when the whole fleet loses power: the request could then
+/// crash three more servers.
 #[test]
 fn a_quarantine_outlives_a_kill_of_all_instances() {
     let mut fixture = fixture();
@@ -103,7 +104,8 @@
     assert_eq!(fixture.crashes(), 3);
 }
 
-/// Guards against missing a crash when the caller has already disconnected and the connection to the server is closed.
+/// Guards against missing a crash when the caller has already disconnected and the connection to
+/// the server is closed.
 #[test]
 fn a_crash_counts_after_the_caller_has_left() {
     let fixture = Fixture::ready(1, PREPAID);
@@ -125,7 +127,8 @@
     fixture.wait_suspects(1);
 }
 
-/// Guards against treating a planned removal as a crash: a server may leave the list and continue to work for a while.
+/// Guards against treating a planned removal as a crash: a server may leave the list and continue
+/// to work for a while.
 #[test]
 fn a_server_that_leaves_the_list_and_still_accepts_connections_has_not_crashed() {
     let fixture = Fixture::ready(2, PREPAID);
--- a/tests/forward/fixture.rs
+++ b/tests/forward/fixture.rs
@@ -29,8 +29,8 @@
 
 /// Addresses that are reserved before the instance listens on them.
 ///
-/// Each is bound by a socket that does not listen. A port that was only looked up could be assigned to a connection of
-/// another test, and the instance could not listen on it.
+/// Each is bound by a socket that does not listen. A port that was only looked up could be assigned
+/// to a connection of another test, and the instance could not listen on it.
 pub struct ReservedAddresses {
     sockets: Vec<Socket>,
 }
@@ -74,8 +74,8 @@
     name: &'static str,
     /// Link bandwidth of the instance in Mbit/s; takes effect at its next start.
     pub link_mbps: f64,
-    /// Retries that the fleet may make beyond the ratio of its requests; takes effect at the next start. With 0 the
-    /// ratio is 0, too.
+    /// Retries that the fleet may make beyond the ratio of its requests; takes effect at the next
+    /// start. With 0 the ratio is 0, too.
     pub retry_slack: f64,
     /// Address for messages of other instances; takes effect at the next start.
     peer: Option<SocketAddr>,
@@ -120,7 +120,8 @@
         }
     }
 
-    /// Adds a second instance with the same store and backend servers. Both can reach each other once they are started.
+    /// Adds a second instance with the same store and backend servers. Both can reach each other
+    /// once they are started.
     pub fn add_instance(&mut self) -> Self {
         let mut other = Self::with_store(self.store.clone(), "entry-2");
         for fixture in [self, &mut other] {
@@ -199,8 +200,8 @@
         self.workers.iter().map(Worker::crashes).sum()
     }
 
-    /// Restarts all crashed backend servers under the same names and waits until the instance lists their new
-    /// incarnations.
+    /// Restarts all crashed backend servers under the same names and waits until the instance lists
+    /// their new incarnations.
     pub fn restart_crashed(&self) {
         for (index, worker) in self.workers.iter().enumerate() {
             if !worker.has_crashed() {
@@ -239,7 +240,8 @@
         assert!(wait_until(listed), "the backend servers were not listed");
     }
 
-    /// Waits until a backend server is listed and accepts requests, or, with `is_ready` false, until it is not.
+    /// Waits until a backend server is listed and accepts requests, or, with `is_ready` false,
+    /// until it is not.
     pub fn wait_server(&self, id: &str, is_ready: bool) {
         let gateway = self.daemon.as_ref().unwrap().gateway();
         let is_reached = || {
@@ -252,7 +254,8 @@
         );
     }
 
-    /// Waits until the instance is ready and a backend server is listed, whether or not the server accepts requests.
+    /// Waits until the instance is ready and a backend server is listed, whether or not the server
+    /// accepts requests.
     pub fn wait_listed(&self, id: &str) {
         let daemon = self.daemon.as_ref().unwrap();
         let is_listed = || daemon.gateway().state().registry.is_known(id);
--- a/tests/forward/main.rs
+++ b/tests/forward/main.rs
@@ -1,5 +1,5 @@
-//! Tests of the forwarding path through the platform's adapter, with real sockets, a stand-in of the store and backend
-//! servers that fail on demand.
+//! Tests of the forwarding path through the platform's adapter, with real sockets, a stand-in of
+//! the store and backend servers that fail on demand.
 
 mod answers;
 mod configuration;
--- a/tests/forward/money.rs
+++ b/tests/forward/money.rs
@@ -50,8 +50,8 @@
     assert!(wait_until(|| fixture.consumed() == 0));
 }
 
-/// A caller that disconnects is charged for its prompt and the events it received; the rest of the reservation is
-/// released.
+/// A caller that disconnects is charged for its prompt and the events it received; the rest of the
+/// reservation is released.
 #[test]
 fn a_caller_that_leaves_after_some_events_pays_for_these() {
     let fixture = Fixture::ready(1, 100_000);
@@ -73,7 +73,8 @@
     assert!(wait_until(|| fixture.consumed() == 1_000 + 2 * 7));
 }
 
-/// A request is charged from its first output token on, so a caller that disconnects before that pays nothing.
+/// A request is charged once its server begins to respond, so a caller that disconnects before that
+/// pays nothing.
 #[test]
 fn a_caller_that_leaves_before_the_first_event_pays_nothing() {
     let fixture = Fixture::ready(1, 100_000);
@@ -115,8 +116,8 @@
         == 200));
 }
 
-/// Guards against an account that gets its total twice: the process is killed with most of it spent and started again,
-/// and the count of spent tokens is kept only in memory.
+/// Guards against an account that gets its total twice: the process is killed with most of it spent
+/// and restarted, and the count of spent tokens is kept only in memory.
 #[test]
 fn a_restart_remembers_what_was_spent() {
     let mut fixture = Fixture::ready(1, 10_000);
@@ -130,8 +131,8 @@
     assert_eq!(fixture.runs("r-2"), 0);
 }
 
-/// Guards against an account that gets more than its total, because a grant is drawn again after the store's reply is
-/// lost.
+/// Guards against an account that gets more than its total, because a grant is drawn again after
+/// the store's reply is lost.
 #[test]
 fn lost_replies_do_not_double_a_grant() {
     let fixture = Fixture::ready(1, 30_000);
--- a/tests/forward/pressure.rs
+++ b/tests/forward/pressure.rs
@@ -40,15 +40,15 @@
     state.directory.count() > usize::from(STRONG_INSTANCES)
 }
 
-/// Whether the instance's member row records that it is sending callers away.
+/// Whether the instance's member row declares it unready because of an overload.
 fn is_overload_recorded(fixture: &Fixture) -> bool {
     let row = fixture.store.get("member", "fleet", "entry-1");
     let member: Option<Member> = row.and_then(|row| postcard::from_bytes(&row).ok());
     member.is_some_and(|member| member.unready_until_ms > 0)
 }
 
-/// Guards against callers that return to an overloaded instance as soon as it is restarted: it is not ready because its
-/// link is saturated, and the next process does not know this.
+/// Guards against callers that return to an overloaded instance as soon as it is restarted: it is
+/// not ready because its link is saturated, and the next process does not know this.
 #[test]
 fn a_pressed_instance_sends_callers_away_and_serves_open_connections() {
     let mut fixture = Fixture::without_configuration(1);
--- a/tests/forward/refusals.rs
+++ b/tests/forward/refusals.rs
@@ -41,8 +41,9 @@
     assert_eq!(fixture.consumed(), 0);
 }
 
-/// Guards against request smuggling: a server runs a request from the body of another one, whose length is given both
-/// by `Content-Length` and by `Transfer-Encoding`, because instance and server use different lengths.
+/// Guards against request smuggling: a server runs a request from the body of another one, whose
+/// length is given both by `Content-Length` and by `Transfer-Encoding`, because instance and server
+/// use different lengths.
 #[test]
 fn a_smuggled_request_does_not_run() {
     let fixture = Fixture::ready(1, 1_000_000);
--- a/tests/forward/wire.rs
+++ b/tests/forward/wire.rs
@@ -1,6 +1,7 @@
 //! Header names and paths of the platform, as callers, backend servers and health checks use them.
 //!
-//! They are not taken from the adapter on purpose, so that a wrong name in the adapter fails a test.
+//! They are not taken from the adapter on purpose, so that a wrong name in the adapter fails a
+//! test.
 
 /// Id of one attempt of a caller.
 pub const REQUEST_ID: &str = "X-Fescuewell-Request-Id";
@@ -10,7 +11,7 @@
 pub const KEY: &str = "X-Fescuewell-Key";
 /// Name of the client account; sent to backend servers only.
 pub const ACCOUNT: &str = "X-Fescuewell-Tenant";
-/// The only incarnation of a backend server that may run the request.
+/// Id of the only backend server that may run the request.
 pub const EXPECTED_SERVER: &str = "X-Fescuewell-Expect-Instance";
 /// Prompt tokens and maximum output tokens.
 pub const TOKENS: &str = "X-Fescuewell-Token-Counts";
--- a/tests/forward/zones.rs
+++ b/tests/forward/zones.rs
@@ -12,8 +12,8 @@
     Request::new("GET /safe/x", id)
 }
 
-/// Guards against sending requests to servers of an evacuated zone, because the instance does not read the evacuation
-/// when nothing else changes: 470 of them were sent later than the time limit.
+/// Guards against sending requests to servers of an evacuated zone, because the instance does not
+/// read the evacuation when nothing else changes: 470 of them were sent later than the time limit.
 #[test]
 fn an_evacuated_zone_gets_no_request_until_it_is_taken_back() {
     let fixture = Fixture::ready(1, 1_000_000);
@@ -31,7 +31,8 @@
     assert_eq!(served.status, 200);
 }
 
-/// Guards against an instance that starts during an evacuation and sends requests to the zone until the next change.
+/// Guards against an instance that starts during an evacuation and sends requests to the zone until
+/// the next change.
 #[test]
 fn an_evacuation_outlives_a_restart() {
     let mut fixture = Fixture::ready(1, 1_000_000);
@@ -46,7 +47,8 @@
     assert_eq!(fixture.runs("r-1"), 0);
 }
 
-/// Guards against waiting for tokens before refusing a request that no server can run because all zones are evacuated.
+/// Guards against waiting for tokens before refusing a request that no server can run because all
+/// zones are evacuated.
 #[test]
 fn a_request_without_any_server_is_refused_before_it_waits_for_tokens() {
     let fixture = Fixture::ready(1, 10_000);
@@ -60,8 +62,8 @@
     assert_eq!(fixture.consumed(), 0);
 }
 
-/// Guards against overloading a server that has just started with the requests of all instances, because the warm-up
-/// time in its entry is ignored.
+/// Guards against overloading a server that has just started with the requests of all instances,
+/// because the warm-up time in its entry is ignored.
 #[test]
 fn a_cold_server_gets_few_requests_at_a_time() {
     let fixture = Fixture::without_instance(1, 1_000_000);
