--- a/crates/fescuewell_forward/src/quota.rs
+++ b/crates/fescuewell_forward/src/quota.rs
@@ -48,7 +48,7 @@
 use crate::version;
 
 /// Maximum age, in milliseconds, of a ledger read that may prove an account exhausted. This is the
-/// value for a small fleet; see [`Quota::set_max_age`].
+/// value for a small fleet; see [`Quota::set_ledger_max_age`].
 const LEDGER_MAX_AGE_MS: u64 = 2_500;
 
 /// Result of [`Quota::hold`].
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Enters a new era after the store was restored from a snapshot.
+    /// Enters a new era after the store was restored from a backup.
     ///
     /// `journal` is the journal of this holder in the restored store, with its row version;
     /// `ledgers` are the restored ledgers. The holder then rewrites its grants and its journal.
@@ -273,8 +273,8 @@
     /// Returns the accounts with requests that need more than the local grant covers.
     pub fn short_accounts(&self) -> Vec<Arc<str>> {
         let accounts = self.accounts.iter();
-        let unmet = accounts.filter(|(_, account)| account.shortage().is_some());
-        unmet.map(|(name, _)| name.clone()).collect()
+        let short = accounts.filter(|(_, account)| account.shortage().is_some());
+        short.map(|(name, _)| name.clone()).collect()
     }
 
     /// Sets the maximum age, in milliseconds, of a ledger read that may prove an account exhausted,
@@ -282,7 +282,7 @@
     ///
     /// Large fleets plan less often than small ones. With the value of a small fleet they would ask
     /// callers of exhausted accounts to retry instead of reporting that no tokens are left.
-    pub fn set_max_age(&mut self, max_age_ms: u64) {
+    pub fn set_ledger_max_age(&mut self, max_age_ms: u64) {
         self.ledger_max_age_ms = max_age_ms.max(LEDGER_MAX_AGE_MS);
     }
 
