--- a/crates/fescuewell_bench/src/load/drive.rs
+++ b/crates/fescuewell_bench/src/load/drive.rs
@@ -9,7 +9,7 @@
 use fescuewell_core::tokens::Tokens;
 use fescuewell_demo::document::MODEL;
 use fescuewell_demo::fleet::Fleet;
-use fescuewell_http::sse::Splitter;
+use fescuewell_http::sse::Decoder;
 use fescuewell_http::upstream::{self, Client, Exchange, Target, Timeouts};
 use fescuewell_standin::{engine, service};
 use http::{Method, Request};
@@ -299,7 +299,7 @@
             return self.stream(exchange, begun, record).await;
         }
         let answered = exchange.status.is_success();
-        let body = exchange.whole(MOST_BYTES).await;
+        let body = exchange.collect(MOST_BYTES).await;
         let body = body.map_err(|error| error.to_string())?;
         if !answered {
             return Ok(refused(&serde_json::from_slice(&body).unwrap_or_default()));
@@ -315,11 +315,11 @@
         begun: Instant,
         record: &mut Record,
     ) -> Result<Outcome, String> {
-        let mut splitter = Splitter::new(MOST_BYTES);
+        let mut decoder = Decoder::new(MOST_BYTES);
         let (mut events, mut tokens, mut output) = (Vec::new(), 0, 0);
         while let Some(chunk) = exchange.next_chunk().await {
             let chunk = chunk.map_err(|error| error.to_string())?;
-            splitter
+            decoder
                 .push(&chunk, &mut events)
                 .map_err(|error| error.to_string())?;
             for event in events.drain(..) {
--- a/crates/fescuewell_gateway/src/control/watch.rs
+++ b/crates/fescuewell_gateway/src/control/watch.rs
@@ -15,7 +15,7 @@
 use fescuewell_forward::evacuation::Order;
 use fescuewell_forward::relay::{Digest, Outbox};
 use fescuewell_forward::server::{Change, Entry, Update};
-use fescuewell_http::upstream::{self, Reach};
+use fescuewell_http::upstream::{self, Reachability};
 use tokio::time::Instant;
 
 use super::{CALL_TIMEOUT, Control, RETRY_DELAY};
@@ -408,9 +408,11 @@
 fn confirm_removed(control: &Control, server: Arc<Entry>) {
     let gateway = control.gateway.clone();
     tokio::spawn(async move {
-        match upstream::reach(server.address, REACH_TIMEOUT).await {
-            Reach::Accepted => gateway.state().crashes.accepted(server.incarnation()),
-            Reach::Refused | Reach::Silent => gateway.record_crash(&server, Evidence::Removed),
+        match upstream::probe(server.address, REACH_TIMEOUT).await {
+            Reachability::Accepted => gateway.state().crashes.accepted(server.incarnation()),
+            Reachability::Refused | Reachability::NoResponse => {
+                gateway.record_crash(&server, Evidence::Removed)
+            }
         }
     });
 }
--- a/crates/fescuewell_gateway/src/front.rs
+++ b/crates/fescuewell_gateway/src/front.rs
@@ -49,7 +49,7 @@
             let id = job.id().clone();
             tokio::select! {
                 biased;
-                ending = closed.wait_gone() => {
+                ending = closed.wait_for_disconnect() => {
                     log_event!(Event::RequestDone, "request={id} outcome=caller_gone ending={ending:?}");
                 }
                 () = job.run(reply) => {}
--- a/crates/fescuewell_gateway/src/job.rs
+++ b/crates/fescuewell_gateway/src/job.rs
@@ -382,7 +382,7 @@
         }
         let close_connection = self.gateway.is_draining();
         let headers = header::response_headers(&response.headers, close_connection);
-        reply.whole(response.status, headers, response.body);
+        reply.send(response.status, headers, response.body);
         self.finish(permit, response.status.as_str());
     }
 
--- a/crates/fescuewell_gateway/src/job/attempt.rs
+++ b/crates/fescuewell_gateway/src/job/attempt.rs
@@ -151,7 +151,7 @@
             }
             self.log_failure(permit, "turned_away", status.as_str());
             // The body is read to the end, so that the connection can be reused.
-            if let Err(error) = exchange.whole(MAX_RESPONSE_BYTES).await {
+            if let Err(error) = exchange.collect(MAX_RESPONSE_BYTES).await {
                 self.log_failure(permit, "refusal_broken", &error.to_string());
             }
             return AttemptOutcome::Rejected;
@@ -184,7 +184,7 @@
             };
         }
         let headers = std::mem::take(&mut exchange.headers);
-        match exchange.whole(MAX_RESPONSE_BYTES).await {
+        match exchange.collect(MAX_RESPONSE_BYTES).await {
             Ok(body) => {
                 permit.settle();
                 if status.is_success() {
--- a/crates/fescuewell_gateway/src/job/crash.rs
+++ b/crates/fescuewell_gateway/src/job/crash.rs
@@ -9,7 +9,7 @@
 use fescuewell_forward::crash::{Content, Evidence, Finding, Fingerprint, Loss, Verdict};
 use fescuewell_forward::server::Entry;
 use fescuewell_http::listener::spawn;
-use fescuewell_http::upstream::{Error, Reach};
+use fescuewell_http::upstream::{Error, Reachability};
 
 use super::{Job, Permit};
 use crate::gateway::{Gateway, State};
@@ -55,7 +55,7 @@
 async fn probe_again(gateway: &Gateway, server: &Entry) {
     tokio::time::sleep(SECOND_PROBE_DELAY).await;
     let is_alive = gateway.client.has_idle(server.address)
-        || gateway.client.probe(server.address, PROBE_TIMEOUT).await != Reach::Refused;
+        || gateway.client.probe(server.address, PROBE_TIMEOUT).await != Reachability::Refused;
     match is_alive {
         true => gateway.state().crashes.accepted(server.incarnation()),
         false => gateway.record_crash(server, Evidence::Refused),
@@ -170,14 +170,14 @@
         let gateway = self.gateway.clone();
         let server = permit.server.clone();
         spawn(async move {
-            let reach = gateway.client.probe(server.address, PROBE_TIMEOUT).await;
-            if reach == Reach::Refused {
+            let reachability = gateway.client.probe(server.address, PROBE_TIMEOUT).await;
+            if reachability == Reachability::Refused {
                 return gateway.record_crash(&server, Evidence::Refused);
             }
             // The server list or the second probe may still provide evidence.
             gateway.state().crashes.silent(server.incarnation());
             gateway.notify_crash_changes();
-            if reach == Reach::Accepted {
+            if reachability == Reachability::Accepted {
                 probe_again(&gateway, &server).await;
             }
         });
--- a/crates/fescuewell_gateway/src/metrics.rs
+++ b/crates/fescuewell_gateway/src/metrics.rs
@@ -6,7 +6,7 @@
 
 use fescuewell_core::prelude::*;
 pub use fescuewell_metrics::Error;
-use fescuewell_metrics::Page;
+use fescuewell_metrics::Exporter;
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Counter, Histogram, Meter};
 
@@ -18,7 +18,7 @@
 
 /// Instruments of one instance.
 pub struct Metrics {
-    page: Page,
+    exporter: Exporter,
     requests: Counter<u64>,
     attempts: Counter<u64>,
     store_calls: Counter<u64>,
@@ -34,8 +34,8 @@
     ///
     /// Returns an error if the metrics page cannot be created.
     pub fn new() -> Result<Self, Error> {
-        let page = Page::new()?;
-        let meter = page.meter();
+        let exporter = Exporter::new()?;
+        let meter = exporter.meter();
         Ok(Self {
             requests: meter.u64_counter("fescuewell_forward_requests").build(),
             attempts: meter.u64_counter("fescuewell_forward_attempts").build(),
@@ -45,14 +45,14 @@
                 .f64_histogram("fescuewell_first_event_seconds")
                 .build(),
             request_duration: meter.f64_histogram("fescuewell_request_seconds").build(),
-            page,
+            exporter,
         })
     }
 
     /// Registers gauges of the gateway's state: tokens by account, and sizes and ages of the local
     /// state.
     pub fn register_gauges(&self, gateway: &Arc<Gateway>) {
-        let meter = self.page.meter();
+        let meter = self.exporter.meter();
         register_tokens(&meter, Arc::downgrade(gateway));
         register_state(&meter, Arc::downgrade(gateway));
     }
@@ -105,7 +105,7 @@
 
     /// Returns the current values in the Prometheus text format.
     pub fn text(&self) -> Vec<u8> {
-        self.page.text()
+        self.exporter.encode()
     }
 }
 
--- a/crates/fescuewell_gateway/src/refusal.rs
+++ b/crates/fescuewell_gateway/src/refusal.rs
@@ -42,7 +42,7 @@
     }
     let status = StatusCode::from_u16(code.status()).unwrap_or(StatusCode::BAD_GATEWAY);
     let text = format!("{} {}\n", code.number(), code.text());
-    reply.whole(status, headers, Bytes::from(text));
+    reply.send(status, headers, Bytes::from(text));
 }
 
 fn seconds(delay: Duration) -> Option<HeaderValue> {
--- a/crates/fescuewell_gateway/src/side.rs
+++ b/crates/fescuewell_gateway/src/side.rs
@@ -32,7 +32,7 @@
 
     fn ready(&self, reply: Reply) {
         if self.gateway.reports_ready() {
-            reply.whole(StatusCode::OK, HeaderMap::new(), Bytes::new());
+            reply.send(StatusCode::OK, HeaderMap::new(), Bytes::new());
             return;
         }
         refusal::send(reply, Code::NotReady, None, false);
@@ -58,7 +58,7 @@
         if let Ok(kind) = HeaderValue::from_str(self.gateway.dialect.addresses_content_type()) {
             headers.insert(CONTENT_TYPE, kind);
         }
-        reply.whole(StatusCode::OK, headers, body);
+        reply.send(StatusCode::OK, headers, body);
     }
 }
 
@@ -75,7 +75,7 @@
         }
         if &*request.path == METRICS_PATH {
             let text = Bytes::from(self.gateway.metrics.text());
-            reply.whole(StatusCode::OK, HeaderMap::new(), text);
+            reply.send(StatusCode::OK, HeaderMap::new(), text);
             return;
         }
         refusal::send(reply, Code::NoSuchPath, None, false);
--- a/crates/fescuewell_http/examples/streams.rs
+++ b/crates/fescuewell_http/examples/streams.rs
@@ -124,7 +124,7 @@
 impl Handler for Proxy {
     fn handle(&self, request: Request, reply: Reply) {
         if &*request.path == "/stats" {
-            return reply.whole(
+            return reply.send(
                 StatusCode::OK,
                 HeaderMap::new(),
                 Use::of_this_process().to_bytes(),
@@ -145,7 +145,7 @@
                 }
                 Err(error) => {
                     let body = error.to_string().into();
-                    reply.whole(StatusCode::BAD_GATEWAY, HeaderMap::new(), body);
+                    reply.send(StatusCode::BAD_GATEWAY, HeaderMap::new(), body);
                 }
             }
         });
@@ -224,7 +224,7 @@
         .await;
     exchange
         .expect("an answer")
-        .whole(1_000_000)
+        .collect(1_000_000)
         .await
         .expect("a whole answer")
 }
--- a/crates/fescuewell_http/src/listener/mod.rs
+++ b/crates/fescuewell_http/src/listener/mod.rs
@@ -12,7 +12,7 @@
 //! struct Echo;
 //! impl Handler for Echo {
 //!     fn handle(&self, request: Request, reply: Reply) {
-//!         reply.whole(http::StatusCode::OK, http::HeaderMap::new(), request.body);
+//!         reply.send(http::StatusCode::OK, http::HeaderMap::new(), request.body);
 //!     }
 //! }
 //!
@@ -40,7 +40,7 @@
 use snafu::{ResultExt, Snafu};
 use tokio::sync::watch;
 
-pub use reply::{Closed, Ending, Gone, Reply, Sink, TrySendError};
+pub use reply::{Closed, Disconnected, Ending, Reply, Sink, TrySendError};
 pub use settings::{Settings, Tls};
 
 /// One request, its body read whole and within the bounds.
--- a/crates/fescuewell_http/src/listener/reply.rs
+++ b/crates/fescuewell_http/src/listener/reply.rs
@@ -22,7 +22,7 @@
 /// The caller is gone: nothing that is sent reaches it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 #[snafu(display("the caller has gone"))]
-pub struct Gone;
+pub struct Disconnected;
 
 /// Why [`Sink::try_send`] did not take a chunk.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
@@ -36,7 +36,7 @@
     },
     /// The caller is gone.
     #[snafu(display("the caller has gone"))]
-    Gone,
+    Disconnected,
 }
 
 /// How an exchange ended.
@@ -62,7 +62,7 @@
     }
 
     /// Waits until the caller is gone; never ends where the exchange is answered whole.
-    pub async fn wait_gone(self) -> Ending {
+    pub async fn wait_for_disconnect(self) -> Ending {
         match self.wait().await {
             Ending::Answered => std::future::pending().await,
             ending => ending,
@@ -115,7 +115,7 @@
 
 impl Reply {
     /// Answers with a whole body.
-    pub fn whole(self, status: StatusCode, headers: HeaderMap, body: Bytes) {
+    pub fn send(self, status: StatusCode, headers: HeaderMap, body: Bytes) {
         let content = Content::Whole(body);
         let _ = self.answer.send(Some((head(status, headers), content)));
     }
@@ -128,7 +128,7 @@
     /// Answers with a refusal.
     pub fn refuse(self, refusal: &Refusal) {
         let (parts, body) = refusal_response(refusal).into_parts();
-        self.whole(parts.status, parts.headers, body);
+        self.send(parts.status, parts.headers, body);
     }
 
     /// Sends the head and goes on with a body in chunks, each of which is written as soon as it is sent.
@@ -175,9 +175,9 @@
     ///
     /// # Errors
     ///
-    /// [`Gone`] when the caller went away.
-    pub async fn send(&self, chunk: Bytes) -> Result<(), Gone> {
-        self.chunks.send(chunk).await.map_err(|_| Gone)
+    /// [`Disconnected`] when the caller went away.
+    pub async fn send(&self, chunk: Bytes) -> Result<(), Disconnected> {
+        self.chunks.send(chunk).await.map_err(|_| Disconnected)
     }
 
     /// Sends a chunk if there is room for it.
@@ -188,7 +188,7 @@
     pub fn try_send(&self, chunk: Bytes) -> Result<(), TrySendError> {
         self.chunks.try_send(chunk).map_err(|error| match error {
             mpsc::error::TrySendError::Full(chunk) => TrySendError::Full { chunk },
-            mpsc::error::TrySendError::Closed(_) => TrySendError::Gone,
+            mpsc::error::TrySendError::Closed(_) => TrySendError::Disconnected,
         })
     }
 
--- a/crates/fescuewell_http/src/sse.rs
+++ b/crates/fescuewell_http/src/sse.rs
@@ -1,12 +1,12 @@
-//! Server-Sent Events, as in the WHATWG HTML standard, section 9.2: an incremental splitter and a
+//! Server-Sent Events, as in the WHATWG HTML standard, section 9.2: an incremental decoder and a
 //! writer.
 //!
 //! ```
-//! use fescuewell_http::sse::{Event, Splitter};
-//! let mut splitter = Splitter::new(1024);
+//! use fescuewell_http::sse::{Event, Decoder};
+//! let mut decoder = Decoder::new(1024);
 //! let mut events = Vec::new();
-//! splitter.push(b"id: 7\nda", &mut events).unwrap();
-//! splitter.push(b"ta: hello\n\n", &mut events).unwrap();
+//! decoder.push(b"id: 7\nda", &mut events).unwrap();
+//! decoder.push(b"ta: hello\n\n", &mut events).unwrap();
 //! assert_eq!(events, vec![Event::data("hello").with_id("7")]);
 //! ```
 
@@ -111,7 +111,7 @@
 
 /// Splits a stream of bytes, in chunks of any size, into events.
 #[derive(Debug, Clone)]
-pub struct Splitter {
+pub struct Decoder {
     max: usize,
     line: Vec<u8>,
     pending: Event,
@@ -123,8 +123,8 @@
 
 const BYTE_ORDER_MARK: &[u8] = b"\xef\xbb\xbf";
 
-impl Splitter {
-    /// A splitter for events of at most `max` bytes, field names included.
+impl Decoder {
+    /// A decoder for events of at most `max` bytes, field names included.
     pub fn new(max: usize) -> Self {
         Self {
             max,
@@ -141,7 +141,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::TooLarge`]; the splitter is of no further use then. Without the bound, a server that never
+    /// [`Error::TooLarge`]; the decoder is of no further use then. Without the bound, a server that never
     /// ends its event would fill the memory.
     pub fn push(&mut self, chunk: &[u8], out: &mut Vec<Event>) -> Result<(), Error> {
         let mut rest = chunk;
--- a/crates/fescuewell_http/src/upstream/exchange.rs
+++ b/crates/fescuewell_http/src/upstream/exchange.rs
@@ -52,7 +52,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Stalled`], [`Error::Closed`] or [`Error::DeadlinePassed`]; the connection is closed then
+    /// [`Error::Stalled`], [`Error::Closed`] or [`Error::DeadlineExceeded`]; the connection is closed then
     /// and the body yields nothing more. A body that the server ends by closing the connection, without
     /// length or chunks, cannot be told from one that broke.
     pub async fn next_chunk(&mut self) -> Option<Result<Bytes, Error>> {
@@ -90,7 +90,7 @@
 
     fn late(&self) -> Error {
         match self.target.deadline {
-            Some(deadline) if Instant::now() >= deadline => Error::DeadlinePassed,
+            Some(deadline) if Instant::now() >= deadline => Error::DeadlineExceeded,
             _ => Error::Stalled,
         }
     }
@@ -100,7 +100,7 @@
     /// # Errors
     ///
     /// As for [`Exchange::next_chunk`]; [`Error::Closed`] also when the body is larger than `most` bytes.
-    pub async fn whole(mut self, most: usize) -> Result<Bytes, Error> {
+    pub async fn collect(mut self, most: usize) -> Result<Bytes, Error> {
         let mut whole = BytesMut::new();
         while let Some(chunk) = self.next_chunk().await {
             let chunk = chunk?;
@@ -115,8 +115,8 @@
 
     fn fail(&mut self, error: Error) -> Error {
         self.connection = None;
-        if error != Error::DeadlinePassed {
-            self.pool.forget(self.target.address);
+        if error != Error::DeadlineExceeded {
+            self.pool.close_idle(self.target.address);
         }
         error
     }
--- a/crates/fescuewell_http/src/upstream/mod.rs
+++ b/crates/fescuewell_http/src/upstream/mod.rs
@@ -30,7 +30,7 @@
 pub use exchange::Exchange;
 use gate::{Count, Gate, Gated};
 use pool::{Connection, Pool};
-pub use tls::{Authority, Malformed};
+pub use tls::{InvalidCertificate, RootCertificates};
 
 /// Where a request goes, and until when its answer is of use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -118,7 +118,7 @@
     /// The answer began and was still under way at the target's deadline; this says nothing against
     /// the backend server.
     #[snafu(display("the deadline passed within the answer"))]
-    DeadlinePassed,
+    DeadlineExceeded,
 }
 
 impl Error {
@@ -127,20 +127,20 @@
         match self {
             Self::Unknown { is_broken, .. } => *is_broken,
             Self::Closed { .. } => true,
-            Self::NotSent { .. } | Self::Stalled | Self::DeadlinePassed => false,
+            Self::NotSent { .. } | Self::Stalled | Self::DeadlineExceeded => false,
         }
     }
 }
 
 /// What a connection attempt shows of a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reach {
+pub enum Reachability {
     /// It accepts connections.
     Accepted,
     /// Nothing listens at its address.
     Refused,
     /// Neither was seen in time.
-    Silent,
+    NoResponse,
 }
 
 /// Bounds of a [`Client`].
@@ -169,7 +169,7 @@
 #[derive(Clone, Default)]
 pub struct Client {
     settings: Settings,
-    authority: Option<Authority>,
+    roots: Option<RootCertificates>,
     pool: Arc<Pool>,
 }
 
@@ -181,14 +181,14 @@
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
-            authority: None,
+            roots: None,
             pool: Arc::default(),
         }
     }
 
     /// Uses TLS on new connections, with servers that these authorities certify.
-    pub fn with_authority(mut self, authority: Authority) -> Self {
-        self.authority = Some(authority);
+    pub fn with_root_certificates(mut self, roots: RootCertificates) -> Self {
+        self.roots = Some(roots);
         self
     }
 
@@ -221,7 +221,7 @@
     }
 
     /// Probes whether a backend server accepts connections, within `limit`. An accepted connection is kept for the next request.
-    pub async fn probe(&self, address: SocketAddr, limit: Duration) -> Reach {
+    pub async fn probe(&self, address: SocketAddr, limit: Duration) -> Reachability {
         let stream = match connect(address, limit).await {
             Ok(stream) => stream,
             Err(reach) => return reach,
@@ -229,15 +229,15 @@
         if let Ok(connection) = self.handshake(stream, address).await {
             self.pool.keep(connection, self.settings.max_idle);
         }
-        Reach::Accepted
+        Reachability::Accepted
     }
 
     /// Closes the unused connections to an address.
     ///
     /// When one connection has gone silent, others that were idle for as long have probably been forgotten
     /// by whatever stands between as well.
-    pub fn forget(&self, address: SocketAddr) {
-        self.pool.forget(address);
+    pub fn close_idle(&self, address: SocketAddr) {
+        self.pool.close_idle(address);
     }
 
     /// Whether an unused connection to an address is open.
@@ -267,10 +267,10 @@
         let _ = stream.set_nodelay(true);
         let gate = Arc::new(Gate::default());
         let stream = Gated::new(stream, gate.clone());
-        let Some(authority) = &self.authority else {
+        let Some(roots) = &self.roots else {
             return self.start_http(TokioIo::new(stream), address, gate).await;
         };
-        let secured = authority.secure(stream, address).await;
+        let secured = roots.secure(stream, address).await;
         let secured = secured.map_err(|error| not_sent(&error))?;
         self.start_http(TokioIo::new(secured), address, gate).await
     }
@@ -322,7 +322,7 @@
             Ok(Err(error)) => cause(&error).into(),
             Err(_) => "no answer in time".into(),
         };
-        self.forget(target.address);
+        self.close_idle(target.address);
         // Shut first, then count: after this no byte can leave, so the count is final.
         let count = connection.gate().shut();
         Err(classify(count, before, is_broken, reason))
@@ -330,20 +330,20 @@
 }
 
 /// Probes whether a backend server accepts connections, within `limit`, and closes the connection.
-pub async fn reach(address: SocketAddr, limit: Duration) -> Reach {
+pub async fn probe(address: SocketAddr, limit: Duration) -> Reachability {
     match connect(address, limit).await {
-        Ok(_) => Reach::Accepted,
+        Ok(_) => Reachability::Accepted,
         Err(reach) => reach,
     }
 }
 
-async fn connect(address: SocketAddr, limit: Duration) -> Result<TcpStream, Reach> {
+async fn connect(address: SocketAddr, limit: Duration) -> Result<TcpStream, Reachability> {
     match timeout(limit, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => Ok(stream),
         Ok(Err(error)) if error.kind() == std::io::ErrorKind::ConnectionRefused => {
-            Err(Reach::Refused)
+            Err(Reachability::Refused)
         }
-        _ => Err(Reach::Silent),
+        _ => Err(Reachability::NoResponse),
     }
 }
 
--- a/crates/fescuewell_http/src/upstream/pool.rs
+++ b/crates/fescuewell_http/src/upstream/pool.rs
@@ -99,7 +99,7 @@
         kept.push(Idle { connection, since });
     }
 
-    pub(super) fn forget(&self, address: SocketAddr) {
+    pub(super) fn close_idle(&self, address: SocketAddr) {
         self.idle().remove(&address);
     }
 
--- a/crates/fescuewell_http/src/upstream/tls.rs
+++ b/crates/fescuewell_http/src/upstream/tls.rs
@@ -14,35 +14,35 @@
 /// The authorities cannot be used.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{reason}"))]
-pub struct Malformed {
+pub struct InvalidCertificate {
     /// What is wrong with them.
     pub reason: Arc<str>,
 }
 
 /// Authorities by which a server's certificate is checked. No others are trusted.
 #[derive(Clone)]
-pub struct Authority(Arc<ClientConfig>);
+pub struct RootCertificates(Arc<ClientConfig>);
 
-impl Authority {
+impl RootCertificates {
     /// Reads the certificates of a PEM text.
     ///
     /// # Errors
     ///
     /// When the text has no certificate or one that cannot be used.
-    pub fn from_pem(text: &[u8]) -> Result<Self, Malformed> {
+    pub fn from_pem(text: &[u8]) -> Result<Self, InvalidCertificate> {
         let mut roots = RootCertStore::empty();
         for certificate in rustls_pemfile::certs(&mut &text[..]) {
             let certificate: CertificateDer<'static> =
-                certificate.map_err(|error| malformed(&error))?;
-            roots.add(certificate).map_err(|error| malformed(&error))?;
+                certificate.map_err(|error| invalid(&error))?;
+            roots.add(certificate).map_err(|error| invalid(&error))?;
         }
         if roots.is_empty() {
-            return Err(malformed(&"no certificate was found"));
+            return Err(invalid(&"no certificate was found"));
         }
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         let config = ClientConfig::builder_with_provider(provider)
             .with_safe_default_protocol_versions()
-            .map_err(|error| malformed(&error))?
+            .map_err(|error| invalid(&error))?
             .with_root_certificates(roots)
             .with_no_client_auth();
         Ok(Self(Arc::new(config)))
@@ -60,11 +60,11 @@
     }
 }
 
-fn malformed<Cause>(cause: &Cause) -> Malformed
+fn invalid<Cause>(cause: &Cause) -> InvalidCertificate
 where
     Cause: std::fmt::Display,
 {
-    Malformed {
+    InvalidCertificate {
         reason: cause.to_string().into(),
     }
 }
--- a/crates/fescuewell_http/tests/common/mod.rs
+++ b/crates/fescuewell_http/tests/common/mod.rs
@@ -28,7 +28,7 @@
 /// Answers each request with its own body.
 pub fn echo() -> Arc<dyn Handler> {
     Arc::new(Answer(|request: Request, reply: Reply| {
-        reply.whole(StatusCode::OK, HeaderMap::new(), request.body);
+        reply.send(StatusCode::OK, HeaderMap::new(), request.body);
     }))
 }
 
--- a/crates/fescuewell_http/tests/listener.rs
+++ b/crates/fescuewell_http/tests/listener.rs
@@ -117,7 +117,7 @@
         let closed = reply.closed();
         let tell = tell.clone();
         spawn(async move { tell.send(closed.wait().await).unwrap() });
-        reply.whole(StatusCode::OK, HeaderMap::new(), request.body);
+        reply.send(StatusCode::OK, HeaderMap::new(), request.body);
     });
     let listener = listen(local(), Arc::new(handler));
     let mut stream = connect(listener.address());
@@ -134,7 +134,7 @@
     let handler = Answer(|request: Request, reply: Reply| match &*request.path {
         "/panic" => panic!("as the test wants"),
         "/forget" => drop(reply),
-        _ => reply.whole(StatusCode::OK, HeaderMap::new(), bytes("fine")),
+        _ => reply.send(StatusCode::OK, HeaderMap::new(), bytes("fine")),
     });
     let listener = listen(local(), Arc::new(handler));
     let mut stream = connect(listener.address());
@@ -447,7 +447,7 @@
     let (hand_over, handed) = flume::bounded(1);
     let handler = Answer(move |request: Request, reply: Reply| match &*request.path {
         "/wait" => hand_over.send(reply).unwrap(),
-        _ => reply.whole(StatusCode::OK, HeaderMap::new(), bytes("took it")),
+        _ => reply.send(StatusCode::OK, HeaderMap::new(), bytes("took it")),
     });
     let listener = listen(settings, Arc::new(handler));
     let mut first = connect(listener.address());
@@ -456,7 +456,7 @@
     let reply = handed.recv_timeout(PATIENCE).unwrap();
 
     let refused = talk(listener.address(), post("/", &body).as_bytes());
-    reply.whole(StatusCode::OK, HeaderMap::new(), bytes("at last"));
+    reply.send(StatusCode::OK, HeaderMap::new(), bytes("at last"));
     read_until(&mut first, "at last");
     let mut third = connect(listener.address());
     third.write_all(post("/", &body).as_bytes()).unwrap();
--- a/crates/fescuewell_http/tests/text.rs
+++ b/crates/fescuewell_http/tests/text.rs
@@ -6,7 +6,7 @@
 use fescuewell_core::prelude::*;
 use fescuewell_http::depth;
 use fescuewell_http::refusal::refusal_response;
-use fescuewell_http::sse::{Error, Event, Splitter};
+use fescuewell_http::sse::{Decoder, Error, Event};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -45,10 +45,10 @@
 }
 
 fn split(pieces: &[&[u8]]) -> Vec<Event> {
-    let mut splitter = Splitter::new(LARGE);
+    let mut decoder = Decoder::new(LARGE);
     let mut events = Vec::new();
     for piece in pieces {
-        splitter.push(piece, &mut events).unwrap();
+        decoder.push(piece, &mut events).unwrap();
     }
     events
 }
@@ -130,9 +130,9 @@
 fn an_event_that_never_ends_is_given_up() {
     // Symptom: memory fills. Sequence: a server sends data lines, or one line, without ever ending the event.
     for part in ["data: xxxxxxxxxxxxxx\n", "xxxxxxxxxxxxxxxx"] {
-        let mut splitter = Splitter::new(1_000);
+        let mut decoder = Decoder::new(1_000);
         let mut events = Vec::new();
-        let outcome = (0..1_000).try_for_each(|_| splitter.push(part.as_bytes(), &mut events));
+        let outcome = (0..1_000).try_for_each(|_| decoder.push(part.as_bytes(), &mut events));
         assert_eq!(outcome, Err(Error::TooLarge { max: 1_000 }));
     }
 }
@@ -145,7 +145,7 @@
 
 #[test]
 fn a_stream_may_end_between_events_only() {
-    let mut splitter = Splitter::new(LARGE);
+    let mut decoder = Decoder::new(LARGE);
     let mut events = Vec::new();
     for (part, between) in [
         ("data: a", false),
@@ -153,8 +153,8 @@
         ("\n", true),
         ("id: 1\n", false),
     ] {
-        splitter.push(part.as_bytes(), &mut events).unwrap();
-        assert_eq!(splitter.is_between_events(), between, "{part:?}");
+        decoder.push(part.as_bytes(), &mut events).unwrap();
+        assert_eq!(decoder.is_between_events(), between, "{part:?}");
     }
 }
 
--- a/crates/fescuewell_http/tests/upstream.rs
+++ b/crates/fescuewell_http/tests/upstream.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use common::{PATIENCE, read_until};
-use fescuewell_http::upstream::{Client, Error, Phase, Reach, Target, Timeouts};
+use fescuewell_http::upstream::{Client, Error, Phase, Reachability, Target, Timeouts};
 
 const SHORT: Duration = Duration::from_millis(40);
 
@@ -99,7 +99,7 @@
     client
         .open(target, get(path), timeouts)
         .await?
-        .whole(1_000)
+        .collect(1_000)
         .await
 }
 
@@ -310,7 +310,7 @@
     );
     let late = late.await;
 
-    assert_eq!(late, Err(Error::DeadlinePassed));
+    assert_eq!(late, Err(Error::DeadlineExceeded));
 }
 
 #[tokio::test]
@@ -368,7 +368,7 @@
     let target = Target::new(server.address);
     let held = client.open(&target, get("/held"), patient()).await.unwrap();
     fetch(&client, &target, "/a", patient()).await.unwrap();
-    held.whole(100).await.unwrap();
+    held.collect(100).await.unwrap();
     assert_eq!(client.idle_connections(), 2);
 
     let broken = fetch(&client, &target, "/break", patient()).await;
@@ -399,8 +399,8 @@
     let refused = client.probe(gone, PATIENCE).await;
     let answer = fetch(&client, &Target::new(server.address), "/a", patient()).await;
 
-    assert_eq!(accepted, Reach::Accepted);
-    assert_eq!(refused, Reach::Refused);
+    assert_eq!(accepted, Reachability::Accepted);
+    assert_eq!(refused, Reachability::Refused);
     assert_eq!(answer.unwrap(), "/a");
     assert_eq!(server.connections(), 1);
 }
--- a/crates/fescuewell_metrics/src/lib.rs
+++ b/crates/fescuewell_metrics/src/lib.rs
@@ -1,12 +1,12 @@
 //! The page on which a process shows its metrics: instruments of `opentelemetry`, shown as Prometheus text.
 //!
 //! ```
-//! use fescuewell_metrics::Page;
+//! use fescuewell_metrics::Exporter;
 //!
-//! let page = Page::new().unwrap();
-//! let requests = page.meter().u64_counter("requests").build();
+//! let exporter = Exporter::new().unwrap();
+//! let requests = exporter.meter().u64_counter("requests").build();
 //! requests.add(2, &[]);
-//! let text = String::from_utf8(page.text()).unwrap();
+//! let text = String::from_utf8(exporter.encode()).unwrap();
 //! assert!(text.contains("requests_total"));
 //! ```
 
@@ -28,12 +28,12 @@
 }
 
 /// Where instruments are made and their values read.
-pub struct Page {
+pub struct Exporter {
     registry: Registry,
     provider: SdkMeterProvider,
 }
 
-impl Page {
+impl Exporter {
     /// A page without instruments.
     ///
     /// # Errors
@@ -57,7 +57,7 @@
     }
 
     /// The present values in the Prometheus text format.
-    pub fn text(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         let mut text = Vec::new();
         // Writing to memory fails for no other reason than a broken metric, which is then left out.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut text);
--- a/crates/fescuewell_router/src/attempt.rs
+++ b/crates/fescuewell_router/src/attempt.rs
@@ -203,7 +203,7 @@
             // The server knows this attempt already: an earlier send of it arrived after all.
             StatusCode::CONFLICT => Opening::Unclear { stalled: false },
             status if status.is_client_error() => {
-                let body = exchange.whole(LARGEST_ERROR).await.unwrap_or_default();
+                let body = exchange.collect(LARGEST_ERROR).await.unwrap_or_default();
                 Opening::Rejected(status, body)
             }
             _ => Opening::Unclear { stalled: false },
@@ -273,20 +273,20 @@
         limit: u32,
         delivery: &mut Delivery,
     ) -> Reading {
-        let mut splitter = sse::Splitter::new(LARGEST_EVENT);
+        let mut decoder = sse::Decoder::new(LARGEST_EVENT);
         let mut events = Vec::new();
         let mut noted = delivery.last;
         while let Some(chunk) = exchange.next_chunk().await {
             let chunk = match chunk {
                 Ok(chunk) => chunk,
-                Err(Error::DeadlinePassed) => return Reading::Late,
+                Err(Error::DeadlineExceeded) => return Reading::Late,
                 Err(error) => {
                     return Reading::Broken {
                         stalled: error == Error::Stalled,
                     };
                 }
             };
-            if splitter.push(&chunk, &mut events).is_err() {
+            if decoder.push(&chunk, &mut events).is_err() {
                 return Reading::Broken { stalled: false };
             }
             for event in events.drain(..) {
@@ -364,7 +364,7 @@
         let Ok(exchange) = exchange else {
             return;
         };
-        let body = exchange.whole(LARGEST_ERROR).await.unwrap_or_default();
+        let body = exchange.collect(LARGEST_ERROR).await.unwrap_or_default();
         let record: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
         let total = record["usage"]["total_tokens"].as_u64();
         delivery.used = total.map_or(delivery.used, Tokens);
--- a/crates/fescuewell_router/src/backends.rs
+++ b/crates/fescuewell_router/src/backends.rs
@@ -198,7 +198,7 @@
         match tokio::time::timeout(PATIENCE, open).await {
             Ok(Ok(exchange)) => {
                 let status = exchange.status;
-                let body = exchange.whole(LARGEST).await.unwrap_or_default();
+                let body = exchange.collect(LARGEST).await.unwrap_or_default();
                 read_answer(status, &body)
             }
             Ok(Err(upstream::Error::NotSent { .. })) => Response::Refused,
@@ -221,7 +221,7 @@
         if !exchange.status.is_success() {
             return None;
         }
-        exchange.whole(LARGEST).await.ok()
+        exchange.collect(LARGEST).await.ok()
     }
 }
 
--- a/crates/fescuewell_router/src/call.rs
+++ b/crates/fescuewell_router/src/call.rs
@@ -172,7 +172,7 @@
     let content_type = exchange.headers.get(CONTENT_TYPE);
     let content_type = content_type.and_then(|value| value.to_str().ok());
     let content_type: Arc<str> = content_type.unwrap_or("application/json").into();
-    let body = exchange.whole(LARGEST_ANSWER).await.ok()?;
+    let body = exchange.collect(LARGEST_ANSWER).await.ok()?;
     Some(StoredResponse {
         status,
         content_type,
--- a/crates/fescuewell_router/src/delivery.rs
+++ b/crates/fescuewell_router/src/delivery.rs
@@ -189,14 +189,14 @@
             return;
         };
         let body = self.assembly.whole(self.wish.path);
-        reply.whole(StatusCode::OK, headers, Bytes::from(body.to_string()));
+        reply.send(StatusCode::OK, headers, Bytes::from(body.to_string()));
     }
 
     /// Passes on what a backend server said about a request that it did not take.
     pub fn pass_on(mut self, status: StatusCode, body: Bytes) {
         let headers = self.headers("application/json");
         if let Some(reply) = self.reply.take() {
-            reply.whole(status, headers, body);
+            reply.send(status, headers, body);
         }
     }
 
@@ -208,7 +208,7 @@
                 response.headers_mut().insert(ID_HEADER, id);
             }
             let (parts, body) = response.into_parts();
-            reply.whole(parts.status, parts.headers, body);
+            reply.send(parts.status, parts.headers, body);
             return;
         }
         let Some(sink) = self.sink.take() else {
--- a/crates/fescuewell_router/src/metrics.rs
+++ b/crates/fescuewell_router/src/metrics.rs
@@ -2,13 +2,13 @@
 
 use fescuewell_core::prelude::*;
 pub use fescuewell_metrics::Error;
-use fescuewell_metrics::Page;
+use fescuewell_metrics::Exporter;
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Counter, Histogram};
 
 /// Everything that one instance counts.
 pub struct Metrics {
-    page: Page,
+    exporter: Exporter,
     /// Requests that reached the callers' listener.
     pub requests: Counter<u64>,
     /// Tokens billed here.
@@ -26,15 +26,15 @@
     ///
     /// When the page cannot be set up.
     pub fn new() -> Result<Self, Error> {
-        let page = Page::new()?;
-        let meter = page.meter();
+        let exporter = Exporter::new()?;
+        let meter = exporter.meter();
         Ok(Self {
             requests: meter.u64_counter("fescuewell_requests").build(),
             tokens: meter.u64_counter("fescuewell_tokens").build(),
             verdict_seconds: meter.f64_histogram("fescuewell_verdict_seconds").build(),
             refusals: meter.u64_counter("fescuewell_refusals").build(),
             events: meter.u64_counter("fescuewell_events").build(),
-            page,
+            exporter,
         })
     }
 
@@ -54,6 +54,6 @@
 
     /// The present values in the Prometheus text format.
     pub fn text(&self) -> Vec<u8> {
-        self.page.text()
+        self.exporter.encode()
     }
 }
--- a/crates/fescuewell_router/src/operator.rs
+++ b/crates/fescuewell_router/src/operator.rs
@@ -65,5 +65,5 @@
 fn send(reply: Reply, content_type: &'static str, body: Bytes) {
     let mut headers = HeaderMap::new();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
-    reply.whole(StatusCode::OK, headers, body);
+    reply.send(StatusCode::OK, headers, body);
 }
--- a/crates/fescuewell_router/src/plane.rs
+++ b/crates/fescuewell_router/src/plane.rs
@@ -348,7 +348,7 @@
         self.metrics.count_refusal(refusal.code);
         let (mut parts, body) = refusal_response(refusal).into_parts();
         self.add_addresses(refusal, &mut parts.headers);
-        reply.whole(parts.status, parts.headers, body);
+        reply.send(parts.status, parts.headers, body);
     }
 
     // A caller that holds the address of an instance that is leaving is told others right away.
@@ -415,7 +415,7 @@
 fn send_json(reply: Reply, status: StatusCode, body: &Value) {
     let mut headers = HeaderMap::new();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    reply.whole(status, headers, Bytes::from(body.to_string()));
+    reply.send(status, headers, Bytes::from(body.to_string()));
 }
 
 fn query_value<'a>(query: &'a str, name: &str) -> Option<&'a str> {
--- a/crates/fescuewell_router/src/plane/service.rs
+++ b/crates/fescuewell_router/src/plane/service.rs
@@ -98,7 +98,7 @@
     if let Ok(value) = HeaderValue::from_str(id) {
         headers.insert(crate::delivery::ID_HEADER, value);
     }
-    reply.whole(
+    reply.send(
         status_of(answer),
         headers,
         Bytes::copy_from_slice(&answer.body),
--- a/crates/fescuewell_standin/src/engine/route.rs
+++ b/crates/fescuewell_standin/src/engine/route.rs
@@ -49,7 +49,7 @@
         let headers = self.headers();
         match self.answer(&request) {
             Ok(Answer::Json(value)) => send(reply, StatusCode::OK, headers, value.to_string()),
-            Ok(Answer::Text(text)) => reply.whole(StatusCode::OK, headers, text.into()),
+            Ok(Answer::Text(text)) => reply.send(StatusCode::OK, headers, text.into()),
             Ok(Answer::Read { key, after, stream }) => {
                 self.read(key, after, stream, headers, reply);
             }
@@ -64,7 +64,7 @@
     Body: Into<Bytes>,
 {
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    reply.whole(status, headers, body.into());
+    reply.send(status, headers, body.into());
 }
 
 impl Router {
--- a/crates/fescuewell_standin/src/engine/stream.rs
+++ b/crates/fescuewell_standin/src/engine/stream.rs
@@ -132,7 +132,7 @@
             };
             // Without a body the reply is dropped, which the listener turns into an error for the caller.
             if let Some(body) = body {
-                reply.whole(StatusCode::OK, headers, body);
+                reply.send(StatusCode::OK, headers, body);
             }
         });
     }
--- a/crates/fescuewell_standin/src/platform.rs
+++ b/crates/fescuewell_standin/src/platform.rs
@@ -177,7 +177,7 @@
 
     fn report(&self, reply: Reply) {
         let body = serde_json::to_vec(&Report::of(self)).unwrap_or_default();
-        reply.whole(StatusCode::OK, HeaderMap::new(), body.into());
+        reply.send(StatusCode::OK, HeaderMap::new(), body.into());
     }
 
     fn control(&self, body: &[u8], reply: Reply) {
@@ -194,5 +194,5 @@
 
 fn refuse(reply: Reply, status: StatusCode, text: &str) {
     let body = serde_json::json!({ "error": text }).to_string();
-    reply.whole(status, HeaderMap::new(), Bytes::from(body));
+    reply.send(status, HeaderMap::new(), Bytes::from(body));
 }
--- a/crates/fescuewell_standin/src/rows/serve.rs
+++ b/crates/fescuewell_standin/src/rows/serve.rs
@@ -153,7 +153,7 @@
         let mut headers = HeaderMap::new();
         headers.insert(ERA, HeaderValue::from(self.content.state().era));
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        reply.whole(status, headers, Bytes::from(body.to_string()));
+        reply.send(status, headers, Bytes::from(body.to_string()));
     }
 
     async fn serve(&self, request: Request, reply: Reply) {
@@ -211,7 +211,7 @@
             Ok(Some(bytes)) => {
                 let mut headers = HeaderMap::new();
                 headers.insert(ERA, HeaderValue::from(self.content.state().era));
-                reply.whole(StatusCode::OK, headers, bytes.into());
+                reply.send(StatusCode::OK, headers, bytes.into());
             }
             Ok(None) => self.send(reply, StatusCode::NOT_FOUND, &json!({})),
             Err(_) => reply.abort(),
--- a/crates/fescuewell_standin/src/service.rs
+++ b/crates/fescuewell_standin/src/service.rs
@@ -325,6 +325,6 @@
         if self.state().control.leaving == Some(true) {
             headers.insert("x-leaving", HeaderValue::from_static("true"));
         }
-        reply.whole(status, headers, body.to_string().into());
+        reply.send(status, headers, body.to_string().into());
     }
 }
--- a/crates/fescuewell_standin/src/worker.rs
+++ b/crates/fescuewell_standin/src/worker.rs
@@ -300,7 +300,7 @@
             && expected.as_bytes() != self.state().name.as_bytes()
         {
             self.state().refused.push(run);
-            return reply.whole(
+            return reply.send(
                 StatusCode::MISDIRECTED_REQUEST,
                 HeaderMap::new(),
                 Bytes::new(),
@@ -313,7 +313,7 @@
             self.arrived.send_modify(|count| *count += 1);
             let mut headers = HeaderMap::new();
             headers.insert(NOT_EXECUTED, HeaderValue::from_static("1"));
-            return reply.whole(StatusCode::SERVICE_UNAVAILABLE, headers, Bytes::new());
+            return reply.send(StatusCode::SERVICE_UNAVAILABLE, headers, Bytes::new());
         }
         self.state().runs.push(run.clone());
         self.arrived.send_modify(|count| *count += 1);
@@ -332,7 +332,7 @@
         match behaviour {
             Behaviour::Lose => reply.abort(),
             Behaviour::Fail => {
-                reply.whole(StatusCode::INTERNAL_SERVER_ERROR, headers, Bytes::new());
+                reply.send(StatusCode::INTERNAL_SERVER_ERROR, headers, Bytes::new());
             }
             Behaviour::Hang => {
                 reply.closed().wait().await;
@@ -341,7 +341,7 @@
             _ if request.path.contains("/stream") => {
                 self.stream(reply, headers, &run, behaviour).await;
             }
-            _ => reply.whole(
+            _ => reply.send(
                 StatusCode::OK,
                 headers,
                 Bytes::from(format!("{} ran", run.id)),
--- a/crates/fescuewell_standin/tests/common/mod.rs
+++ b/crates/fescuewell_standin/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use fescuewell_http::sse::{Event, Splitter};
+use fescuewell_http::sse::{Decoder, Event};
 use fescuewell_http::upstream::{Client, Error, Exchange, Target, Timeouts};
 use serde_json::{Value, json};
 
@@ -62,7 +62,7 @@
         .await
         .unwrap();
     let status = exchange.status.as_u16();
-    let body = exchange.whole(10_000_000).await.unwrap();
+    let body = exchange.collect(10_000_000).await.unwrap();
     (status, serde_json::from_slice(&body).unwrap_or(Value::Null))
 }
 
@@ -119,7 +119,7 @@
 /// Reads a stream to its end, or to the token `until`.
 pub async fn listen(exchange: &mut Exchange, until: u32) -> Heard {
     let mut heard = Heard::default();
-    let mut splitter = Splitter::new(1_000_000);
+    let mut decoder = Decoder::new(1_000_000);
     let mut events = Vec::new();
     while heard.last < until {
         match exchange.next_chunk().await {
@@ -128,7 +128,7 @@
                 heard.error = Some(error);
                 break;
             }
-            Some(Ok(chunk)) => splitter.push(&chunk, &mut events).unwrap(),
+            Some(Ok(chunk)) => decoder.push(&chunk, &mut events).unwrap(),
         }
         for event in events.drain(..) {
             take(&mut heard, &event);
--- a/crates/fescuewell_standin/tests/engine.rs
+++ b/crates/fescuewell_standin/tests/engine.rs
@@ -407,7 +407,7 @@
 async fn metrics(engine: &Engine) -> String {
     let request = request("GET", "/metrics", &[], &Value::Null);
     let exchange = open(engine.address(), request).await.unwrap();
-    String::from_utf8(exchange.whole(100_000).await.unwrap().to_vec()).unwrap()
+    String::from_utf8(exchange.collect(100_000).await.unwrap().to_vec()).unwrap()
 }
 
 #[tokio::test]
