--- a/crates/fescuewell_http/examples/streams.rs
+++ b/crates/fescuewell_http/examples/streams.rs
@@ -1,16 +1,16 @@
-//! Measures what a trivial proxy, made of the listener and the upstream client, adds to streams.
+//! Measures the latency and resource usage of a minimal proxy built from the listener and the upstream client.
 //!
-//! Each role is a process of its own, so that the proxy's processor time and memory are its own:
+//! Each role runs in its own process, so that the proxy's CPU time and memory are measured separately:
 //!
 //! ```text
-//! streams engine PORT [even|burst]          first token at once, then 22 a second, all streams in step with burst
-//! streams proxy PORT ENGINE [THREADS]       hands everything on; GET /stats tells its use
+//! streams engine PORT [even|burst]          first token immediately, then 22 per second; burst aligns all streams
+//! streams proxy PORT ENGINE [THREADS]       forwards everything; GET /stats returns its resource usage
 //! streams load ENGINE PROXY [STREAMS] [SECONDS]
 //! streams idle PROXY [CONNECTIONS]
 //! ```
 //!
-//! `load` keeps STREAMS streams open through the proxy and meanwhile probes the time to the first token in pairs,
-//! directly at the engine, which carries the same streams, and through the proxy.
+//! `load` keeps STREAMS streams open through the proxy and measures the time to the first token in pairs of probes:
+//! one directly to the engine, which serves the same streams, and one through the proxy.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,7 +29,11 @@
 fn main() {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     let argument = |index: usize| arguments.get(index).map_or("", String::as_str);
-    let address = |index: usize| argument(index).parse().expect("an address");
+    let address = |index: usize| {
+        argument(index)
+            .parse()
+            .expect("the argument should be a socket address")
+    };
     match argument(0) {
         "engine" => serve(local(argument(1)), Arc::new(Engine::new(argument(2))), 2),
         "proxy" => {
@@ -58,35 +62,37 @@
 }
 
 fn local(port: &str) -> SocketAddr {
-    format!("127.0.0.1:{port}").parse().expect("a port")
+    format!("127.0.0.1:{port}")
+        .parse()
+        .expect("the argument should be a port")
 }
 
 fn serve(address: SocketAddr, handler: Arc<dyn Handler>, threads: usize) {
     let settings = Settings::new(address).with_threads(threads);
-    let listener = Listener::start(settings, handler).expect("the address is free");
+    let listener = Listener::start(settings, handler).expect("the listener should start");
     println!("listens on {}", listener.address());
     loop {
         std::thread::park();
     }
 }
 
-/// Streams tokens, the first at once. The next ones come at the stream's own pace, or in step with those of
-/// all other streams, as from one batch.
+/// Streams tokens, the first immediately. Later tokens are timed per stream, or aligned across all streams as
+/// in batched inference.
 struct Engine {
-    in_step: Option<tokio::time::Instant>,
+    aligned_origin: Option<tokio::time::Instant>,
 }
 
 impl Engine {
-    fn new(pace: &str) -> Self {
+    fn new(pacing: &str) -> Self {
         let now = tokio::time::Instant::now();
         Self {
-            in_step: (pace == "burst").then_some(now),
+            aligned_origin: (pacing == "burst").then_some(now),
         }
     }
 
-    fn second_token(&self, period: Duration) -> tokio::time::Instant {
+    fn second_token_at(&self, period: Duration) -> tokio::time::Instant {
         let now = tokio::time::Instant::now();
-        let Some(origin) = self.in_step else {
+        let Some(origin) = self.aligned_origin else {
             return now + period;
         };
         let steps = (now - origin).as_micros() / period.as_micros() + 1;
@@ -98,11 +104,11 @@
     fn handle(&self, _: Request, reply: Reply) {
         let sink = reply.stream(StatusCode::OK, HeaderMap::new());
         let period = Duration::from_micros(1_000_000 / TOKENS_PER_SECOND);
-        let mut pace = tokio::time::interval_at(self.second_token(period), period);
+        let mut interval = tokio::time::interval_at(self.second_token_at(period), period);
         spawn(async move {
             for index in 1..=TOKENS {
                 if index > 1 {
-                    pace.tick().await;
+                    interval.tick().await;
                 }
                 let event = format!(
                     "id: {index}\ndata: {{\"object\":\"chat.completion.chunk\",\"choices\":[{{\"index\":0,\"delta\":{{\"content\":\"word \"}},\"finish_reason\":null}}]}}\n\n"
@@ -127,7 +133,7 @@
             return reply.send(
                 StatusCode::OK,
                 HeaderMap::new(),
-                Use::of_this_process().to_bytes(),
+                ResourceUsage::of_current_process().to_bytes(),
             );
         }
         let client = self.client.clone();
@@ -137,11 +143,11 @@
                 .method(request.method)
                 .uri(&*request.path)
                 .body(request.body)
-                .expect("the parts come from a request");
+                .expect("the parts of a valid request should form a request");
             match client.open(&target, upstream, Timeouts::default()).await {
                 Ok(exchange) => {
                     let sink = reply.stream(exchange.status, HeaderMap::new());
-                    hand_on(exchange, sink).await;
+                    forward(exchange, sink).await;
                 }
                 Err(error) => {
                     let body = error.to_string().into();
@@ -152,7 +158,7 @@
     }
 }
 
-async fn hand_on(mut exchange: Exchange, sink: Sink) {
+async fn forward(mut exchange: Exchange, sink: Sink) {
     while let Some(chunk) = exchange.next_chunk().await {
         let Ok(chunk) = chunk else {
             return;
@@ -164,17 +170,17 @@
     sink.finish();
 }
 
-/// What a process uses.
+/// Resource usage of a process.
 #[derive(Debug, Clone, Copy, Default)]
-struct Use {
+struct ResourceUsage {
     cpu_ms: u64,
     memory_kb: u64,
     threads: u64,
 }
 
-impl Use {
-    fn of_this_process() -> Self {
-        // In ticks of 10 ms, after the name in parentheses: fields 14 and 15 of proc(5).
+impl ResourceUsage {
+    fn of_current_process() -> Self {
+        // utime and stime in ticks of 10 ms: fields 14 and 15 of proc_pid_stat(5), counted after the name in parentheses.
         let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
         let after_name = stat.rsplit(')').next().unwrap_or_default();
         let fields: Vec<&str> = after_name.split_whitespace().collect();
@@ -218,52 +224,52 @@
 async fn fetch(client: &Client, address: SocketAddr, path: &str) -> Bytes {
     let request = http::Request::get(path)
         .body(Bytes::new())
-        .expect("a request");
+        .expect("the request should be valid");
     let exchange = client
         .open(&Target::new(address), request, Timeouts::default())
         .await;
     exchange
-        .expect("an answer")
+        .expect("the server should respond")
         .collect(1_000_000)
         .await
-        .expect("a whole answer")
+        .expect("the response should be complete")
 }
 
-/// What the streams under way brought, and what they are told.
+/// Counters of the running streams, and the flag that stops them.
 #[derive(Default)]
-struct Tally {
+struct Counters {
     tokens: AtomicU64,
     failures: AtomicU64,
     stopped: AtomicBool,
 }
 
-/// Keeps streams open through the proxy and, meanwhile, probes engine and proxy in pairs.
+/// Keeps streams open through the proxy while probing engine and proxy in pairs.
 fn load(engine: SocketAddr, proxy: SocketAddr, streams: usize, time: Duration) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    let runtime = runtime.expect("a runtime");
-    let idle = runtime.block_on(Use::of(proxy));
-    let tally = Arc::new(Tally::default());
+    let runtime = runtime.expect("the runtime should start");
+    let idle = runtime.block_on(ResourceUsage::of(proxy));
+    let counters = Arc::new(Counters::default());
     let workers: Vec<_> = (0..LOAD_THREADS)
         .map(|worker| {
-            let tally = tally.clone();
+            let counters = counters.clone();
             let count = streams / LOAD_THREADS + usize::from(worker < streams % LOAD_THREADS);
-            std::thread::spawn(move || drive(proxy, count, worker, &tally))
+            std::thread::spawn(move || drive(proxy, count, worker, &counters))
         })
         .collect();
-    // The streams start spread over their own length; then all of them are under way.
+    // The streams start staggered over the duration of one stream; after that all of them are running.
     std::thread::sleep(Duration::from_secs(TOKENS / TOKENS_PER_SECOND + 1));
-    let before = runtime.block_on(Use::of(proxy));
-    let tokens = tally.tokens.load(Ordering::Relaxed);
+    let before = runtime.block_on(ResourceUsage::of(proxy));
+    let tokens = counters.tokens.load(Ordering::Relaxed);
     let pairs = runtime.block_on(probe(engine, proxy, time));
-    let tokens = tally.tokens.load(Ordering::Relaxed) - tokens;
-    let after = runtime.block_on(Use::of(proxy));
-    tally.stopped.store(true, Ordering::Relaxed);
+    let tokens = counters.tokens.load(Ordering::Relaxed) - tokens;
+    let after = runtime.block_on(ResourceUsage::of(proxy));
+    counters.stopped.store(true, Ordering::Relaxed);
     for worker in workers {
-        worker.join().expect("a worker that ends");
+        worker.join().expect("the worker thread should not panic");
     }
-    let failures = tally.failures.load(Ordering::Relaxed);
+    let failures = counters.failures.load(Ordering::Relaxed);
     println!(
         "{streams} streams, {} pairs of probes, {failures} failures",
         pairs.len()
@@ -292,8 +298,8 @@
     );
 }
 
-/// Times to the first token, in milliseconds, direct and through the proxy. The two of a pair follow each other at once,
-/// in turn the one or the other first, so that what else the machine does falls on both alike.
+/// Returns pairs of times to the first token in milliseconds, direct and through the proxy. The two probes of a pair run
+/// back to back in alternating order, so that other load on the machine affects both equally.
 async fn probe(engine: SocketAddr, proxy: SocketAddr, time: Duration) -> Vec<(f64, f64)> {
     let client = Client::default();
     let end = Instant::now() + time;
@@ -312,7 +318,7 @@
             first_token(&client, proxy).await
         };
         pairs.push((direct, late));
-        // No multiple of the tokens' period, so that the probes meet all of its parts.
+        // Not a multiple of the token period, so that the probes cover all phases of the period.
         tokio::time::sleep(Duration::from_millis(17)).await;
     }
     pairs
@@ -321,16 +327,16 @@
 async fn first_token(client: &Client, address: SocketAddr) -> f64 {
     let started = Instant::now();
     let request = http::Request::post("/v1/chat/completions").body(Bytes::from_static(b"{}"));
-    let request = request.expect("a request");
+    let request = request.expect("the request should be valid");
     let opened = client
         .open(&Target::new(address), request, Timeouts::default())
         .await;
-    let mut exchange = opened.expect("an answer");
+    let mut exchange = opened.expect("the server should respond");
     exchange
         .next_chunk()
         .await
-        .expect("a token")
-        .expect("a token");
+        .expect("the response should contain a token")
+        .expect("the response should contain a token");
     started.elapsed().as_secs_f64() * 1_000.0
 }
 
@@ -349,12 +355,12 @@
     );
 }
 
-fn drive(address: SocketAddr, count: usize, worker: usize, tally: &Arc<Tally>) {
+fn drive(address: SocketAddr, count: usize, worker: usize, counters: &Arc<Counters>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
     let client = Client::default();
-    runtime.expect("a runtime").block_on(async {
+    runtime.expect("the runtime should start").block_on(async {
         let mut tasks = Vec::new();
         for stream in 0..count {
             let offset =
@@ -363,7 +369,7 @@
                 client.clone(),
                 address,
                 offset,
-                tally.clone(),
+                counters.clone(),
             )));
         }
         for task in tasks {
@@ -372,26 +378,31 @@
     });
 }
 
-async fn keep_streaming(client: Client, address: SocketAddr, offset_ms: u64, tally: Arc<Tally>) {
+async fn keep_streaming(
+    client: Client,
+    address: SocketAddr,
+    offset_ms: u64,
+    counters: Arc<Counters>,
+) {
     tokio::time::sleep(Duration::from_millis(offset_ms)).await;
-    while !tally.stopped.load(Ordering::Relaxed) {
+    while !counters.stopped.load(Ordering::Relaxed) {
         let request = http::Request::post("/v1/chat/completions").body(Bytes::from_static(b"{}"));
-        let request = request.expect("a request");
+        let request = request.expect("the request should be valid");
         let opened = client
             .open(&Target::new(address), request, Timeouts::default())
             .await;
         let Ok(mut exchange) = opened else {
-            tally.failures.fetch_add(1, Ordering::Relaxed);
+            counters.failures.fetch_add(1, Ordering::Relaxed);
             return;
         };
         while let Some(chunk) = exchange.next_chunk().await {
             let Ok(chunk) = chunk else {
-                tally.failures.fetch_add(1, Ordering::Relaxed);
+                counters.failures.fetch_add(1, Ordering::Relaxed);
                 return;
             };
             let tokens = chunk.windows(4).filter(|window| window == b"id: ").count();
-            tally.tokens.fetch_add(tokens as u64, Ordering::Relaxed);
-            if tally.stopped.load(Ordering::Relaxed) {
+            counters.tokens.fetch_add(tokens as u64, Ordering::Relaxed);
+            if counters.stopped.load(Ordering::Relaxed) {
                 return;
             }
         }
@@ -402,13 +413,13 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    let runtime = runtime.expect("a runtime");
-    let before = runtime.block_on(Use::of(proxy));
+    let runtime = runtime.expect("the runtime should start");
+    let before = runtime.block_on(ResourceUsage::of(proxy));
     let open: Vec<_> = (0..connections)
         .map(|_| std::net::TcpStream::connect(proxy))
         .collect();
     let failed = open.iter().filter(|stream| stream.is_err()).count();
-    let after = runtime.block_on(Use::of(proxy));
+    let after = runtime.block_on(ResourceUsage::of(proxy));
     println!(
         "{connections} idle connections ({failed} failed): threads {} -> {}, memory {} -> {} kB",
         before.threads, after.threads, before.memory_kb, after.memory_kb
--- a/crates/fescuewell_http/tests/common/mod.rs
+++ b/crates/fescuewell_http/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Fixtures shared by the tests of the listener and the client.
-#![allow(dead_code)] // Each test program uses some of them.
+//! Fixtures shared by the tests of the listener and the upstream client.
+#![allow(dead_code)] // No test binary uses all of them.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -10,24 +10,24 @@
 use fescuewell_http::listener::{Handler, Listener, Reply, Request, Settings};
 use http::{HeaderMap, StatusCode};
 
-/// Longest that a test waits for something that must happen; reached only when it fails.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// How long a test waits for an expected event; reached only if the test fails.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A handler made of a closure.
-pub struct Answer<Body>(pub Body);
+/// A handler that calls a closure.
+pub struct FnHandler<Callback>(pub Callback);
 
-impl<Body> Handler for Answer<Body>
+impl<Callback> Handler for FnHandler<Callback>
 where
-    Body: Fn(Request, Reply) + Send + Sync,
+    Callback: Fn(Request, Reply) + Send + Sync,
 {
     fn handle(&self, request: Request, reply: Reply) {
         (self.0)(request, reply);
     }
 }
 
-/// Answers each request with its own body.
+/// Returns a handler that responds to each request with the request's body.
 pub fn echo() -> Arc<dyn Handler> {
-    Arc::new(Answer(|request: Request, reply: Reply| {
+    Arc::new(FnHandler(|request: Request, reply: Reply| {
         reply.send(StatusCode::OK, HeaderMap::new(), request.body);
     }))
 }
@@ -42,8 +42,8 @@
 
 pub fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
-    stream.set_write_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+    stream.set_write_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream
 }
 
@@ -54,49 +54,55 @@
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-/// Reads until what came contains `mark`.
+/// Reads until the received text contains `mark`.
 pub fn read_until(stream: &mut TcpStream, mark: &str) -> String {
     let mut text = String::new();
     let mut buffer = [0u8; 4096];
     while !text.contains(mark) {
         let count = stream.read(&mut buffer).unwrap();
-        assert!(count > 0, "connection ended before {mark:?}: {text:?}");
+        assert!(
+            count > 0,
+            "connection ended before {mark:?} was received: {text:?}"
+        );
         text.push_str(&String::from_utf8_lossy(&buffer[..count]));
     }
     text
 }
 
-/// Sends raw bytes and returns everything that comes back until the connection ends.
-pub fn talk(address: SocketAddr, bytes: &[u8]) -> String {
+/// Sends raw bytes and returns everything that is received until the connection ends.
+pub fn send_raw(address: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = connect(address);
     let _ = stream.write_all(bytes);
     read_all(&mut stream)
 }
 
-/// Asserts that an answer is a refusal of this code, in status, header and body.
-pub fn assert_refusal(answer: &str, code: fescuewell_core::code::Code) {
+/// Asserts that status, header and body of a response are those of a refusal with this code.
+pub fn assert_refusal(response: &str, code: fescuewell_core::code::Code) {
     let status = format!("HTTP/1.1 {} ", code.status());
-    assert!(answer.starts_with(&status), "{answer:?}");
+    assert!(response.starts_with(&status), "{response:?}");
     let header = format!("x-fescuewell-code: {}", code.number());
-    assert!(answer.contains(&header), "{answer:?}");
+    assert!(response.contains(&header), "{response:?}");
     let body = format!("{{\"error\":{{\"code\":{},", code.number());
-    assert!(answer.contains(&body), "{answer:?}");
-    assert!(answer.contains("\"run\":"), "{answer:?}");
+    assert!(response.contains(&body), "{response:?}");
+    assert!(response.contains("\"run\":"), "{response:?}");
 }
 
-/// Waits until `holds`, for what another thread does.
+/// Polls until `holds` returns true, for effects of another thread.
 pub fn eventually<Condition>(what: &str, holds: Condition)
 where
     Condition: Fn() -> bool,
 {
-    let deadline = std::time::Instant::now() + PATIENCE;
+    let deadline = std::time::Instant::now() + TEST_TIMEOUT;
     while !holds() {
-        assert!(std::time::Instant::now() < deadline, "never: {what}");
+        assert!(
+            std::time::Instant::now() < deadline,
+            "condition not met: {what}"
+        );
         std::thread::yield_now();
     }
 }
 
-/// A request in text form.
+/// Encodes a POST request.
 pub fn post(path: &str, body: &str) -> String {
     format!(
         "POST {path} HTTP/1.1\r\nHost: here\r\nContent-Length: {}\r\n\r\n{body}",
--- a/crates/fescuewell_http/tests/descriptors.rs
+++ b/crates/fescuewell_http/tests/descriptors.rs
@@ -1,4 +1,4 @@
-//! Running out of descriptors. Alone in its program, since the limit is the whole process's.
+//! Test of running out of file descriptors. It is the only test of its binary, since the limit applies to the process.
 
 mod common;
 
@@ -12,7 +12,7 @@
 
 static ACCEPT_FAILURES: AtomicUsize = AtomicUsize::new(0);
 
-/// Counts the log lines that tell of a failed accept.
+/// Counts the log lines of failed accepts.
 struct Counter;
 
 impl log::Log for Counter {
@@ -21,8 +21,8 @@
     }
 
     fn log(&self, record: &log::Record<'_>) {
-        let failed = record.args().to_string().starts_with("E8002 ");
-        ACCEPT_FAILURES.fetch_add(usize::from(failed), Ordering::SeqCst);
+        let is_accept_failure = record.args().to_string().starts_with("E8002 ");
+        ACCEPT_FAILURES.fetch_add(usize::from(is_accept_failure), Ordering::SeqCst);
     }
 
     fn flush(&self) {}
@@ -40,23 +40,22 @@
 
 #[test]
 fn the_listener_survives_running_out_of_descriptors() {
-    // Symptom: the listener accepts nothing any more although descriptors are free again. Sequence: connections
-    // use up the process's descriptors; accepting the next ones fails; connections are closed. Cause: an
-    // accept loop that ends at its first error.
+    // Guards against an accept loop that ends at its first error: connections exhaust the file descriptors of
+    // the process, accepting fails, and after connections have closed the listener must accept again.
     log::set_logger(&Counter).unwrap();
     log::set_max_level(log::LevelFilter::Error);
     let listener = listen(local(), echo());
     let mut first = connect(listener.address());
     eventually("the first is accepted", || listener.open_connections() == 1);
-    let sockets = || Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-    let waiting: Vec<Socket> = std::iter::repeat_with(sockets).take(8).collect();
+    let new_socket = || Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
+    let waiting: Vec<Socket> = std::iter::repeat_with(new_socket).take(8).collect();
     let before = lower_limit();
     let mut open: Vec<TcpStream> = Vec::new();
     while let Ok(stream) = TcpStream::connect(listener.address()) {
         open.push(stream);
     }
 
-    // These have their descriptors already, so they connect; accepting them fails.
+    // These sockets already have file descriptors, so connecting succeeds but accepting fails.
     for socket in &waiting {
         socket.connect(&listener.address().into()).unwrap();
     }
--- a/crates/fescuewell_http/tests/text.rs
+++ b/crates/fescuewell_http/tests/text.rs
@@ -1,4 +1,4 @@
-//! Server-Sent Events in random pieces, JSON depth, and the form of refusals.
+//! Tests of Server-Sent Events in random chunks, JSON depth, and the encoding of refusals.
 
 use std::time::Duration;
 
@@ -11,9 +11,9 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-const LARGE: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// A runner that tries the same cases every time.
+/// Creates a test runner with a fixed seed, so that every run tries the same cases.
 fn runner() -> TestRunner {
     let config = Config {
         cases: 256,
@@ -33,46 +33,49 @@
     })
 }
 
-/// Cuts `bytes` at the given places, taken modulo its length.
-fn pieces<'a>(bytes: &'a [u8], cuts: &[usize]) -> Vec<&'a [u8]> {
-    let mut places: Vec<usize> = cuts.iter().map(|cut| cut % (bytes.len() + 1)).collect();
-    places.extend([0, bytes.len()]);
-    places.sort_unstable();
-    places
+/// Splits `bytes` at the given offsets, taken modulo its length plus one.
+fn chunks<'a>(bytes: &'a [u8], offsets: &[usize]) -> Vec<&'a [u8]> {
+    let mut boundaries: Vec<usize> = offsets
+        .iter()
+        .map(|offset| offset % (bytes.len() + 1))
+        .collect();
+    boundaries.extend([0, bytes.len()]);
+    boundaries.sort_unstable();
+    boundaries
         .windows(2)
         .map(|pair| &bytes[pair[0]..pair[1]])
         .collect()
 }
 
-fn split(pieces: &[&[u8]]) -> Vec<Event> {
-    let mut decoder = Decoder::new(LARGE);
+fn decode(chunks: &[&[u8]]) -> Vec<Event> {
+    let mut decoder = Decoder::new(MAX_EVENT_BYTES);
     let mut events = Vec::new();
-    for piece in pieces {
-        decoder.push(piece, &mut events).unwrap();
+    for chunk in chunks {
+        decoder.push(chunk, &mut events).unwrap();
     }
     events
 }
 
-/// What a reader makes of the data: each line ending becomes a line feed.
-fn read_back(mut event: Event) -> Event {
+/// Returns the event as a decoder reads it: each line ending in the data becomes a line feed.
+fn normalize(mut event: Event) -> Event {
     let text = String::from_utf8(event.data.to_vec()).unwrap();
     event.data = Bytes::from(text.replace("\r\n", "\n").replace('\r', "\n"));
-    // One leading space of an id belongs to the form, and one is written; any further one stays.
+    // The encoder writes one space after the colon and the decoder removes one, so leading spaces of an id stay.
     event
 }
 
 #[test]
 fn events_written_are_read_back_whatever_the_pieces() {
-    // Symptom: a token is lost, doubled or garbled. Sequence: an event's text arrives in pieces that end anywhere,
-    // also between a carriage return and its line feed or within a character.
+    // Guards against lost, duplicated or corrupted tokens when chunks end at any byte, including between CR and
+    // LF or within a UTF-8 character.
     let cases = (vec(event(), 0..8), vec(any::<usize>(), 0..12));
-    let result = runner().run(&cases, |(events, cuts)| {
+    let result = runner().run(&cases, |(events, offsets)| {
         let mut text = BytesMut::new();
         for event in &events {
             event.write(&mut text);
         }
-        let expected: Vec<Event> = events.into_iter().map(read_back).collect();
-        prop_assert_eq!(split(&pieces(&text, &cuts)), expected);
+        let expected: Vec<Event> = events.into_iter().map(normalize).collect();
+        prop_assert_eq!(decode(&chunks(&text, &offsets)), expected);
         Ok(())
     });
     result.unwrap();
@@ -96,9 +99,9 @@
         Just(b"id: 4\n\n".to_vec()),
     ];
     let cases = (vec(line, 0..12), vec(any::<usize>(), 0..12));
-    let result = runner().run(&cases, |(lines, cuts)| {
+    let result = runner().run(&cases, |(lines, offsets)| {
         let bytes = lines.concat();
-        prop_assert_eq!(split(&pieces(&bytes, &cuts)), split(&[&bytes]));
+        prop_assert_eq!(decode(&chunks(&bytes, &offsets)), decode(&[&bytes]));
         Ok(())
     });
     result.unwrap();
@@ -122,13 +125,13 @@
         ("retry: 5\nother: 1\ndata:  a\n\n", vec![Event::data(" a")]),
     ];
     for (text, expected) in cases {
-        assert_eq!(split(&[text.as_bytes()]), expected, "{text:?}");
+        assert_eq!(decode(&[text.as_bytes()]), expected, "{text:?}");
     }
 }
 
 #[test]
 fn an_event_that_never_ends_is_given_up() {
-    // Symptom: memory fills. Sequence: a server sends data lines, or one line, without ever ending the event.
+    // Guards against a server that exhausts the memory with data lines, or one line, of an event that never ends.
     for part in ["data: xxxxxxxxxxxxxx\n", "xxxxxxxxxxxxxxxx"] {
         let mut decoder = Decoder::new(1_000);
         let mut events = Vec::new();
@@ -140,12 +143,12 @@
 #[test]
 fn a_field_cannot_forge_another_event() {
     let forged = Event::data("a").with_id("1\ndata: forged\n\n").to_bytes();
-    assert_eq!(split(&[&forged]), [Event::data("a")]);
+    assert_eq!(decode(&[&forged]), [Event::data("a")]);
 }
 
 #[test]
 fn a_stream_may_end_between_events_only() {
-    let mut decoder = Decoder::new(LARGE);
+    let mut decoder = Decoder::new(MAX_EVENT_BYTES);
     let mut events = Vec::new();
     for (part, between) in [
         ("data: a", false),
@@ -174,7 +177,7 @@
     });
     let result = runner().run(&json, |json| {
         let text = json.to_string();
-        let deep = levels(&json);
+        let deep = depth_of(&json);
         prop_assert!(depth::check(text.as_bytes(), deep).is_ok());
         prop_assert!(deep == 0 || depth::check(text.as_bytes(), deep - 1).is_err());
         Ok(())
@@ -182,10 +185,10 @@
     result.unwrap();
 }
 
-fn levels(json: &serde_json::Value) -> usize {
+fn depth_of(json: &serde_json::Value) -> usize {
     let inner = match json {
-        serde_json::Value::Array(items) => items.iter().map(levels).max(),
-        serde_json::Value::Object(entries) => entries.values().map(levels).max(),
+        serde_json::Value::Array(items) => items.iter().map(depth_of).max(),
+        serde_json::Value::Object(entries) => entries.values().map(depth_of).max(),
         _ => return 0,
     };
     1 + inner.unwrap_or(0)
@@ -193,8 +196,8 @@
 
 #[test]
 fn a_body_of_brackets_is_refused_without_recursion() {
-    // Symptom: one request ends the whole process. Sequence: a body of millions of opening brackets. Cause: a
-    // parser that recurses once for each.
+    // Guards against a request that aborts the process: a body of millions of opening brackets overflows the
+    // stack of a parser that recurses once per bracket.
     let body = vec![b'['; 4_000_000];
     let refused = depth::check(&body, 64).unwrap_err();
     assert_eq!((refused.offset, refused.max), (64, 64));
--- a/crates/fescuewell_http/tests/tls.rs
+++ b/crates/fescuewell_http/tests/tls.rs
@@ -1,4 +1,4 @@
-//! A listener that speaks TLS.
+//! Tests of a TLS listener.
 
 mod common;
 
@@ -10,12 +10,12 @@
 use rustls::pki_types::{CertificateDer, ServerName};
 
 fn certificate() -> (Tls, CertificateDer<'static>) {
-    let made = rcgen::generate_simple_self_signed(vec!["router.test".to_owned()]).unwrap();
+    let generated = rcgen::generate_simple_self_signed(vec!["router.test".to_owned()]).unwrap();
     let tls = Tls {
-        certificate: made.cert.pem().into_bytes().into(),
-        key: made.signing_key.serialize_pem().into_bytes().into(),
+        certificate: generated.cert.pem().into_bytes().into(),
+        key: generated.signing_key.serialize_pem().into_bytes().into(),
     };
-    (tls, made.cert.der().clone())
+    (tls, generated.cert.der().clone())
 }
 
 #[test]
@@ -36,21 +36,22 @@
 
     let request = post("/", "over tls").replace("Host: here", "Host: here\r\nConnection: close");
     stream.write_all(request.as_bytes()).unwrap();
-    let mut answer = String::new();
-    let _ = stream.read_to_string(&mut answer);
+    let mut response = String::new();
+    let _ = stream.read_to_string(&mut response);
 
-    assert!(answer.ends_with("over tls"), "{answer:?}");
+    assert!(response.ends_with("over tls"), "{response:?}");
 }
 
 #[test]
 fn a_caller_that_never_shakes_hands_is_closed() {
-    // Symptom: half-open TLS connections are held for ever. Cause: a time bound that begins after the handshake.
+    // Guards against TLS handshakes that never complete and hold connections forever, because the timeout starts
+    // only after the handshake.
     let mut settings = local().with_tls(certificate().0);
     settings.header_timeout = std::time::Duration::from_millis(50);
     let listener = listen(settings, echo());
 
-    // The start of a TLS record that never comes whole.
-    assert_eq!(talk(listener.address(), &[0x16, 3, 1]), "");
+    // The start of a TLS record that is never completed.
+    assert_eq!(send_raw(listener.address(), &[0x16, 3, 1]), "");
 
     eventually("closed", || listener.open_connections() == 0);
 }
--- a/crates/fescuewell_http/tests/upstream.rs
+++ b/crates/fescuewell_http/tests/upstream.rs
@@ -1,4 +1,4 @@
-//! What the client for backend servers reports, against servers that fail in each way.
+//! Tests of the upstream client against servers that fail in different ways.
 
 mod common;
 
@@ -9,12 +9,12 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use common::{PATIENCE, read_until};
+use common::{TEST_TIMEOUT, read_until};
 use fescuewell_http::upstream::{Client, Error, Phase, Reachability, Target, Timeouts};
 
-const SHORT: Duration = Duration::from_millis(40);
+const SHORT_TIMEOUT: Duration = Duration::from_millis(40);
 
-/// A server that treats connection number `n`, counted from 0, as its script says.
+/// A server that runs a script for each connection; the script receives the connection's index, starting at 0.
 struct Server {
     address: SocketAddr,
     connections: Arc<AtomicUsize>,
@@ -28,15 +28,15 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let connections = Arc::new(AtomicUsize::new(0));
-        let counted = connections.clone();
+        let counter = connections.clone();
         let script = Arc::new(script);
         std::thread::spawn(move || {
             for (number, stream) in listener.incoming().enumerate() {
                 let Ok(stream) = stream else {
                     return;
                 };
-                stream.set_read_timeout(Some(PATIENCE)).unwrap();
-                counted.fetch_add(1, Ordering::SeqCst);
+                stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+                counter.fetch_add(1, Ordering::SeqCst);
                 let script = script.clone();
                 std::thread::spawn(move || script(number, stream));
             }
@@ -52,7 +52,7 @@
     }
 }
 
-/// Reads the head of a request and returns its path, or nothing when the connection ends.
+/// Reads a request head and returns its path, or `None` if the connection ends.
 fn read_request(stream: &mut TcpStream) -> Option<String> {
     let mut text = String::new();
     let mut byte = [0u8; 1];
@@ -65,16 +65,16 @@
     text.split(' ').nth(1).map(str::to_owned)
 }
 
-fn answer(stream: &mut TcpStream, body: &str) {
+fn respond(stream: &mut TcpStream, body: &str) {
     let length = body.len();
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}");
     let _ = stream.write_all(head.as_bytes());
 }
 
-/// Answers every request with its path.
+/// Responds to every request with its path.
 fn echo(_: usize, mut stream: TcpStream) {
     while let Some(path) = read_request(&mut stream) {
-        answer(&mut stream, &path);
+        respond(&mut stream, &path);
     }
 }
 
@@ -82,11 +82,11 @@
     http::Request::get(path).body(Bytes::new()).unwrap()
 }
 
-fn patient() -> Timeouts {
+fn long_timeouts() -> Timeouts {
     Timeouts {
-        connect: PATIENCE,
-        first_byte: PATIENCE,
-        progress: PATIENCE,
+        connect: TEST_TIMEOUT,
+        first_byte: TEST_TIMEOUT,
+        progress: TEST_TIMEOUT,
     }
 }
 
@@ -107,9 +107,9 @@
 where
     Condition: Fn() -> bool,
 {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TEST_TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < deadline, "never: {what}");
+        assert!(Instant::now() < deadline, "condition not met: {what}");
         tokio::task::yield_now().await;
     }
 }
@@ -122,7 +122,9 @@
 
     for path in ["/a", "/b", "/c"] {
         assert_eq!(
-            fetch(&client, &target, path, patient()).await.unwrap(),
+            fetch(&client, &target, path, long_timeouts())
+                .await
+                .unwrap(),
             path
         );
     }
@@ -133,13 +135,19 @@
 
 #[tokio::test]
 async fn a_refused_connection_means_not_sent() {
-    // The one failure after which a call may be sent elsewhere without asking anybody.
+    // This is the only failure after which a request may be retried elsewhere without further checks.
     let address = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
 
-    let failed = fetch(&Client::default(), &Target::new(address), "/", patient()).await;
+    let failed = fetch(
+        &Client::default(),
+        &Target::new(address),
+        "/",
+        long_timeouts(),
+    )
+    .await;
 
     assert!(matches!(failed, Err(Error::NotSent { .. })), "{failed:?}");
 }
@@ -149,30 +157,30 @@
     let server = Server::start(echo);
     let target = Target::new(server.address).with_deadline(Instant::now());
 
-    let failed = fetch(&Client::default(), &target, "/", patient()).await;
+    let failed = fetch(&Client::default(), &target, "/", long_timeouts()).await;
 
     assert!(matches!(failed, Err(Error::NotSent { .. })), "{failed:?}");
 }
 
 #[tokio::test]
 async fn a_connection_closed_after_the_request_means_unknown() {
-    // Symptom: a call runs twice. Sequence: the server reads the request and the connection breaks. Cause: taking
-    // that for "not run". The outcome is the same on a new connection and on one that was used before.
+    // Guards against a request that runs twice: the server reads it, the connection fails, and the client
+    // reports it as not sent. The outcome must be the same on a new and on a reused connection.
     let server = Server::start(|number, mut stream| {
         if number == 0 {
             read_request(&mut stream);
             return;
         }
         read_request(&mut stream);
-        answer(&mut stream, "kept");
+        respond(&mut stream, "kept");
         read_request(&mut stream);
     });
     let client = Client::default();
     let target = Target::new(server.address);
 
-    let on_new = fetch(&client, &target, "/", patient()).await;
-    let kept = fetch(&client, &target, "/", patient()).await;
-    let on_kept = fetch(&client, &target, "/", patient()).await;
+    let on_new = fetch(&client, &target, "/", long_timeouts()).await;
+    let kept = fetch(&client, &target, "/", long_timeouts()).await;
+    let on_kept = fetch(&client, &target, "/", long_timeouts()).await;
 
     let phase = Phase::AwaitingHead;
     assert!(
@@ -189,78 +197,86 @@
 
 #[tokio::test]
 async fn a_kept_connection_that_the_server_closed_is_replaced() {
-    // Symptom: a request fails after a pause although the server is well. Sequence: the server closes an unused
-    // connection; the client has noticed and no byte has left on it. Cause: reporting the closed connection.
+    // Guards against a request that fails after an idle period although the server is healthy: the server has
+    // closed the idle connection, and the client must use a new one since no byte was sent.
     let server = Server::start(|_, mut stream| {
         let path = read_request(&mut stream).unwrap_or_default();
-        answer(&mut stream, &path);
+        respond(&mut stream, &path);
     });
     let client = Client::default();
     let target = Target::new(server.address);
-    fetch(&client, &target, "/a", patient()).await.unwrap();
-    eventually("the closing is noticed", || client.idle_connections() == 0).await;
+    fetch(&client, &target, "/a", long_timeouts())
+        .await
+        .unwrap();
+    eventually("the client detects the close", || {
+        client.idle_connections() == 0
+    })
+    .await;
 
-    let second = fetch(&client, &target, "/b", patient()).await;
+    let second = fetch(&client, &target, "/b", long_timeouts()).await;
 
     assert_eq!(second.unwrap(), "/b");
     assert_eq!(server.connections(), 2);
 }
 
-/// Calls `attempt` with longer and longer times until its request got as far as the server in time: on a busy
-/// machine a short one may pass before that, which is not what is tested.
-async fn with_time<Attempt, Answer, Begun>(attempt: Attempt, begun: Begun) -> Answer
+/// Calls `attempt` with increasing timeouts until its request reaches the server in time. On a busy machine a
+/// short timeout may expire earlier, which is not what is tested.
+async fn with_increasing_timeout<Attempt, Output, Reached>(
+    attempt: Attempt,
+    has_reached_server: Reached,
+) -> Output
 where
-    Attempt: AsyncFn(Duration) -> Answer,
-    Begun: Fn(&Answer) -> bool,
+    Attempt: AsyncFn(Duration) -> Output,
+    Reached: Fn(&Output) -> bool,
 {
-    let mut time = SHORT;
+    let mut timeout = SHORT_TIMEOUT;
     loop {
-        let answer = attempt(time).await;
-        if begun(&answer) || time > PATIENCE {
-            return answer;
+        let output = attempt(timeout).await;
+        if has_reached_server(&output) || timeout > TEST_TIMEOUT {
+            return output;
         }
-        time *= 2;
+        timeout *= 2;
     }
 }
 
 #[tokio::test]
 async fn a_late_answer_is_never_taken_for_that_of_the_next_request() {
-    // Symptom: a caller gets somebody else's answer. Sequence: the first request times out; its answer comes
-    // later, on the same connection; a second request is sent. Cause: using that connection again.
+    // Guards against a response that is delivered to the wrong request: the first request times out, its late
+    // response follows on the same connection, and the second request reuses that connection.
     let (release, released) = flume::bounded::<()>(0);
     let server = Server::start(move |number, mut stream| {
         let path = read_request(&mut stream).unwrap_or_default();
         if path == "/first" {
-            // Until the other half is dropped.
-            let _ = released.recv_timeout(PATIENCE);
+            // Returns when the sender is dropped.
+            let _ = released.recv_timeout(TEST_TIMEOUT);
         }
-        answer(&mut stream, &path);
+        respond(&mut stream, &path);
         echo(number, stream);
     });
     let client = Client::default();
     let target = Target::new(server.address);
 
-    let first = with_time(
+    let first = with_increasing_timeout(
         async |first_byte| {
-            let hasty = Timeouts {
+            let short_timeouts = Timeouts {
                 first_byte,
-                ..patient()
+                ..long_timeouts()
             };
-            fetch(&client, &target, "/first", hasty).await
+            fetch(&client, &target, "/first", short_timeouts).await
         },
         |first| !matches!(first, Err(Error::NotSent { .. })),
     );
     let first = first.await;
     drop(release);
-    let second = fetch(&client, &target, "/second", patient()).await;
+    let second = fetch(&client, &target, "/second", long_timeouts()).await;
 
     assert!(matches!(first, Err(Error::Unknown { .. })), "{first:?}");
     assert_eq!(second.unwrap(), "/second");
     assert!(server.connections() >= 2);
 }
 
-/// Sends the head of a chunked answer and one chunk, then does as `then` says.
-fn begin<Then>(then: Then) -> Server
+/// Starts a server that sends the head of a chunked response and one chunk, then calls `then`.
+fn start_response<Then>(then: Then) -> Server
 where
     Then: Fn(&mut TcpStream) + Send + Sync + 'static,
 {
@@ -279,17 +295,17 @@
 
 #[tokio::test]
 async fn an_answer_that_stalls_is_told_from_one_that_breaks() {
-    // Symptom: a connection that has gone silent is waited on for ever, or one that broke is taken for whole.
-    let hasty = Timeouts {
-        progress: SHORT,
-        ..patient()
+    // Guards against waiting forever for a stalled response, and against treating a truncated one as complete.
+    let short_timeouts = Timeouts {
+        progress: SHORT_TIMEOUT,
+        ..long_timeouts()
     };
-    let silent = begin(wait_closed);
-    let broken = begin(|_| {});
+    let silent = start_response(wait_closed);
+    let broken = start_response(|_| {});
     let client = Client::default();
 
-    let stalled = fetch(&client, &Target::new(silent.address), "/", hasty).await;
-    let closed = fetch(&client, &Target::new(broken.address), "/", patient()).await;
+    let stalled = fetch(&client, &Target::new(silent.address), "/", short_timeouts).await;
+    let closed = fetch(&client, &Target::new(broken.address), "/", long_timeouts()).await;
 
     assert_eq!(stalled, Err(Error::Stalled));
     assert!(matches!(closed, Err(Error::Closed { .. })), "{closed:?}");
@@ -298,13 +314,13 @@
 
 #[tokio::test]
 async fn a_deadline_within_an_answer_says_nothing_against_the_server() {
-    let server = begin(wait_closed);
+    let server = start_response(wait_closed);
     let client = Client::default();
 
-    let late = with_time(
-        async |time| {
-            let target = Target::new(server.address).with_deadline(Instant::now() + time);
-            fetch(&client, &target, "/", patient()).await
+    let late = with_increasing_timeout(
+        async |timeout| {
+            let target = Target::new(server.address).with_deadline(Instant::now() + timeout);
+            fetch(&client, &target, "/", long_timeouts()).await
         },
         |late| !matches!(late, Err(Error::NotSent { .. } | Error::Unknown { .. })),
     );
@@ -317,14 +333,14 @@
 async fn an_answer_larger_than_allowed_is_given_up() {
     let server = Server::start(|_, mut stream| {
         read_request(&mut stream);
-        answer(&mut stream, &"x".repeat(2_000));
+        respond(&mut stream, &"x".repeat(2_000));
     });
 
     let large = fetch(
         &Client::default(),
         &Target::new(server.address),
         "/",
-        patient(),
+        long_timeouts(),
     )
     .await;
 
@@ -333,45 +349,50 @@
 
 #[tokio::test]
 async fn dropping_an_exchange_closes_its_connection() {
-    // Symptom: an engine goes on producing for a caller that left. Cause: the connection stays open.
-    let (tell, told) = flume::bounded(1);
-    let server = begin(move |stream| {
+    // Guards against an engine that continues to generate for a disconnected caller because the connection stays open.
+    let (sender, receiver) = flume::bounded(1);
+    let server = start_response(move |stream| {
         wait_closed(stream);
-        tell.send(()).unwrap();
+        sender.send(()).unwrap();
     });
     let client = Client::default();
     let mut exchange = client
-        .open(&Target::new(server.address), get("/"), patient())
+        .open(&Target::new(server.address), get("/"), long_timeouts())
         .await
         .unwrap();
     assert_eq!(exchange.next_chunk().await, Some(Ok("begun".into())));
 
     drop(exchange);
 
-    let closed = tokio::time::timeout(PATIENCE, told.recv_async()).await;
+    let closed = tokio::time::timeout(TEST_TIMEOUT, receiver.recv_async()).await;
     assert_eq!(closed.unwrap(), Ok(()));
     assert_eq!(client.idle_connections(), 0);
 }
 
 #[tokio::test]
 async fn a_failure_closes_the_other_unused_connections_to_that_address() {
-    // Whatever forgot one connection has probably forgotten those that were idle as long.
+    // The cause of the failure probably affects the other idle connections to the address too.
     let server = Server::start(|_, mut stream| {
         while let Some(path) = read_request(&mut stream) {
             if path == "/break" {
                 return;
             }
-            answer(&mut stream, &path);
+            respond(&mut stream, &path);
         }
     });
     let client = Client::default();
     let target = Target::new(server.address);
-    let held = client.open(&target, get("/held"), patient()).await.unwrap();
-    fetch(&client, &target, "/a", patient()).await.unwrap();
+    let held = client
+        .open(&target, get("/held"), long_timeouts())
+        .await
+        .unwrap();
+    fetch(&client, &target, "/a", long_timeouts())
+        .await
+        .unwrap();
     held.collect(100).await.unwrap();
     assert_eq!(client.idle_connections(), 2);
 
-    let broken = fetch(&client, &target, "/break", patient()).await;
+    let broken = fetch(&client, &target, "/break", long_timeouts()).await;
 
     assert!(matches!(broken, Err(Error::Unknown { .. })));
     assert_eq!(client.idle_connections(), 0);
@@ -388,19 +409,19 @@
 #[tokio::test]
 async fn a_probe_tells_a_server_that_accepts_from_one_that_does_not() {
     let server = Server::start(echo);
-    // Holds a port on which nobody listens.
+    // Binds a port without listening on it.
     let held = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
     held.bind(&any.into()).unwrap();
-    let gone = held.local_addr().unwrap().as_socket().unwrap();
+    let unused_address = held.local_addr().unwrap().as_socket().unwrap();
     let client = Client::default();
 
-    let accepted = client.probe(server.address, PATIENCE).await;
-    let refused = client.probe(gone, PATIENCE).await;
-    let answer = fetch(&client, &Target::new(server.address), "/a", patient()).await;
+    let accepted = client.probe(server.address, TEST_TIMEOUT).await;
+    let refused = client.probe(unused_address, TEST_TIMEOUT).await;
+    let response = fetch(&client, &Target::new(server.address), "/a", long_timeouts()).await;
 
     assert_eq!(accepted, Reachability::Accepted);
     assert_eq!(refused, Reachability::Refused);
-    assert_eq!(answer.unwrap(), "/a");
+    assert_eq!(response.unwrap(), "/a");
     assert_eq!(server.connections(), 1);
 }
