--- a/crates/fescuewell_http/src/listener/accept.rs
+++ b/crates/fescuewell_http/src/listener/accept.rs
@@ -13,7 +13,7 @@
 use super::{AcceptedConnection, Shared, Stage, connection};
 
 /// Maximum number of established connections that are not yet accepted.
-const BACKLOG: i32 = 1_024;
+const LISTEN_BACKLOG: i32 = 1_024;
 
 /// Delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
@@ -78,7 +78,7 @@
     /// Opens a non-blocking listening socket on the address.
     pub(super) fn listen(&self) -> io::Result<std::net::TcpListener> {
         let socket = bind(self.address)?;
-        socket.listen(BACKLOG)?;
+        socket.listen(LISTEN_BACKLOG)?;
         socket.set_nonblocking(true)?;
         Ok(socket.into())
     }
--- a/crates/fescuewell_http/src/listener/connection.rs
+++ b/crates/fescuewell_http/src/listener/connection.rs
@@ -28,8 +28,8 @@
 const MIN_HEAD_BYTES: usize = 8_192;
 
 /// For how long, and how many bytes, data is still read from a refused caller, so that it receives the refusal.
-const LINGER: Duration = Duration::from_secs(1);
-const LINGER_BYTES: usize = 1024 * 1024;
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
+const MAX_LINGER_BYTES: usize = 1024 * 1024;
 
 /// Serves a connection until it ends.
 pub(super) async fn serve(accepted: AcceptedConnection, shared: Arc<Shared>) {
@@ -176,7 +176,7 @@
 where
     Io: AsyncRead + AsyncWrite + Unpin,
 {
-    let written = timeout(LINGER, io.write_all(&encode_refusal(refusal))).await;
+    let written = timeout(LINGER_TIMEOUT, io.write_all(&encode_refusal(refusal))).await;
     if matches!(written, Ok(Ok(()))) {
         linger(io).await;
     }
@@ -215,14 +215,14 @@
         }
         let mut scratch = [0u8; 4096];
         let mut discarded = 0;
-        while discarded < LINGER_BYTES {
+        while discarded < MAX_LINGER_BYTES {
             match io.read(&mut scratch).await {
                 Ok(0) | Err(_) => return,
                 Ok(count) => discarded += count,
             }
         }
     };
-    let _ = timeout(LINGER, Box::pin(drain)).await;
+    let _ = timeout(LINGER_TIMEOUT, Box::pin(drain)).await;
 }
 
 /// Reads a request with its body, passes it to the handler and waits for the response.
--- a/crates/fescuewell_http/src/listener/mod.rs
+++ b/crates/fescuewell_http/src/listener/mod.rs
@@ -182,7 +182,7 @@
 const MAX_QUEUED_CONNECTIONS: usize = 256;
 
 /// Interval at which [`Listener::drain`] checks for open exchanges.
-const DRAIN_POLL: Duration = Duration::from_millis(2);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 impl Listener {
     /// Binds the address and starts the threads.
@@ -283,7 +283,7 @@
             if open == 0 || std::time::Instant::now() >= deadline {
                 return open;
             }
-            std::thread::sleep(DRAIN_POLL);
+            std::thread::sleep(DRAIN_POLL_INTERVAL);
         }
     }
 
--- a/crates/fescuewell_http/src/refusal.rs
+++ b/crates/fescuewell_http/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Conversion of a refusal to an HTTP response: `{"error":{"code","message","run"}}` with its status and headers.
+//! Conversion of a refusal to an HTTP response: `{"error":{"code","name","message","run"}}` with its status and headers.
 
 use std::time::Duration;
 
