--- a/crates/fescuewell_metrics/src/lib.rs
+++ b/crates/fescuewell_metrics/src/lib.rs
@@ -1,12 +1,12 @@
-//! The page on which a process shows its metrics: instruments of `opentelemetry`, shown as Prometheus text.
+//! A metrics exporter: OpenTelemetry instruments, encoded in the Prometheus text format.
 //!
 //! ```
-//! use fescuewell_metrics::Page;
+//! use fescuewell_metrics::Exporter;
 //!
-//! let page = Page::new().unwrap();
-//! let requests = page.meter().u64_counter("requests").build();
+//! let exporter = Exporter::new().unwrap();
+//! let requests = exporter.meter().u64_counter("requests").build();
 //! requests.add(2, &[]);
-//! let text = String::from_utf8(page.text()).unwrap();
+//! let text = String::from_utf8(exporter.encode()).unwrap();
 //! assert!(text.contains("requests_total"));
 //! ```
 
@@ -17,28 +17,28 @@
 use prometheus::{Encoder, Registry, TextEncoder};
 use snafu::Snafu;
 
-/// Scope of all instruments.
+/// Instrumentation scope of all instruments.
 const SCOPE: &str = "fescuewell";
 
-/// The exporter could not be set up.
+/// The exporter could not be created.
 #[derive(Debug, Snafu)]
-#[snafu(display("metrics cannot be set up: {reason}"))]
+#[snafu(display("failed to set up the metrics exporter: {reason}"))]
 pub struct Error {
     reason: Arc<str>,
 }
 
-/// Where instruments are made and their values read.
-pub struct Page {
+/// Creates instruments and encodes their current values for Prometheus.
+pub struct Exporter {
     registry: Registry,
     provider: SdkMeterProvider,
 }
 
-impl Page {
-    /// A page without instruments.
+impl Exporter {
+    /// Creates an exporter without instruments.
     ///
     /// # Errors
     ///
-    /// When the exporter cannot be built.
+    /// Returns an error if the Prometheus exporter cannot be built.
     pub fn new() -> Result<Self, Error> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -51,15 +51,15 @@
         Ok(Self { registry, provider })
     }
 
-    /// Makes instruments.
+    /// Returns the meter that creates instruments.
     pub fn meter(&self) -> Meter {
         self.provider.meter(SCOPE)
     }
 
-    /// The present values in the Prometheus text format.
-    pub fn text(&self) -> Vec<u8> {
+    /// Encodes the current values of all instruments in the Prometheus text format.
+    pub fn encode(&self) -> Vec<u8> {
         let mut text = Vec::new();
-        // Writing to memory fails for no other reason than a broken metric, which is then left out.
+        // Writing to memory cannot fail; an error means an invalid metric, which is left out.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut text);
         text
     }
--- a/crates/fescuewell_router/src/backends.rs
+++ b/crates/fescuewell_router/src/backends.rs
@@ -200,7 +200,7 @@
         match tokio::time::timeout(PATIENCE, open).await {
             Ok(Ok(exchange)) => {
                 let status = exchange.status;
-                let body = exchange.whole(LARGEST).await.unwrap_or_default();
+                let body = exchange.collect(LARGEST).await.unwrap_or_default();
                 read_answer(status, &body)
             }
             Ok(Err(upstream::Error::NotSent { .. })) => Response::Refused,
@@ -223,7 +223,7 @@
         if !exchange.status.is_success() {
             return None;
         }
-        exchange.whole(LARGEST).await.ok()
+        exchange.collect(LARGEST).await.ok()
     }
 }
 
