--- a/crates/fescuewell_router/src/attempt.rs
+++ b/crates/fescuewell_router/src/attempt.rs
@@ -12,7 +12,7 @@
 
 use crate::chat::Prompt;
 use crate::delivery::{Delivery, Wish};
-use crate::desk::Desk;
+use crate::pending::Desk;
 
 /// Names the attempt to the backend server.
 pub const STREAM_HEADER: &str = "x-request-id";
--- a/crates/fescuewell_router/src/daemon.rs
+++ b/crates/fescuewell_router/src/daemon.rs
@@ -24,10 +24,10 @@
 
 use crate::adapters::{self, Outside, Rings};
 use crate::backends::{self, Backends};
-use crate::brain::Brain;
-use crate::desk::Desk;
+use crate::event_loop::Brain;
 use crate::metrics::{self, Metrics};
 use crate::operator::Operator;
+use crate::pending::Desk;
 use crate::plane::{Front, Plane};
 use crate::settings::Settings;
 
--- a/crates/fescuewell_router/src/lib.rs
+++ b/crates/fescuewell_router/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! | thread | duty |
 //! | --- | --- |
-//! | `decisions` | [`brain`]: all decisions of the instance |
+//! | `decisions` | [`event_loop`]: all decisions of the instance |
 //! | `callers-N` | [`plane`]: callers' connections and streams from backend servers |
 //! | `operators-0` | [`operator`]: state and metrics |
 //! | `table-*` | [`adapters`]: one for each duty at the table |
@@ -16,15 +16,15 @@
 pub mod adapters;
 pub mod attempt;
 pub mod backends;
-pub mod brain;
 pub mod call;
 pub mod caller;
 pub mod chat;
 pub mod daemon;
 pub mod delivery;
-pub mod desk;
+pub mod event_loop;
 pub mod metrics;
 pub mod operator;
+pub mod pending;
 pub mod plane;
 pub mod settings;
 
--- a/crates/fescuewell_router/src/plane.rs
+++ b/crates/fescuewell_router/src/plane.rs
@@ -26,8 +26,8 @@
 use crate::caller::{Caller, authenticate, deadline_of, kind_of};
 use crate::chat::{Path, Prompt};
 use crate::delivery::{Delivery, Wish};
-use crate::desk::Desk;
 use crate::metrics::Metrics;
+use crate::pending::Desk;
 
 /// Deepest nesting of a JSON body.
 const DEEPEST: usize = 64;
