--- a/crates/fescuewell_router/src/adapters.rs
+++ b/crates/fescuewell_router/src/adapters.rs
@@ -1,5 +1,5 @@
-//! Threads around the decisions: one for each duty at the table, one for the object store, one for
-//! the instance list, one towards backend servers.
+//! Channels and threads for blocking calls of platform services: the table service, the object store and the
+//! instance list. The channel to the thread for backend servers is created here as well.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,12 +16,12 @@
 use fescuewell_placement::order::Order;
 use fescuewell_platform::Worker;
 
-/// Work that may wait for one of the threads.
-const RING: usize = 64;
-/// Time between two readings of the instance list.
+/// Capacity of the channel to each thread.
+const CHANNEL_CAPACITY: usize = 64;
+/// Interval at which the instance list is read.
 const LIST_INTERVAL: Duration = Duration::from_secs(1);
-/// Duties at the table; each has a thread of its own, so that a slow one holds up no other.
-const DUTIES: [Duty; 6] = [
+/// Components that use the table service; each has a thread of its own, so that a slow one delays no other.
+const COMPONENTS: [Duty; 6] = [
     Duty::Budget,
     Duty::Claims,
     Duty::Members,
@@ -30,137 +30,139 @@
     Duty::Reclaim,
 ];
 
-/// Work towards backend servers.
+/// A request to a backend server.
 #[derive(Debug, Clone)]
 pub enum BackendWork {
-    /// Ask for the streams of a holder.
+    /// List the streams of a holder.
     ListStreams {
         /// Name of the backend server.
         server: Arc<str>,
-        /// Where it listens.
+        /// Address of the backend server.
         address: SocketAddr,
-        /// The holder.
+        /// The instance whose streams are listed, as `instance.incarnation`.
         holder: Arc<str>,
-        /// Plain services keep no streams.
+        /// Whether the backend server is an engine; plain services have no streams.
         is_engine: bool,
     },
-    /// Give an order.
+    /// Send an order.
     Order {
-        /// Where the backend server listens.
+        /// Address of the backend server.
         address: SocketAddr,
         /// The order.
         order: Order,
-        /// When it was handed out.
-        given: Instant,
+        /// When it was created.
+        created_at: Instant,
     },
-    /// End a stream.
+    /// Cancel a stream.
     Cancel {
-        /// Where the backend server listens.
+        /// Address of the backend server.
         address: SocketAddr,
         /// The stream.
         stream: StreamId,
     },
 }
 
-/// The rings to the threads.
-pub struct Rings {
+/// Senders to the adapter threads.
+pub struct Channels {
     table: BTreeMap<Duty, flume::Sender<(Duty, Step)>>,
     fetches: flume::Sender<Arc<str>>,
     backend: flume::Sender<BackendWork>,
-    /// Backend servers of the document in force, for the poller.
+    /// Backend servers of the active document, for the `backends` thread.
     pub servers: Arc<ArcSwap<Vec<Server>>>,
 }
 
-/// Nothing takes work from a ring any more.
+/// The channel is full or its thread has stopped.
 #[derive(Debug)]
-pub struct Closed;
+pub struct SendError;
 
-impl Rings {
-    /// Hands over table work.
+impl Channels {
+    /// Sends a step to the component's table thread.
     ///
     /// # Errors
     ///
-    /// [`Closed`].
-    pub fn give_table(&self, duty: Duty, step: Step) -> Result<(), Closed> {
-        let ring = self.table.get(&duty).ok_or(Closed)?;
-        ring.try_send((duty, step)).map_err(|_| Closed)
+    /// [`SendError`] when the channel is full or the thread has stopped.
+    pub fn send_table(&self, duty: Duty, step: Step) -> Result<(), SendError> {
+        let channel = self.table.get(&duty).ok_or(SendError)?;
+        channel.try_send((duty, step)).map_err(|_| SendError)
     }
 
-    /// Hands over a fetch. One that finds no room is asked for again by the propagation.
-    pub fn give_fetch(&self, name: Arc<str>) {
+    /// Sends the name of an object to fetch. It is dropped when the channel is full; document propagation
+    /// requests it again.
+    pub fn send_fetch(&self, name: Arc<str>) {
         let _ = self.fetches.try_send(name);
     }
 
-    /// Hands over work towards a backend server. What finds no room is asked for again by the sweep.
-    pub fn give_backend(&self, work: BackendWork) {
+    /// Sends a request to a backend server. It is dropped when the channel is full; the sweep requests it
+    /// again.
+    pub fn send_backend(&self, work: BackendWork) {
         let _ = self.backend.try_send(work);
     }
 
-    /// Hands over an order.
+    /// Sends an order.
     ///
     /// # Errors
     ///
-    /// [`Closed`] when it finds no room and will not be sent.
-    pub fn give_order(&self, work: BackendWork) -> Result<(), Closed> {
-        self.backend.try_send(work).map_err(|_| Closed)
+    /// [`SendError`] when the channel is full or the thread has stopped; the order will not be sent.
+    pub fn send_order(&self, work: BackendWork) -> Result<(), SendError> {
+        self.backend.try_send(work).map_err(|_| SendError)
     }
 
-    /// Tells the poller which backend servers there are.
+    /// Replaces the backend servers that are polled.
     pub fn set_servers(&self, document: &Document) {
         self.servers.store(Arc::new(document.servers.clone()));
     }
 }
 
-/// The platform and the ends of the rings.
-pub struct Outside {
+/// The platform services and the channel for their results.
+pub struct Platform {
     /// The table service.
     pub table: Arc<dyn Table>,
     /// The object store.
     pub objects: Arc<dyn Objects>,
     /// The instance list.
     pub instances: Arc<dyn Instances>,
-    /// The decision thread's ring.
+    /// Channel to the decision thread.
     pub events: flume::Sender<NodeEvent>,
 }
 
-/// Starts the threads.
+/// Starts the threads and returns the senders to them, with the receiver for the `backends` thread.
 ///
 /// # Errors
 ///
-/// When the operating system starts no more threads.
+/// When a thread cannot be started.
 pub fn start(
-    outside: &Outside,
+    platform: &Platform,
     timer: &timer::Service,
-) -> std::io::Result<(Rings, flume::Receiver<BackendWork>)> {
+) -> std::io::Result<(Channels, flume::Receiver<BackendWork>)> {
     let mut table = BTreeMap::new();
-    for duty in DUTIES {
-        let (ring, inbox) = flume::bounded(RING);
-        let events = outside.events.clone();
+    for duty in COMPONENTS {
+        let (channel, inbox) = flume::bounded(CHANNEL_CAPACITY);
+        let events = platform.events.clone();
         let answer = move |duty, reply| events.send(NodeEvent::Table { duty, reply }).is_ok();
         Worker::start(
             &format!("table-{duty:?}"),
-            outside.table.clone(),
+            platform.table.clone(),
             inbox,
             Box::new(answer),
         )?;
-        table.insert(duty, ring);
+        table.insert(duty, channel);
     }
-    let fetches = start_objects(outside)?;
-    start_instances(outside, timer)?;
-    let (backend, backend_inbox) = flume::bounded(RING);
-    let rings = Rings {
+    let fetches = start_objects(platform)?;
+    start_instances(platform, timer)?;
+    let (backend, backend_inbox) = flume::bounded(CHANNEL_CAPACITY);
+    let channels = Channels {
         table,
         fetches,
         backend,
         servers: Arc::default(),
     };
-    Ok((rings, backend_inbox))
+    Ok((channels, backend_inbox))
 }
 
-fn start_objects(outside: &Outside) -> std::io::Result<flume::Sender<Arc<str>>> {
-    let (ring, inbox) = flume::bounded::<Arc<str>>(RING);
-    let objects = outside.objects.clone();
-    let events = outside.events.clone();
+fn start_objects(platform: &Platform) -> std::io::Result<flume::Sender<Arc<str>>> {
+    let (channel, inbox) = flume::bounded::<Arc<str>>(CHANNEL_CAPACITY);
+    let objects = platform.objects.clone();
+    let events = platform.events.clone();
     std::thread::Builder::new()
         .name("objects".into())
         .spawn(move || {
@@ -171,10 +173,10 @@
                 }
             }
         })?;
-    Ok(ring)
+    Ok(channel)
 }
 
-fn start_instances(outside: &Outside, timer: &timer::Service) -> std::io::Result<()> {
+fn start_instances(platform: &Platform, timer: &timer::Service) -> std::io::Result<()> {
     let (ticks, inbox) = flume::bounded(1);
     timer.subscribe("instance-list", LIST_INTERVAL, move |tick| {
         !matches!(
@@ -182,13 +184,13 @@
             Err(flume::TrySendError::Disconnected(_))
         )
     });
-    let instances = outside.instances.clone();
-    let events = outside.events.clone();
+    let instances = platform.instances.clone();
+    let events = platform.events.clone();
     std::thread::Builder::new()
         .name("instances".into())
         .spawn(move || {
             for _ in inbox.iter() {
-                // A list that could not be had changes nothing: the last one stands.
+                // After a failed read the last list stays valid.
                 let Ok(list) = instances.list() else {
                     continue;
                 };
--- a/crates/fescuewell_router/src/attempt.rs
+++ b/crates/fescuewell_router/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a model request: send it, stream the answer on, take it up again when it breaks.
+//! Attempts of model requests: sends one, forwards its response stream and resumes the stream after a break.
 
 use std::time::{Duration, Instant};
 
@@ -11,76 +11,77 @@
 use http::StatusCode;
 
 use crate::chat::Prompt;
-use crate::delivery::{Delivery, Wish};
-use crate::pending::Desk;
+use crate::delivery::{Delivery, ResponseOptions};
+use crate::pending::PendingRequests;
 
-/// Names the attempt to the backend server.
+/// Header that identifies the attempt to the backend server.
 pub const STREAM_HEADER: &str = "x-request-id";
-/// Set by a backend server that is about to go.
+/// Response header of a backend server that is about to shut down.
 const LEAVING_HEADER: &str = "x-leaving";
-/// Largest event of an answer.
-const LARGEST_EVENT: usize = 1024 * 1024;
-/// Largest body of an error that is passed on.
-const LARGEST_ERROR: usize = 64 * 1024;
-/// Times that a broken answer is taken up again without any new token between.
-const MOST_RESUMES: u32 = 4;
-/// Pause before the second and each further resume.
-const RESUME_PAUSE: Duration = Duration::from_millis(100);
-/// Tokens between two notes of progress to the decision thread.
-const PROGRESS_EVERY: u32 = 32;
+/// Maximum size of one event of a response stream.
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
+/// Maximum size of an error body, or of the record that follows a cancellation.
+const MAX_ERROR_BODY_BYTES: usize = 64 * 1024;
+/// Maximum number of successive resumes that bring no new token.
+const MAX_RESUMES_WITHOUT_PROGRESS: u32 = 4;
+/// Delay before the second and each further resume.
+const RESUME_DELAY: Duration = Duration::from_millis(100);
+/// Tokens between two progress reports to the decision thread.
+const PROGRESS_INTERVAL_TOKENS: u32 = 32;
 
-/// What an attempt needs from around it.
-pub struct Bench<'a> {
-    /// Connections to backend servers.
+/// Runs the attempts of one request.
+pub struct Runner<'a> {
+    /// HTTP client for backend servers.
     pub client: &'a Client,
-    /// Where progress is noted.
-    pub desk: &'a Desk,
-    /// Time limits towards backend servers.
+    /// Sends progress to the decision thread.
+    pub pending: &'a PendingRequests,
+    /// Timeouts of requests to backend servers.
     pub timeouts: Timeouts,
-    /// Names the request in this process.
+    /// Identifies the request within this process.
     pub ticket: Ticket,
-    /// When the answer is of no more use.
+    /// Time at which the request is cancelled.
     pub deadline: Instant,
-    /// Whether the caller may ask again, so that an answer is worth finishing without it.
-    pub may_ask_again: bool,
+    /// Whether the caller may repeat the request; its response is then read to the end even if the caller
+    /// disconnects.
+    pub may_retry: bool,
 }
 
-/// What became of reading one connection's answer.
-enum Reading {
-    /// The end of the answer came.
-    Whole,
-    /// The connection broke or went silent; there may be more.
-    Broken { stalled: bool },
-    /// The backend server went on past the output limit.
-    Cut,
+/// Result of reading the response on one connection.
+enum ReadResult {
+    /// The response ended.
+    Complete,
+    /// The connection failed or stalled; the response may go on.
+    Interrupted { stalled: bool },
+    /// The backend server exceeded the output limit.
+    OverLimit,
     /// The deadline passed.
-    Late,
-    /// The caller went away and will not ask again.
-    Abandoned,
+    DeadlineExceeded,
+    /// The caller disconnected and cannot repeat the request.
+    CallerGone,
 }
 
-/// What the first contact gave.
-enum Opening {
-    /// The answer begins.
-    Answer(Box<Exchange>),
-    /// Provably not run.
+/// Result of sending the request.
+enum OpenResult {
+    /// The backend server began to respond.
+    Response(Box<Exchange>),
+    /// The request was not sent, so it certainly did not run.
     NotSent,
-    /// The server takes nothing now.
+    /// The backend server accepts no requests at present.
     Busy,
-    /// The server refuses the request itself.
+    /// The backend server rejected the request as invalid.
     Rejected(StatusCode, Bytes),
-    /// It may have run.
-    Unclear { stalled: bool },
+    /// The request may have run.
+    Unknown { stalled: bool },
 }
 
-/// How an attempt ended, and what a backend server said if it rejected the request.
+/// How an attempt ended, with the backend server's response if it rejected the request.
 pub struct Outcome {
-    /// For the decision thread.
+    /// Reported to the decision thread.
     pub end: End,
-    /// A rejection to be passed on.
+    /// Status and body of a rejection, forwarded to the caller.
     pub rejection: Option<(StatusCode, Bytes)>,
-    /// Whether the deadline cut the answer.
-    pub is_late: bool,
+    /// Whether the deadline ended the response.
+    pub deadline_exceeded: bool,
 }
 
 impl Outcome {
@@ -88,35 +89,37 @@
         Self {
             end,
             rejection: None,
-            is_late: false,
+            deadline_exceeded: false,
         }
     }
 }
 
-impl Bench<'_> {
-    /// Runs one attempt to its end.
+impl Runner<'_> {
+    /// Sends the request and forwards the response until the attempt ends.
     pub async fn run(
         &self,
         assignment: &Assignment,
         prompt: &Prompt,
-        wish: &Wish,
+        options: &ResponseOptions,
         delivery: &mut Delivery,
     ) -> Outcome {
         let limit = output_limit(assignment, prompt);
-        let request = self.request(assignment, prompt, wish, limit);
+        let request = self.request(assignment, prompt, options, limit);
         match self.open(assignment, request).await {
-            Opening::NotSent => Outcome::of(End::NotSent),
-            Opening::Busy => Outcome::of(End::Busy),
-            Opening::Rejected(status, body) => Outcome {
+            OpenResult::NotSent => Outcome::of(End::NotSent),
+            OpenResult::Busy => Outcome::of(End::Busy),
+            OpenResult::Rejected(status, body) => Outcome {
                 rejection: Some((status, body)),
                 ..Outcome::of(End::Rejected)
             },
-            Opening::Answer(exchange) => {
-                self.follow(assignment, Some(exchange), limit, delivery)
+            OpenResult::Response(exchange) => {
+                self.stream_response(assignment, Some(exchange), limit, delivery)
                     .await
             }
-            Opening::Unclear { stalled } => {
-                let mut outcome = self.follow(assignment, None, limit, delivery).await;
+            OpenResult::Unknown { stalled } => {
+                let mut outcome = self
+                    .stream_response(assignment, None, limit, delivery)
+                    .await;
                 if let End::Lost {
                     stalled: was_stalled,
                     ..
@@ -129,36 +132,42 @@
         }
     }
 
-    /// Reads the answer of an attempt that is under way or done elsewhere. `None` when its backend server
-    /// has no record of it.
+    /// Reads the response of an attempt that another request or instance started. Returns `None` when the
+    /// backend server has no record of it.
     pub async fn read(
         &self,
         address: std::net::SocketAddr,
         stream: &str,
         delivery: &mut Delivery,
     ) -> Option<Outcome> {
-        let mut tries = 0;
+        let mut resumes = 0;
         loop {
-            let exchange = match self.resume(address, stream, delivery.last).await {
-                Resumed::Answer(exchange) => Some(exchange),
-                Resumed::Unknown if tries == 0 => return None,
-                Resumed::Unknown | Resumed::Failed => None,
+            let exchange = match self.resume(address, stream, delivery.last_event).await {
+                ResumeResult::Response(exchange) => Some(exchange),
+                ResumeResult::NotFound if resumes == 0 => return None,
+                ResumeResult::NotFound | ResumeResult::Failed => None,
             };
-            let before = delivery.last;
+            let before = delivery.last_event;
             let reading = match exchange {
-                Some(exchange) => self.take_all(exchange, u32::MAX, delivery).await,
-                None => Reading::Broken { stalled: false },
+                Some(exchange) => self.read_response(exchange, u32::MAX, delivery).await,
+                None => ReadResult::Interrupted { stalled: false },
             };
             match reading {
-                Reading::Whole | Reading::Cut => return Some(Outcome::of(done(delivery))),
-                Reading::Late => return Some(self.late(delivery)),
-                Reading::Abandoned => return Some(Outcome::of(cancelled(delivery))),
-                Reading::Broken { stalled } => {
-                    tries = if delivery.last > before { 0 } else { tries + 1 };
-                    if tries > MOST_RESUMES {
+                ReadResult::Complete | ReadResult::OverLimit => {
+                    return Some(Outcome::of(done(delivery)));
+                }
+                ReadResult::DeadlineExceeded => return Some(self.deadline_outcome(delivery)),
+                ReadResult::CallerGone => return Some(Outcome::of(cancelled(delivery))),
+                ReadResult::Interrupted { stalled } => {
+                    resumes = if delivery.last_event > before {
+                        0
+                    } else {
+                        resumes + 1
+                    };
+                    if resumes > MAX_RESUMES_WITHOUT_PROGRESS {
                         return Some(Outcome::of(lost(delivery, stalled)));
                     }
-                    tokio::time::sleep(RESUME_PAUSE).await;
+                    tokio::time::sleep(RESUME_DELAY).await;
                 }
             }
         }
@@ -168,57 +177,63 @@
         &self,
         assignment: &Assignment,
         prompt: &Prompt,
-        wish: &Wish,
+        options: &ResponseOptions,
         limit: u32,
     ) -> http::Request<Bytes> {
         let body = prompt.upstream_body(limit, assignment.priority, &assignment.cache_salt);
-        let left = self.deadline.saturating_duration_since(Instant::now());
+        let time_left = self.deadline.saturating_duration_since(Instant::now());
         let request = http::Request::builder()
             .method(http::Method::POST)
-            .uri(wish.path.as_str())
+            .uri(options.path.as_str())
             .header(http::header::CONTENT_TYPE, "application/json")
             .header(STREAM_HEADER, &*assignment.stream)
             .header("x-fescuewell-group", &*assignment.group)
             .header("x-fescuewell-hold", assignment.hold.0)
-            .header(crate::caller::DEADLINE_HEADER, left.as_millis().to_string());
+            .header(
+                crate::caller::DEADLINE_HEADER,
+                time_left.as_millis().to_string(),
+            );
         request.body(Bytes::from(body)).unwrap_or_default()
     }
 
-    async fn open(&self, assignment: &Assignment, request: http::Request<Bytes>) -> Opening {
+    async fn open(&self, assignment: &Assignment, request: http::Request<Bytes>) -> OpenResult {
         let target = Target::new(assignment.address).with_deadline(self.deadline);
         let exchange = match self.client.open(&target, request, self.timeouts).await {
             Ok(exchange) => exchange,
-            Err(Error::NotSent { .. }) => return Opening::NotSent,
-            Err(Error::Stalled) => return Opening::Unclear { stalled: true },
-            Err(_) => return Opening::Unclear { stalled: false },
+            Err(Error::NotSent { .. }) => return OpenResult::NotSent,
+            Err(Error::Stalled) => return OpenResult::Unknown { stalled: true },
+            Err(_) => return OpenResult::Unknown { stalled: false },
         };
-        self.note_leaving(assignment, &exchange);
+        self.report_leaving(assignment, &exchange);
         match exchange.status {
-            StatusCode::OK if belongs(&exchange, &assignment.stream) => {
-                Opening::Answer(Box::new(exchange))
+            StatusCode::OK if matches_stream(&exchange, &assignment.stream) => {
+                OpenResult::Response(Box::new(exchange))
             }
-            // An answer under another name is somebody else's: it must not reach this caller.
-            StatusCode::OK => Opening::Unclear { stalled: false },
-            StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => Opening::Busy,
-            // The server knows this attempt already: an earlier send of it arrived after all.
-            StatusCode::CONFLICT => Opening::Unclear { stalled: false },
+            // A response with another stream id belongs to another request and must not reach this caller.
+            StatusCode::OK => OpenResult::Unknown { stalled: false },
+            StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => OpenResult::Busy,
+            // The backend server already has this attempt: an earlier send arrived after all.
+            StatusCode::CONFLICT => OpenResult::Unknown { stalled: false },
             status if status.is_client_error() => {
-                let body = exchange.whole(LARGEST_ERROR).await.unwrap_or_default();
-                Opening::Rejected(status, body)
+                let body = exchange
+                    .whole(MAX_ERROR_BODY_BYTES)
+                    .await
+                    .unwrap_or_default();
+                OpenResult::Rejected(status, body)
             }
-            _ => Opening::Unclear { stalled: false },
+            _ => OpenResult::Unknown { stalled: false },
         }
     }
 
-    fn note_leaving(&self, assignment: &Assignment, exchange: &Exchange) {
+    fn report_leaving(&self, assignment: &Assignment, exchange: &Exchange) {
         if exchange.headers.contains_key(LEAVING_HEADER) {
             let server = assignment.server.clone();
-            self.desk.hint(NodeEvent::Leaving { server });
+            self.pending.try_send(NodeEvent::Leaving { server });
         }
     }
 
-    /// Streams the answer on, taking it up again where it broke.
-    async fn follow(
+    /// Forwards the response and resumes it after each interruption.
+    async fn stream_response(
         &self,
         assignment: &Assignment,
         first: Option<Box<Exchange>>,
@@ -226,107 +241,118 @@
         delivery: &mut Delivery,
     ) -> Outcome {
         let mut next = first;
-        let mut tries = 0;
+        let mut resumes = 0;
         loop {
-            let before = delivery.last;
+            let before = delivery.last_event;
             let reading = match next.take() {
-                Some(exchange) => self.take_all(exchange, limit, delivery).await,
+                Some(exchange) => self.read_response(exchange, limit, delivery).await,
                 None => match self
-                    .resume(assignment.address, &assignment.stream, delivery.last)
+                    .resume(assignment.address, &assignment.stream, delivery.last_event)
                     .await
                 {
-                    Resumed::Answer(exchange) => self.take_all(exchange, limit, delivery).await,
-                    Resumed::Unknown => return Outcome::of(lost(delivery, false)),
-                    Resumed::Failed => Reading::Broken { stalled: false },
+                    ResumeResult::Response(exchange) => {
+                        self.read_response(exchange, limit, delivery).await
+                    }
+                    ResumeResult::NotFound => return Outcome::of(lost(delivery, false)),
+                    ResumeResult::Failed => ReadResult::Interrupted { stalled: false },
                 },
             };
             let stalled = match reading {
-                Reading::Whole => return Outcome::of(done(delivery)),
-                Reading::Cut => {
+                ReadResult::Complete => return Outcome::of(done(delivery)),
+                ReadResult::OverLimit => {
                     self.cancel(assignment, delivery).await;
                     return Outcome::of(done(delivery));
                 }
-                Reading::Late => {
+                ReadResult::DeadlineExceeded => {
                     self.cancel(assignment, delivery).await;
-                    return self.late(delivery);
+                    return self.deadline_outcome(delivery);
                 }
-                Reading::Abandoned => {
+                ReadResult::CallerGone => {
                     self.cancel(assignment, delivery).await;
                     return Outcome::of(cancelled(delivery));
                 }
-                Reading::Broken { stalled } => stalled,
+                ReadResult::Interrupted { stalled } => stalled,
             };
-            tries = if delivery.last > before { 0 } else { tries + 1 };
-            if tries > MOST_RESUMES || Instant::now() >= self.deadline {
+            resumes = if delivery.last_event > before {
+                0
+            } else {
+                resumes + 1
+            };
+            if resumes > MAX_RESUMES_WITHOUT_PROGRESS || Instant::now() >= self.deadline {
                 self.cancel(assignment, delivery).await;
                 return Outcome::of(lost(delivery, stalled));
             }
-            if tries > 1 {
-                tokio::time::sleep(RESUME_PAUSE).await;
+            if resumes > 1 {
+                tokio::time::sleep(RESUME_DELAY).await;
             }
         }
     }
 
-    async fn take_all(
+    async fn read_response(
         &self,
         mut exchange: Box<Exchange>,
         limit: u32,
         delivery: &mut Delivery,
-    ) -> Reading {
-        let mut splitter = sse::Splitter::new(LARGEST_EVENT);
+    ) -> ReadResult {
+        let mut splitter = sse::Splitter::new(MAX_EVENT_BYTES);
         let mut events = Vec::new();
-        let mut noted = delivery.last;
+        let mut reported = delivery.last_event;
         while let Some(chunk) = exchange.next_chunk().await {
             let chunk = match chunk {
                 Ok(chunk) => chunk,
-                Err(Error::DeadlinePassed) => return Reading::Late,
+                Err(Error::DeadlinePassed) => return ReadResult::DeadlineExceeded,
                 Err(error) => {
-                    return Reading::Broken {
+                    return ReadResult::Interrupted {
                         stalled: error == Error::Stalled,
                     };
                 }
             };
             if splitter.push(&chunk, &mut events).is_err() {
-                return Reading::Broken { stalled: false };
+                return ReadResult::Interrupted { stalled: false };
             }
             for event in events.drain(..) {
-                if !is_next(&event, delivery.last) {
+                if !is_new(&event, delivery.last_event) {
                     continue;
                 }
-                delivery.take(event).await;
+                delivery.handle_event(event).await;
             }
-            self.note_progress(delivery, &mut noted);
+            self.report_progress(delivery, &mut reported);
             if delivery.is_done() {
-                return Reading::Whole;
+                return ReadResult::Complete;
             }
-            // The hold covers so many tokens; an engine that goes on past the limit would spend what
-            // nobody set aside.
+            // The hold covers only `limit` output tokens; an engine that exceeds it would spend tokens
+            // that are not reserved.
             if delivery.output > limit {
-                return Reading::Cut;
+                return ReadResult::OverLimit;
             }
-            if delivery.is_gone() && !self.may_ask_again {
-                return Reading::Abandoned;
+            if delivery.is_gone() && !self.may_retry {
+                return ReadResult::CallerGone;
             }
         }
         match delivery.is_done() {
-            true => Reading::Whole,
-            false => Reading::Broken { stalled: false },
+            true => ReadResult::Complete,
+            false => ReadResult::Interrupted { stalled: false },
         }
     }
 
-    fn note_progress(&self, delivery: &Delivery, noted: &mut u64) {
-        let new = delivery.last.saturating_sub(*noted) as u32;
-        if new >= PROGRESS_EVERY || (*noted == 0 && new > 0) {
-            *noted = delivery.last;
+    fn report_progress(&self, delivery: &Delivery, reported: &mut u64) {
+        let new = delivery.last_event.saturating_sub(*reported) as u32;
+        if new >= PROGRESS_INTERVAL_TOKENS || (*reported == 0 && new > 0) {
+            *reported = delivery.last_event;
             let ticket = self.ticket;
-            self.desk.hint(NodeEvent::Progress {
+            self.pending.try_send(NodeEvent::Progress {
                 ticket,
                 tokens: new,
             });
         }
     }
 
-    async fn resume(&self, address: std::net::SocketAddr, stream: &str, after: u64) -> Resumed {
+    async fn resume(
+        &self,
+        address: std::net::SocketAddr,
+        stream: &str,
+        after: u64,
+    ) -> ResumeResult {
         let path = format!("/v1/responses/{stream}?stream=true&starting_after={after}");
         let request = http::Request::builder().uri(path).body(Bytes::new());
         let target = Target::new(address).with_deadline(self.deadline);
@@ -335,17 +361,20 @@
             .open(&target, request.unwrap_or_default(), self.timeouts)
             .await;
         match exchange {
-            Ok(exchange) if exchange.status == StatusCode::OK && belongs(&exchange, stream) => {
-                Resumed::Answer(Box::new(exchange))
+            Ok(exchange)
+                if exchange.status == StatusCode::OK && matches_stream(&exchange, stream) =>
+            {
+                ResumeResult::Response(Box::new(exchange))
             }
-            Ok(exchange) if exchange.status == StatusCode::NOT_FOUND => Resumed::Unknown,
-            _ => Resumed::Failed,
+            Ok(exchange) if exchange.status == StatusCode::NOT_FOUND => ResumeResult::NotFound,
+            _ => ResumeResult::Failed,
         }
     }
 
-    /// Tells the engine to stop, and learns from its record what was used.
+    /// Cancels the stream at the engine and takes the token usage from its record.
     ///
-    /// Not waited for long: where the engine does not answer, the sweep or its own limits end the stream.
+    /// The wait for the response is short: when the engine does not respond, the sweep or the engine's own
+    /// limits end the stream.
     async fn cancel(&self, assignment: &Assignment, delivery: &mut Delivery) {
         let path = format!("/v1/responses/{}/cancel", assignment.stream);
         let request = http::Request::builder()
@@ -364,43 +393,48 @@
         let Ok(exchange) = exchange else {
             return;
         };
-        let body = exchange.whole(LARGEST_ERROR).await.unwrap_or_default();
+        let body = exchange
+            .whole(MAX_ERROR_BODY_BYTES)
+            .await
+            .unwrap_or_default();
         let record: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
         let total = record["usage"]["total_tokens"].as_u64();
         delivery.used = total.map_or(delivery.used, Tokens);
     }
 
-    fn late(&self, delivery: &Delivery) -> Outcome {
+    fn deadline_outcome(&self, delivery: &Delivery) -> Outcome {
         Outcome {
-            is_late: true,
+            deadline_exceeded: true,
             ..Outcome::of(cancelled(delivery))
         }
     }
 }
 
-enum Resumed {
-    Answer(Box<Exchange>),
-    Unknown,
+/// Result of resuming a stream.
+enum ResumeResult {
+    Response(Box<Exchange>),
+    NotFound,
     Failed,
 }
 
-// Events come in order of their numbers; one that was seen before a break must not be repeated.
-fn is_next(event: &sse::Event, last: u64) -> bool {
+// Events arrive in ascending order of their numbers. One that arrived before an interruption must not be
+// forwarded again.
+fn is_new(event: &sse::Event, last: u64) -> bool {
     let number = event.id.as_deref().and_then(|id| id.parse::<u64>().ok());
     number.is_none_or(|number| number > last)
 }
 
-fn belongs(exchange: &Exchange, stream: &str) -> bool {
+fn matches_stream(exchange: &Exchange, stream: &str) -> bool {
     let name = exchange.headers.get(STREAM_HEADER);
     name.is_some_and(|name| name.as_bytes() == stream.as_bytes())
 }
 
 fn output_limit(assignment: &Assignment, prompt: &Prompt) -> u32 {
-    let room = assignment.hold.0.saturating_sub(u64::from(prompt.bound));
-    u32::try_from(room).unwrap_or(u32::MAX).max(1)
+    let output_tokens = assignment.hold.0.saturating_sub(u64::from(prompt.bound));
+    u32::try_from(output_tokens).unwrap_or(u32::MAX).max(1)
 }
 
-fn used(delivery: &Delivery) -> Tokens {
+fn used_tokens(delivery: &Delivery) -> Tokens {
     match delivery.used.is_zero() {
         true => Tokens(u64::from(delivery.output)),
         false => delivery.used,
@@ -409,7 +443,7 @@
 
 fn done(delivery: &Delivery) -> End {
     End::Done {
-        cost: used(delivery),
+        cost: used_tokens(delivery),
         output: delivery.output,
         answer: None,
     }
@@ -417,13 +451,13 @@
 
 fn cancelled(delivery: &Delivery) -> End {
     End::Cancelled {
-        used: used(delivery),
+        used: used_tokens(delivery),
     }
 }
 
 fn lost(delivery: &Delivery, stalled: bool) -> End {
     End::Lost {
-        used: used(delivery),
+        used: used_tokens(delivery),
         stalled,
         delivered: delivery.has_begun(),
     }
--- a/crates/fescuewell_router/src/backends.rs
+++ b/crates/fescuewell_router/src/backends.rs
@@ -1,4 +1,4 @@
-//! The thread towards backend servers: load reports, cache events, listings for the sweep.
+//! The thread that polls backend servers and sends them orders, cancellations and listings for the sweep.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,42 +17,42 @@
 
 use crate::adapters::BackendWork;
 
-/// Time between two load reports of one backend server.
+/// Interval at which each backend server is polled for its load and models.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
-/// Longest wait for any of these small answers.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// An order that has waited for longer is not sent any more. With [`PATIENCE`] for the sending itself this stays
-/// well under the time that the planner gives late orders to die out (`settle_ms`).
-const ORDER_LIFE: Duration = Duration::from_secs(2);
-/// Error code of an order that was refused for its fencing number.
-const STALE: &str = "stale_fencing_number";
-/// Largest answer.
-const LARGEST: usize = 4 * 1024 * 1024;
+/// Timeout of the requests of this thread; their responses are small.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// An order older than this is not sent. Together with [`REQUEST_TIMEOUT`] for the sending itself this stays
+/// well below the time that the planner waits for late orders to expire (`settle_ms`).
+const MAX_ORDER_AGE: Duration = Duration::from_secs(2);
+/// Error code of a backend server that refused an order because of its fencing token.
+const STALE_FENCING_TOKEN: &str = "stale_fencing_number";
+/// Maximum size of a response body.
+const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
 const TIMEOUTS: Timeouts = Timeouts {
-    connect: PATIENCE,
-    first_byte: PATIENCE,
-    progress: PATIENCE,
+    connect: REQUEST_TIMEOUT,
+    first_byte: REQUEST_TIMEOUT,
+    progress: REQUEST_TIMEOUT,
 };
 
-/// What the thread works with.
+/// State of the thread; each task gets a clone.
 #[derive(Clone)]
 pub struct Backends {
-    /// Backend servers of the document in force.
+    /// Backend servers of the active document.
     pub servers: Arc<ArcSwap<Vec<Server>>>,
-    /// The decision thread's ring.
+    /// Channel to the decision thread.
     pub events: flume::Sender<NodeEvent>,
-    /// Connections of its own, so that a burst of streams does not delay reports.
+    /// A separate HTTP client, so that a burst of streams does not delay reports.
     pub client: Client,
-    /// Present time, of the decision thread's clock.
+    /// The decision thread's clock.
     pub clock: Arc<dyn Clock>,
 }
 
-/// Starts the thread; it ends when the ring of work is closed.
+/// Starts the thread; it ends when all senders of `work` are dropped.
 ///
 /// # Errors
 ///
-/// When the operating system starts no more threads.
+/// When the thread or its runtime cannot be started.
 pub fn start(backends: Backends, work: flume::Receiver<BackendWork>) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -76,7 +76,7 @@
                 received = work.recv_async() => match received {
                     Ok(work) => {
                         let backends = self.clone();
-                        tokio::spawn(async move { backends.work(work).await });
+                        tokio::spawn(async move { backends.handle(work).await });
                     }
                     Err(_) => return,
                 },
@@ -84,7 +84,8 @@
         }
     }
 
-    // A backend server that does not answer has one question open, not one more each time.
+    // Starts a poll of each engine whose last poll has ended, so that polls of a server that does not respond
+    // don't accumulate.
     fn poll_all(&self, polls: &mut BTreeMap<Arc<str>, tokio::task::JoinHandle<u64>>) {
         use std::collections::btree_map::Entry;
         for server in self.servers.load().iter() {
@@ -104,17 +105,17 @@
     }
 
     async fn poll(self, server: Server) -> u64 {
-        let asked = self.clock.now();
+        let requested_at = self.clock.now();
         let Some(models) = self.get(server.address, "/v1/models").await else {
             return 0;
         };
         let models = serde_json::from_slice(&models).unwrap_or_default();
-        let loaded = names_of(&models);
-        self.tell_models(&server.name, read_models(asked, &models));
+        let loaded = model_names(&models);
+        self.report_models(&server.name, parse_models(requested_at, &models));
         let Some(metrics) = self.get(server.address, "/metrics").await else {
             return 0;
         };
-        let report = read_report(&String::from_utf8_lossy(&metrics));
+        let report = parse_load_report(&String::from_utf8_lossy(&metrics));
         let event = NodeEvent::Reported {
             server: server.name.clone(),
             report,
@@ -124,28 +125,31 @@
         1
     }
 
-    fn tell_models(&self, server: &Arc<str>, said: Option<ReadBack>) {
-        let Some(said) = said else {
+    fn report_models(&self, server: &Arc<str>, report: Option<ReadBack>) {
+        let Some(report) = report else {
             return;
         };
         let server = server.clone();
-        let _ = self.events.try_send(NodeEvent::Models { server, said });
+        let _ = self.events.try_send(NodeEvent::Models {
+            server,
+            said: report,
+        });
     }
 
-    async fn work(&self, work: BackendWork) {
+    async fn handle(&self, work: BackendWork) {
         match work {
             BackendWork::Order {
                 address,
                 order,
-                given,
+                created_at,
             } => {
-                let answer = self.order(address, &order, given).await;
+                let answer = self.order(address, &order, created_at).await;
                 let event = NodeEvent::Ordered { order, answer };
                 let _ = self.events.send_async(event).await;
             }
             BackendWork::Cancel { address, stream } => {
                 let path = format!("/v1/responses/{stream}/cancel");
-                let _ = self.ask(address, http::Method::POST, &path).await;
+                let _ = self.request(address, http::Method::POST, &path).await;
             }
             BackendWork::ListStreams {
                 server,
@@ -169,7 +173,7 @@
             } => {
                 let path = format!("/v1/responses?holder={holder}");
                 let body = self.get(address, &path).await;
-                let streams = body.and_then(|body| read_streams(&body));
+                let streams = body.and_then(|body| parse_streams(&body));
                 let event = NodeEvent::Streams {
                     server,
                     holder,
@@ -182,12 +186,12 @@
 
     /// Sends an order at most once.
     ///
-    /// An order that stayed here while the process was paused could reach the server after another
-    /// instance took the duty over and waited for late orders to die out; on a server that ignores
-    /// fencing numbers it would undo the new holder's. So it is looked at just before it is sent, and
-    /// sending it is bounded.
-    async fn order(&self, address: SocketAddr, order: &Order, given: Instant) -> Response {
-        if self.clock.now().since(given) > ORDER_LIFE {
+    /// An order that is delayed because the process was paused could reach the server after another
+    /// instance took over placement and waited for late orders to expire. On a server that ignores
+    /// fencing tokens it would undo the new holder's order. So the order's age is checked just before
+    /// it is sent, and sending has a timeout.
+    async fn order(&self, address: SocketAddr, order: &Order, created_at: Instant) -> Response {
+        if self.clock.now().since(created_at) > MAX_ORDER_AGE {
             return Response::Refused;
         }
         let Some(request) = order_request(order) else {
@@ -195,11 +199,11 @@
         };
         let target = Target::new(address);
         let open = self.client.open(&target, request, TIMEOUTS);
-        match tokio::time::timeout(PATIENCE, open).await {
+        match tokio::time::timeout(REQUEST_TIMEOUT, open).await {
             Ok(Ok(exchange)) => {
                 let status = exchange.status;
-                let body = exchange.whole(LARGEST).await.unwrap_or_default();
-                read_answer(status, &body)
+                let body = exchange.whole(MAX_RESPONSE_BYTES).await.unwrap_or_default();
+                parse_order_response(status, &body)
             }
             Ok(Err(upstream::Error::NotSent { .. })) => Response::Refused,
             Ok(Err(_)) | Err(_) => Response::Unknown,
@@ -207,10 +211,15 @@
     }
 
     async fn get(&self, address: SocketAddr, path: &str) -> Option<Bytes> {
-        self.ask(address, http::Method::GET, path).await
+        self.request(address, http::Method::GET, path).await
     }
 
-    async fn ask(&self, address: SocketAddr, method: http::Method, path: &str) -> Option<Bytes> {
+    async fn request(
+        &self,
+        address: SocketAddr,
+        method: http::Method,
+        path: &str,
+    ) -> Option<Bytes> {
         let request = http::Request::builder().method(method).uri(path);
         let request = request.body(Bytes::new()).ok()?;
         let exchange = self
@@ -221,23 +230,24 @@
         if !exchange.status.is_success() {
             return None;
         }
-        exchange.whole(LARGEST).await.ok()
+        exchange.whole(MAX_RESPONSE_BYTES).await.ok()
     }
 }
 
-fn names_of(models: &Value) -> Vec<Arc<str>> {
+fn model_names(models: &Value) -> Vec<Arc<str>> {
     let data = models["data"].as_array().into_iter().flatten();
     data.filter_map(|model| model["id"].as_str().map(Arc::from))
         .collect()
 }
 
-/// Reads which models a server has; `None` when it gave no list, which does not mean that it has none.
-fn read_models(asked: Instant, models: &Value) -> Option<ReadBack> {
+/// Parses the list of a server's models; `None` when the response has no list, which does not mean that the
+/// server has no models.
+fn parse_models(requested_at: Instant, models: &Value) -> Option<ReadBack> {
     models["data"].as_array()?;
     let loading = models["loading"].as_array().into_iter().flatten();
     Some(ReadBack {
-        asked,
-        loaded: names_of(models),
+        asked: requested_at,
+        loaded: model_names(models),
         loading: loading
             .filter_map(|name| name.as_str().map(Arc::from))
             .collect(),
@@ -257,8 +267,8 @@
     request.body(Bytes::from(body.to_string())).ok()
 }
 
-/// Whether the server took the order, as its status and error code tell.
-fn read_answer(status: http::StatusCode, body: &[u8]) -> Response {
+/// Derives from status and error code whether the server accepted the order.
+fn parse_order_response(status: http::StatusCode, body: &[u8]) -> Response {
     if status.is_success() {
         return Response::Accepted;
     }
@@ -267,13 +277,13 @@
     }
     let problem: Value = serde_json::from_slice(body).unwrap_or_default();
     match problem["error"]["code"].as_str() {
-        Some(STALE) => Response::Stale,
+        Some(STALE_FENCING_TOKEN) => Response::Stale,
         _ => Response::Refused,
     }
 }
 
-/// Reads the few lines that matter of a report in the Prometheus text format.
-fn read_report(text: &str) -> Report {
+/// Parses the metrics used for routing from a page in the Prometheus text format; a missing one counts as 0.
+fn parse_load_report(text: &str) -> Report {
     let value = |name: &str| {
         let mut lines = text.lines().filter(|line| !line.starts_with('#'));
         let line = lines.find(|line| {
@@ -292,13 +302,13 @@
     }
 }
 
-fn read_streams(body: &[u8]) -> Option<Vec<StreamRecord>> {
+fn parse_streams(body: &[u8]) -> Option<Vec<StreamRecord>> {
     let value: Value = serde_json::from_slice(body).ok()?;
     let data = value["data"].as_array()?;
-    Some(data.iter().filter_map(read_stream).collect())
+    Some(data.iter().filter_map(parse_stream).collect())
 }
 
-fn read_stream(record: &Value) -> Option<StreamRecord> {
+fn parse_stream(record: &Value) -> Option<StreamRecord> {
     let metadata = &record["metadata"];
     let finish = record["finish_reason"].as_str().unwrap_or_default();
     let hold = metadata["hold"]
--- a/crates/fescuewell_router/src/call.rs
+++ b/crates/fescuewell_router/src/call.rs
@@ -1,4 +1,4 @@
-//! One attempt at a call of a plain service.
+//! One attempt of a call of a plain service.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -13,49 +13,49 @@
 
 use crate::attempt::STREAM_HEADER;
 
-/// Largest answer of a call.
-const LARGEST_ANSWER: usize = 4 * 1024 * 1024;
-/// Times that the record is asked for, after an answer was lost.
-const RECORD_TRIES: u32 = 5;
-/// Pause before each of them.
-const RECORD_PAUSE: Duration = Duration::from_millis(200);
+/// Maximum size of the response body of a call.
+const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
+/// How often the service's record is requested after a response was lost.
+const RECORD_ATTEMPTS: u32 = 5;
+/// Delay after each of these requests.
+const RECORD_DELAY: Duration = Duration::from_millis(200);
 
-/// Times that the record is asked for after the caller was answered.
-const LATE_TRIES: u32 = 30;
-/// Pause before each of them.
-const LATE_PAUSE: Duration = Duration::from_secs(1);
+/// How often the record is requested after the caller was told that the outcome is unknown.
+const LATE_RECORD_ATTEMPTS: u32 = 30;
+/// Delay before each of these requests.
+const LATE_RECORD_DELAY: Duration = Duration::from_secs(1);
 
-/// One call.
+/// One call of a service and what is needed to send it.
 pub struct Call<'a> {
-    /// Connections to backend servers.
+    /// HTTP client for backend servers.
     pub client: &'a Client,
-    /// Time limits towards backend servers.
+    /// Timeouts of requests to backend servers.
     pub timeouts: Timeouts,
-    /// When the answer is of no more use.
+    /// Time at which the call is given up.
     pub deadline: Instant,
     /// Name of the call.
     pub call: &'a str,
-    /// What the caller sent.
+    /// Body that the caller sent.
     pub body: &'a Bytes,
-    /// Its type.
+    /// Content type of the body; `application/json` if the caller sent none.
     pub content_type: Option<&'a http::HeaderValue>,
-    /// Flat price.
+    /// Fixed price of the call.
     pub price: Tokens,
-    /// Whether it may run more than once.
+    /// Whether the call may run more than once.
     pub repeatable: bool,
 }
 
-/// How a call ended, and what is to be passed on.
+/// How a call ended, with the response for the caller.
 pub struct Outcome {
-    /// For the decision thread.
+    /// Reported to the decision thread.
     pub end: End,
-    /// The service's answer.
-    pub answer: Option<StoredResponse>,
+    /// The service's response.
+    pub response: Option<StoredResponse>,
 }
 
 impl Call<'_> {
-    /// Sends the call once. After a byte of it may have left it is never sent again from here: what
-    /// became of it is asked of the service's own record.
+    /// Sends the call at most once. If it may have reached the service, it is not sent again: the outcome is
+    /// read from the service's own record.
     pub async fn run(&self, assignment: &Assignment) -> Outcome {
         let target = Target::new(assignment.address).with_deadline(self.deadline);
         let exchange = match self
@@ -64,64 +64,67 @@
             .await
         {
             Ok(exchange) => exchange,
-            Err(Error::NotSent { .. }) => return ended(End::NotSent),
-            Err(error) => return self.ask_record(assignment, error == Error::Stalled).await,
+            Err(Error::NotSent { .. }) => return without_response(End::NotSent),
+            Err(error) => return self.poll_record(assignment, error == Error::Stalled).await,
         };
         let status = exchange.status;
         if status == StatusCode::TOO_MANY_REQUESTS || status == StatusCode::SERVICE_UNAVAILABLE {
-            return ended(End::Busy);
+            return without_response(End::Busy);
         }
-        match read(exchange).await {
-            Some(answer) if !status.is_server_error() => self.done(answer),
-            _ => self.ask_record(assignment, false).await,
+        match read_response(exchange).await {
+            Some(response) if !status.is_server_error() => self.done(response),
+            _ => self.poll_record(assignment, false).await,
         }
     }
 
-    fn done(&self, answer: StoredResponse) -> Outcome {
-        let is_kept = !self.repeatable && answer.body.len() <= MAX_RESPONSE_BYTES;
+    fn done(&self, response: StoredResponse) -> Outcome {
+        let is_stored = !self.repeatable && response.body.len() <= MAX_RESPONSE_BYTES;
         Outcome {
             end: End::Done {
                 cost: self.price,
                 output: 0,
-                answer: is_kept.then(|| answer.clone()),
+                answer: is_stored.then(|| response.clone()),
             },
-            answer: Some(answer),
+            response: Some(response),
         }
     }
 
     fn request(&self, assignment: &Assignment) -> http::Request<Bytes> {
         let json = http::HeaderValue::from_static("application/json");
-        let left = self.deadline.saturating_duration_since(Instant::now());
+        let time_left = self.deadline.saturating_duration_since(Instant::now());
         let request = http::Request::builder()
             .method(http::Method::POST)
             .uri(format!("/calls/{}", self.call))
             .header(CONTENT_TYPE, self.content_type.unwrap_or(&json))
             .header(STREAM_HEADER, &*assignment.stream)
             .header("x-fescuewell-group", &*assignment.group)
-            .header(crate::caller::DEADLINE_HEADER, left.as_millis().to_string());
+            .header(
+                crate::caller::DEADLINE_HEADER,
+                time_left.as_millis().to_string(),
+            );
         request.body(self.body.clone()).unwrap_or_default()
     }
 
-    /// The answer was lost. The service's record may show that the call ran; that it shows nothing proves
-    /// nothing, since the call may still be on its way.
-    async fn ask_record(&self, assignment: &Assignment, stalled: bool) -> Outcome {
-        for _ in 0..RECORD_TRIES {
-            if let Some(answer) = self.record(assignment).await {
-                return self.done(answer);
+    /// Looks for a lost response in the service's record. A missing entry does not prove that the call did
+    /// not run, since the call may still be in transit.
+    async fn poll_record(&self, assignment: &Assignment, stalled: bool) -> Outcome {
+        for _ in 0..RECORD_ATTEMPTS {
+            if let Some(response) = self.fetch_record(assignment).await {
+                return self.done(response);
             }
-            tokio::time::sleep(RECORD_PAUSE).await;
+            tokio::time::sleep(RECORD_DELAY).await;
             if Instant::now() >= self.deadline {
                 break;
             }
         }
-        ended(End::Lost {
+        without_response(End::Lost {
             used: Tokens::ZERO,
             stalled,
             delivered: false,
         })
     }
 
-    async fn record(&self, assignment: &Assignment) -> Option<StoredResponse> {
+    async fn fetch_record(&self, assignment: &Assignment) -> Option<StoredResponse> {
         let request = http::Request::builder()
             .uri(format!("/calls/{}", assignment.stream))
             .body(Bytes::new())
@@ -135,7 +138,7 @@
         if exchange.status != StatusCode::OK {
             return None;
         }
-        let record = read(exchange).await?;
+        let record = read_response(exchange).await?;
         let value: serde_json::Value = serde_json::from_slice(&record.body).ok()?;
         if value["ran"] != true {
             return None;
@@ -146,13 +149,13 @@
         })
     }
 
-    /// Goes on asking for the record after the caller was told that the outcome is unknown, so that a repeat
-    /// can be given the answer.
-    pub async fn settle_later(&self, assignment: &Assignment) -> End {
-        for _ in 0..LATE_TRIES {
-            tokio::time::sleep(LATE_PAUSE).await;
-            if let Some(answer) = self.record(assignment).await {
-                return self.done(answer).end;
+    /// Continues to request the record after the caller was told that the outcome is unknown, so that a
+    /// repeated request can get the response.
+    pub async fn poll_record_late(&self, assignment: &Assignment) -> End {
+        for _ in 0..LATE_RECORD_ATTEMPTS {
+            tokio::time::sleep(LATE_RECORD_DELAY).await;
+            if let Some(response) = self.fetch_record(assignment).await {
+                return self.done(response).end;
             }
         }
         End::Lost {
@@ -163,16 +166,19 @@
     }
 }
 
-fn ended(end: End) -> Outcome {
-    Outcome { end, answer: None }
+fn without_response(end: End) -> Outcome {
+    Outcome {
+        end,
+        response: None,
+    }
 }
 
-async fn read(exchange: Exchange) -> Option<StoredResponse> {
+async fn read_response(exchange: Exchange) -> Option<StoredResponse> {
     let status = exchange.status.as_u16();
     let content_type = exchange.headers.get(CONTENT_TYPE);
     let content_type = content_type.and_then(|value| value.to_str().ok());
     let content_type: Arc<str> = content_type.unwrap_or("application/json").into();
-    let body = exchange.whole(LARGEST_ANSWER).await.ok()?;
+    let body = exchange.whole(MAX_BODY_BYTES).await.ok()?;
     Some(StoredResponse {
         status,
         content_type,
--- a/crates/fescuewell_router/src/caller.rs
+++ b/crates/fescuewell_router/src/caller.rs
@@ -1,4 +1,4 @@
-//! What every caller's request carries besides its body: key, request id, kind, deadline.
+//! Reads the headers of callers' requests: account key, request id, kind and deadline.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,32 +8,32 @@
 use fescuewell_document::model::Account;
 use fescuewell_http::listener::Request;
 
-/// Names the request; a repeat carries the same.
+/// Header with the request id; a repeated request has the same id.
 pub const REQUEST_ID_HEADER: &str = "idempotency-key";
-/// Names the kind of request.
+/// Header with the kind of request.
 pub const KIND_HEADER: &str = "x-request-kind";
-/// Time left for the answer, in milliseconds.
+/// Header with the time left for the response, in milliseconds.
 pub const DEADLINE_HEADER: &str = "x-deadline-ms";
-/// Last event that a caller got of a stream that it takes up again.
+/// Header with the number of the last event that the caller received of a stream that it resumes.
 pub const LAST_EVENT_HEADER: &str = "last-event-id";
 
-/// Longest request id.
-const LONGEST_ID: usize = 128;
-/// Longest deadline that a caller may ask for.
-pub const LONGEST_DEADLINE: Duration = Duration::from_secs(3_600);
+/// Maximum length of a request id.
+const MAX_ID_BYTES: usize = 128;
+/// Maximum deadline that a caller may set.
+pub const MAX_DEADLINE: Duration = Duration::from_secs(3_600);
 
-/// Who asks for what, until when.
+/// The caller of a request, as its headers identify it.
 #[derive(Debug, Clone)]
 pub struct Caller {
     /// Name of the client account.
     pub account: Arc<str>,
-    /// Name of the group that pays.
+    /// Name of the group that is billed.
     pub group: Arc<str>,
-    /// The request's id; made here when the caller sent none.
+    /// The request's id; generated when the caller sent none.
     pub id: Arc<str>,
-    /// Whether the caller sent the id, and so may ask again.
-    pub may_ask_again: bool,
-    /// Number of the last event that the caller has of this stream.
+    /// Whether the caller sent the id itself, and so may repeat the request.
+    pub may_retry: bool,
+    /// Number of the last event of this stream that the caller has received; 0 for none.
     pub last_event: u64,
 }
 
@@ -43,13 +43,17 @@
     /// # Errors
     ///
     /// [`Code::Unauthorized`], or [`Code::InvalidField`] with the header's name.
-    pub fn read<Make>(index: &Index, request: &Request, make_id: Make) -> Result<Self, Refusal>
+    pub fn read<Generate>(
+        index: &Index,
+        request: &Request,
+        generate_id: Generate,
+    ) -> Result<Self, Refusal>
     where
-        Make: FnOnce() -> String,
+        Generate: FnOnce() -> String,
     {
         let account = authenticate(index, request)?;
-        let given = header(request, REQUEST_ID_HEADER)?;
-        if let Some(id) = given {
+        let sent_id = header(request, REQUEST_ID_HEADER)?;
+        if let Some(id) = sent_id {
             check_id(id)?;
         }
         let last_event = header(request, LAST_EVENT_HEADER)?.map_or(Ok(0), |text| {
@@ -59,23 +63,23 @@
         Ok(Self {
             account: account.name.clone(),
             group: account.group.clone(),
-            id: given.map_or_else(|| make_id().into(), Arc::from),
-            may_ask_again: given.is_some(),
+            id: sent_id.map_or_else(|| generate_id().into(), Arc::from),
+            may_retry: sent_id.is_some(),
             last_event,
         })
     }
 
-    /// Identity of the request across the fleet.
+    /// Returns the key that identifies the request on all instances.
     pub fn key(&self) -> RequestKey {
         RequestKey::new(self.account.clone(), self.id.clone())
     }
 }
 
-/// The account whose key the request carries.
+/// Returns the account whose key the request carries.
 ///
 /// # Errors
 ///
-/// [`Code::Unauthorized`].
+/// [`Code::Unauthorized`] when the key is missing or unknown.
 pub fn authenticate<'a>(index: &'a Index, request: &Request) -> Result<&'a Account, Refusal> {
     let value = request.headers.get(http::header::AUTHORIZATION);
     let text = value
@@ -88,11 +92,11 @@
     account.ok_or_else(|| Refusal::new(Code::Unauthorized))
 }
 
-/// The kind that the request names, or its account's default.
+/// Returns the kind that the request names, or its account's default.
 ///
 /// # Errors
 ///
-/// [`Code::UnknownKind`].
+/// [`Code::UnknownKind`] when no kind has that name.
 pub fn kind_of(index: &Index, request: &Request, account: &str) -> Result<Arc<str>, Refusal> {
     if let Some(name) = header(request, KIND_HEADER)? {
         let kind = index.kind(name);
@@ -104,25 +108,25 @@
     kind.ok_or_else(|| Refusal::new(Code::Unauthorized))
 }
 
-/// Time left for the answer: what the caller says, or what its kind allows.
+/// Returns the time left for the response: the caller's deadline, or that of its kind.
 ///
 /// # Errors
 ///
-/// [`Code::InvalidField`].
+/// [`Code::InvalidField`] when the deadline is not a whole number.
 pub fn deadline_of(index: &Index, request: &Request, kind: &str) -> Result<Duration, Refusal> {
-    let allowed = index.kind(kind).map_or(LONGEST_DEADLINE, |kind| {
-        Duration::from_millis(kind.deadline_ms)
-    });
+    let allowed = index
+        .kind(kind)
+        .map_or(MAX_DEADLINE, |kind| Duration::from_millis(kind.deadline_ms));
     let Some(text) = header(request, DEADLINE_HEADER)? else {
         return Ok(allowed);
     };
     let millis: u64 = text
         .parse()
         .map_err(|_| invalid(DEADLINE_HEADER, "a whole number of milliseconds"))?;
-    Ok(Duration::from_millis(millis).min(LONGEST_DEADLINE))
+    Ok(Duration::from_millis(millis).min(MAX_DEADLINE))
 }
 
-/// A header's text.
+/// Returns the text of a header.
 ///
 /// # Errors
 ///
@@ -137,12 +141,12 @@
 
 fn check_id(id: &str) -> Result<(), Refusal> {
     let plain = id.bytes().all(|byte| byte.is_ascii_graphic());
-    if id.is_empty() || id.len() > LONGEST_ID || !plain {
+    if id.is_empty() || id.len() > MAX_ID_BYTES || !plain {
         return Err(invalid(REQUEST_ID_HEADER, "1 to 128 printable characters"));
     }
     Ok(())
 }
 
-fn invalid(name: &str, wanted: &str) -> Refusal {
-    Refusal::new(Code::InvalidField).with_detail(format!("Header {name}: {wanted} is wanted."))
+fn invalid(name: &str, expected: &str) -> Refusal {
+    Refusal::new(Code::InvalidField).with_detail(format!("Header {name}: {expected} is wanted."))
 }
--- a/crates/fescuewell_router/src/chat.rs
+++ b/crates/fescuewell_router/src/chat.rs
@@ -1,21 +1,21 @@
-//! Reading a model request: what is asked, an upper bound of its cost, and the hashes of its prompt.
+//! Parses model requests: model and options, an upper bound of the cost, and the hashes of the prompt.
 //!
-//! The body stays a JSON value besides, since fields that this system has no opinion on pass
-//! through to the backend server unchanged.
+//! The body is kept as a JSON value, since fields that this system does not interpret are forwarded to the
+//! backend server unchanged.
 
 use std::sync::Arc;
 
 use fescuewell_core::prelude::*;
 use serde_json::Value;
 
-/// Bytes of prompt text to one block of the prefix hashes.
+/// Bytes of prompt text in one block of the prefix hashes.
 const BLOCK_BYTES: usize = 256;
-/// Most blocks that are hashed; longer prompts are told apart well enough by these.
-const MOST_BLOCKS: usize = 128;
-/// Added to the prompt bound for what templates put around the messages.
+/// Maximum number of hashed blocks; these distinguish longer prompts well enough.
+const MAX_BLOCKS: usize = 128;
+/// Added to the prompt bound for the tokens that chat templates put around the messages.
 const TEMPLATE_TOKENS: u32 = 64;
 
-/// Which of the two model paths was called.
+/// The API path of a model request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Path {
     /// `/v1/chat/completions`.
@@ -25,7 +25,7 @@
 }
 
 impl Path {
-    /// The path at the backend server; the same as the caller's.
+    /// The path at the backend server, which is the same as the caller's.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Chat => "/v1/chat/completions",
@@ -34,35 +34,36 @@
     }
 }
 
-/// A model request as read from the caller's body.
+/// A model request parsed from the caller's body.
 #[derive(Debug, Clone)]
 pub struct Prompt {
     /// Name of the model.
     pub model: Arc<str>,
-    /// Whether the caller wants a stream.
+    /// Whether the caller requested a stream.
     pub stream: bool,
-    /// Whether the caller wants usage in the stream.
+    /// Whether the caller requested token usage in the stream.
     pub include_usage: bool,
-    /// The caller's output limit, if it named one.
+    /// The caller's output limit in tokens, if it set one.
     pub output_limit: Option<u32>,
     /// Upper bound of the prompt in tokens.
     ///
     /// Every tokenizer in use maps at least one byte to each token, so the body's length in bytes
-    /// bounds the prompt whatever the tokenizer; a bound from an estimate of bytes per token would
-    /// be broken by rare scripts, and the group would overspend unseen.
+    /// is a bound for any tokenizer. An estimate of bytes per token would be too low for rare
+    /// scripts, and the group would overspend without notice.
     pub bound: u32,
     /// The whole body.
     pub body: Value,
-    /// The prompt's text, for the prefix hashes.
+    /// Text of the prompt, for the prefix hashes.
     text: String,
 }
 
 impl Prompt {
-    /// Reads a request.
+    /// Parses a request body.
     ///
     /// # Errors
     ///
-    /// [`Code::MalformedRequest`] for what is not JSON, [`Code::InvalidField`] with the field's name.
+    /// [`Code::MalformedRequest`] when the body is not a JSON object, [`Code::InvalidField`] with the field's
+    /// name.
     pub fn read(path: Path, bytes: &[u8]) -> Result<Self, Refusal> {
         let body: Value = serde_json::from_slice(bytes)
             .map_err(|error| Refusal::new(Code::MalformedRequest).with_detail(error.to_string()))?;
@@ -74,7 +75,7 @@
         let Some(model) = fields.get("model").and_then(Value::as_str) else {
             return Err(invalid("model", "a string"));
         };
-        refuse_several_choices(&body)?;
+        reject_multiple_choices(&body)?;
         let stream = flag(&body, "stream")?;
         let include_usage = body["stream_options"]["include_usage"]
             .as_bool()
@@ -82,7 +83,7 @@
         let output_limit = output_limit(&body)?;
         let text = match path {
             Path::Chat => chat_text(&body)?,
-            Path::Text => plain_text(&body)?,
+            Path::Text => completion_text(&body)?,
         };
         let bound = u32::try_from(bytes.len())
             .unwrap_or(u32::MAX)
@@ -98,10 +99,10 @@
         })
     }
 
-    /// Hashes of the successive blocks of the prompt; each covers all blocks before it.
+    /// Returns the hashes of the successive blocks of the prompt; each covers all blocks before it.
     ///
-    /// The salt keeps two groups with the same prompt apart, so that the speed of one group's
-    /// answers says nothing about the other's prompts.
+    /// The salt gives two groups different hashes for the same prompt, so that response times of one
+    /// group reveal nothing about the prompts of another.
     pub fn prefix(&self, salt: &str) -> Vec<Digest> {
         let mut blocks = Vec::new();
         let mut chain = Digest::of(salt.as_bytes());
@@ -109,7 +110,7 @@
             .text
             .as_bytes()
             .chunks_exact(BLOCK_BYTES)
-            .take(MOST_BLOCKS)
+            .take(MAX_BLOCKS)
         {
             let mut input = chain.0.to_le_bytes().to_vec();
             input.extend_from_slice(block);
@@ -119,9 +120,10 @@
         blocks
     }
 
-    /// The body for the backend server: always a stream with usage, cut at `limit` output tokens.
+    /// Returns the body for the backend server: always a stream with usage, limited to `limit` output tokens.
     ///
-    /// Whole answers are assembled here, so that one path serves both and both can be resumed.
+    /// The router assembles non-streamed responses itself, so that both kinds use the same code and can be
+    /// resumed.
     pub fn upstream_body(&self, limit: u32, priority: u8, cache_salt: &str) -> Vec<u8> {
         let mut body = self.body.clone();
         body["stream"] = true.into();
@@ -136,8 +138,8 @@
     }
 }
 
-fn invalid(field: &str, wanted: &str) -> Refusal {
-    Refusal::new(Code::InvalidField).with_detail(format!("Field {field}: {wanted} is wanted."))
+fn invalid(field: &str, expected: &str) -> Refusal {
+    Refusal::new(Code::InvalidField).with_detail(format!("Field {field}: {expected} is wanted."))
 }
 
 fn flag(body: &Value, field: &str) -> Result<bool, Refusal> {
@@ -148,8 +150,8 @@
     }
 }
 
-// Several choices share one prompt but multiply the output; the hold would not cover them.
-fn refuse_several_choices(body: &Value) -> Result<(), Refusal> {
+// Several choices share one prompt but multiply the output, which the hold would not cover.
+fn reject_multiple_choices(body: &Value) -> Result<(), Refusal> {
     for field in ["n", "best_of"] {
         let value = &body[field];
         if !value.is_null() && value.as_u64() != Some(1) {
@@ -211,8 +213,8 @@
     }
 }
 
-// A picture behind an address has a size that nobody here knows, so no hold would be a true bound.
-// A picture inside the body is bounded by the body's length.
+// The size of an image behind a URL is unknown here, so no hold would be an upper bound. The size of an inline
+// image is bounded by the body's length.
 fn add_part(part: &Value, text: &mut String) -> Result<(), Refusal> {
     if let Some(url) = part["image_url"]["url"].as_str()
         && !url.starts_with("data:")
@@ -223,7 +225,7 @@
     Ok(())
 }
 
-fn plain_text(body: &Value) -> Result<String, Refusal> {
+fn completion_text(body: &Value) -> Result<String, Refusal> {
     match &body["prompt"] {
         Value::String(prompt) => Ok(prompt.clone()),
         _ => Err(invalid("prompt", "a string")),
--- a/crates/fescuewell_router/src/daemon.rs
+++ b/crates/fescuewell_router/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Assembles one entry instance from its parts and runs it.
+//! Starts and stops a router: all threads, listeners and connections of one instance.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,107 +22,108 @@
 use rand::{Rng, SeedableRng};
 use snafu::{ResultExt, Snafu};
 
-use crate::adapters::{self, Outside, Rings};
+use crate::adapters::{self, Channels, Platform};
 use crate::backends::{self, Backends};
-use crate::event_loop::Brain;
+use crate::event_loop::EventLoop;
 use crate::metrics::{self, Metrics};
 use crate::operator::Operator;
-use crate::pending::Desk;
+use crate::pending::PendingRequests;
 use crate::plane::{Front, Plane};
 use crate::settings::Settings;
 
-/// Events that may wait for the decision thread.
-const EVENT_RING: usize = 16_384;
-/// Messages of peers that may wait to be decoded.
-const PEER_RING: usize = 1_024;
-/// Time between two ticks of the decision thread.
-const TICK: Duration = Duration::from_millis(5);
-/// How long open exchanges may take to end once the decisions say that nothing is left.
-const LAST_EXCHANGES: Duration = Duration::from_secs(5);
-/// How long peers' last messages may take.
-const LAST_MESSAGES: Duration = Duration::from_millis(500);
+/// Capacity of the channel of events to the decision thread.
+const EVENT_CHANNEL_CAPACITY: usize = 16_384;
+/// Capacity of the channel of peer messages that wait to be decoded.
+const PEER_CHANNEL_CAPACITY: usize = 1_024;
+/// Interval of the decision thread's ticks.
+const TICK_INTERVAL: Duration = Duration::from_millis(5);
+/// How long open connections of callers may take to finish after the decision thread ended.
+const EXCHANGE_DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long the last messages to peers may take to be sent.
+const PEER_FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Why a router could not start.
+/// An error while starting or reloading a router.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// A listener.
+    /// A listener could not start.
     #[snafu(display("{source}"))]
     Listener {
-        /// What was wrong.
+        /// The cause.
         source: listener::Error,
     },
-    /// The transport between instances.
+    /// The transport between instances could not start, or rejected new certificates.
     #[snafu(display("peers: {source}"))]
     Peers {
-        /// What was wrong.
+        /// The cause.
         source: fescuewell_peer::Error,
     },
-    /// The token that the settings name.
+    /// The operators' token could not be read.
     #[snafu(display("setting operator_token: {source}"))]
     Token {
-        /// What was wrong.
+        /// The cause.
         source: fescuewell_platform::settings::Error,
     },
-    /// Metrics.
+    /// The metrics could not be set up.
     #[snafu(display("{source}"))]
     Metrics {
-        /// What was wrong.
+        /// The cause.
         source: metrics::Error,
     },
-    /// A thread.
+    /// A thread could not start.
     #[snafu(display("cannot start a thread: {source}"))]
     Thread {
-        /// What the operating system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// A file that the settings name.
+    /// A file named in the settings could not be read.
     #[snafu(display("setting {setting}: cannot read {file}: {source}"))]
     File {
-        /// Which setting.
+        /// Name of the setting.
         setting: &'static str,
-        /// The file.
+        /// Path of the file.
         file: Arc<str>,
-        /// What the operating system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// A running entry instance.
+/// A running router instance.
 pub struct Router {
     listener: Listener,
     operator: Listener,
     events: flume::Sender<NodeEvent>,
     transport: Arc<Transport>,
     plane: Arc<Plane>,
-    brain: JoinHandle<()>,
+    event_loop: JoinHandle<()>,
     _timer: timer::Service,
 }
 
 impl Router {
-    /// Starts an instance that keeps its state in a store.
+    /// Starts an instance that uses the given platform services.
     ///
     /// # Errors
     ///
-    /// When a part cannot be started.
+    /// When a thread, a listener, the peer transport or the metrics cannot be started, or a file that the
+    /// settings name cannot be read.
     pub fn start(
         settings: &Settings,
         services: fescuewell_platform::Services,
     ) -> Result<Self, Error> {
-        let (events, inbox) = flume::bounded(EVENT_RING);
+        let (events, inbox) = flume::bounded(EVENT_CHANNEL_CAPACITY);
         let timer = timer::Service::start(Arc::new(SystemClock::default()));
         let metrics = Arc::new(Metrics::new().context(MetricsSnafu)?);
         let transport = start_transport(settings, &events)?;
-        let outside = Outside {
+        let platform = Platform {
             table: services.table,
             objects: services.objects,
             instances: services.instances,
             events: events.clone(),
         };
-        let (rings, work) = adapters::start(&outside, &timer).context(ThreadSnafu)?;
+        let (channels, work) = adapters::start(&platform, &timer).context(ThreadSnafu)?;
         let clock: Arc<dyn Clock> = Arc::new(SystemClock::default());
-        start_backends(&rings, &events, work, clock.clone())?;
+        start_backends(&channels, &events, work, clock.clone())?;
         let mut random = SmallRng::from_os_rng();
-        let incarnation = rising(&mut random);
+        let incarnation = new_incarnation(&mut random);
         let holder: Arc<str> = format!("{}.{:x}", settings.instance, incarnation.0).into();
         let plane = Arc::new(new_plane(settings, &events, holder, metrics.clone()));
         let summary: Arc<ArcSwap<Summary>> = Arc::default();
@@ -137,18 +138,18 @@
             zone: settings.zone.clone(),
             formats: fescuewell_document::chunk::FORMAT,
         };
-        let brain = Brain {
+        let event_loop = EventLoop {
             node: Node::new(settings.node(), me, random.random()),
             clock,
             inbox,
             plane: plane.clone(),
-            rings,
+            channels,
             transport: transport.clone(),
             summary,
         };
-        let brain = std::thread::Builder::new()
+        let event_loop = std::thread::Builder::new()
             .name("decisions".into())
-            .spawn(move || brain.run())
+            .spawn(move || event_loop.run())
             .context(ThreadSnafu)?;
         subscribe(&timer, &events);
         fescuewell_core::log_event!(
@@ -166,69 +167,69 @@
             events,
             transport,
             plane,
-            brain,
+            event_loop,
             _timer: timer,
         })
     }
 
-    /// Where callers connect.
+    /// Address of the callers' listener.
     pub fn address(&self) -> SocketAddr {
         self.listener.address()
     }
 
-    /// Where operators connect.
+    /// Address of the operators' listener.
     pub fn operator_address(&self) -> SocketAddr {
         self.operator.address()
     }
 
-    /// Where other instances connect.
+    /// Address of the listener for other instances.
     pub fn peer_address(&self) -> SocketAddr {
         self.transport.address()
     }
 
-    /// Bytes and messages exchanged with peers.
+    /// Counts of bytes and messages exchanged with peers.
     pub fn traffic(&self) -> fescuewell_peer::Traffic {
         self.transport.traffic()
     }
 
-    /// Takes renewed certificates from the settings.
+    /// Loads renewed peer certificates from the settings.
     ///
     /// # Errors
     ///
-    /// When they cannot be used; the old ones stay in use.
+    /// When they are invalid; the previous certificates stay in use.
     pub fn reload(&self, settings: &Settings) -> Result<(), Error> {
         self.transport.reload(&settings.peers).context(PeersSnafu)
     }
 
-    /// Whether the instance takes requests.
+    /// Whether the instance accepts requests.
     pub fn is_ready(&self) -> bool {
         self.plane.published.load().is_ready
     }
 
-    /// Begins the drain; a second call changes nothing.
+    /// Starts the drain; a second call has no effect.
     pub fn terminate(&self) {
         let _ = self.events.send(NodeEvent::Terminate);
     }
 
-    /// Whether the decisions have ended, for instance after a drain.
+    /// Whether the decision thread has ended, for example after a drain.
     pub fn is_finished(&self) -> bool {
-        self.brain.is_finished()
+        self.event_loop.is_finished()
     }
 
-    /// Waits for the drain to end, then for the last exchanges.
+    /// Waits for the drain to end, then for open connections and the last messages to peers.
     pub fn join(self) {
-        let _ = self.brain.join();
+        let _ = self.event_loop.join();
         self.listener.stop_accepting();
-        self.listener.drain(LAST_EXCHANGES);
+        self.listener.drain(EXCHANGE_DRAIN_TIMEOUT);
         if let Ok(transport) = Arc::try_unwrap(self.transport) {
-            transport.close(LAST_MESSAGES);
+            transport.close(PEER_FLUSH_TIMEOUT);
         }
     }
 }
 
-// An incarnation must rise with each start of an instance. Seconds since 1970 do, unless the machine's clock
-// is set back; the random lower bits tell two starts within a second apart.
-fn rising(random: &mut SmallRng) -> Incarnation {
+// An incarnation must increase with each start of an instance. Seconds since 1970 do, unless the system clock
+// is set back; 16 random low bits distinguish two starts within the same second.
+fn new_incarnation(random: &mut SmallRng) -> Incarnation {
     let now = std::time::SystemTime::now();
     let since = now
         .duration_since(std::time::UNIX_EPOCH)
@@ -240,17 +241,17 @@
     settings: &Settings,
     events: &flume::Sender<NodeEvent>,
 ) -> Result<Arc<Transport>, Error> {
-    let (inbox, messages) = flume::bounded::<fescuewell_peer::Incoming>(PEER_RING);
+    let (inbox, messages) = flume::bounded::<fescuewell_peer::Incoming>(PEER_CHANNEL_CAPACITY);
     let transport = Transport::start(settings.peers.clone(), inbox).context(PeersSnafu)?;
     let events = events.clone();
     std::thread::Builder::new()
         .name("peer-messages".into())
-        .spawn(move || decode(&messages, &events))
+        .spawn(move || decode_messages(&messages, &events))
         .context(ThreadSnafu)?;
     Ok(Arc::new(transport))
 }
 
-fn decode(
+fn decode_messages(
     messages: &flume::Receiver<fescuewell_peer::Incoming>,
     events: &flume::Sender<NodeEvent>,
 ) {
@@ -271,13 +272,13 @@
 }
 
 fn start_backends(
-    rings: &Rings,
+    channels: &Channels,
     events: &flume::Sender<NodeEvent>,
     work: flume::Receiver<adapters::BackendWork>,
     clock: Arc<dyn Clock>,
 ) -> Result<(), Error> {
     let backends = Backends {
-        servers: rings.servers.clone(),
+        servers: channels.servers.clone(),
         events: events.clone(),
         client: Client::default(),
         clock,
@@ -295,7 +296,7 @@
     Plane {
         index: ArcSwap::from_pointee(Index::new(Arc::default())),
         published: ArcSwap::default(),
-        desk: Desk::new(events.clone()),
+        pending: PendingRequests::new(events.clone()),
         client: Client::default(),
         timeouts: Timeouts {
             connect: Duration::from_millis(timing.connect_ms),
@@ -313,19 +314,19 @@
 
 fn start_listener(settings: &Settings, plane: &Arc<Plane>) -> Result<Listener, Error> {
     let limits = &settings.limits;
-    let mut bounds = listener::Settings::new(settings.listen)
+    let mut listener = listener::Settings::new(settings.listen)
         .with_name("callers")
         .with_threads(limits.threads);
-    bounds.max_connections = limits.connections;
-    bounds.max_body_bytes = limits.body_bytes;
-    bounds.max_head_bytes = limits.head_bytes;
+    listener.max_connections = limits.connections;
+    listener.max_body_bytes = limits.body_bytes;
+    listener.max_head_bytes = limits.head_bytes;
     if let Some(tls) = &settings.tls {
-        bounds.tls = Some(listener::Tls {
+        listener.tls = Some(listener::Tls {
             certificate: read_file("tls.certificate", &tls.certificate)?,
             key: read_file("tls.key", &tls.key)?,
         });
     }
-    Listener::start(bounds, Arc::new(Front(plane.clone()))).context(ListenerSnafu)
+    Listener::start(listener, Arc::new(Front(plane.clone()))).context(ListenerSnafu)
 }
 
 fn read_file(setting: &'static str, file: &Arc<str>) -> Result<Arc<[u8]>, Error> {
@@ -336,8 +337,8 @@
     })
 }
 
-/// Connections of operators and of their monitoring.
-const OPERATOR_CONNECTIONS: usize = 64;
+/// Maximum number of connections of operators and their monitoring.
+const MAX_OPERATOR_CONNECTIONS: usize = 64;
 
 fn start_operator(
     settings: &Settings,
@@ -354,14 +355,14 @@
         metrics: metrics.clone(),
         token_hash: token.map(|token| fescuewell_document::key::hash_key(&token)),
     };
-    let mut bounds = listener::Settings::new(settings.operator_listen).with_name("operators");
-    bounds.max_connections = OPERATOR_CONNECTIONS;
-    Listener::start(bounds, Arc::new(operator)).context(ListenerSnafu)
+    let mut listener = listener::Settings::new(settings.operator_listen).with_name("operators");
+    listener.max_connections = MAX_OPERATOR_CONNECTIONS;
+    Listener::start(listener, Arc::new(operator)).context(ListenerSnafu)
 }
 
 fn subscribe(timer: &timer::Service, events: &flume::Sender<NodeEvent>) {
     let events = events.clone();
-    timer.subscribe("decisions", TICK, move |_| {
+    timer.subscribe("decisions", TICK_INTERVAL, move |_| {
         !matches!(
             events.try_send(NodeEvent::Tick),
             Err(flume::TrySendError::Disconnected(_))
--- a/crates/fescuewell_router/src/delivery.rs
+++ b/crates/fescuewell_router/src/delivery.rs
@@ -1,4 +1,4 @@
-//! How a model's answer reaches the caller: event by event, or assembled and whole.
+//! Delivers a model's response to the caller, as an event stream or as a single body.
 
 use std::sync::Arc;
 
@@ -13,48 +13,49 @@
 
 use crate::chat::Path;
 
-/// Carries the request's id back to the caller.
+/// Response header with the id of the request.
 pub const ID_HEADER: &str = "x-request-id";
-/// Says that the answer starts anew, although the caller asked to go on with an earlier one.
+/// Response header set when the response starts from the beginning although the caller asked to resume an
+/// earlier one.
 pub const RESTARTED_HEADER: &str = "x-answer-restarted";
-/// End of an event stream, by the convention of the model engines.
+/// Data of the last event of a stream, by the convention of model engines.
 const DONE: &[u8] = b"[DONE]";
 
-/// What the caller wants to receive.
+/// How the caller wants to receive the response.
 #[derive(Debug, Clone)]
-pub struct Wish {
-    /// Which of the model paths was called.
+pub struct ResponseOptions {
+    /// The API path that was called.
     pub path: Path,
-    /// Event by event, or whole.
+    /// Whether the response is an event stream or a single body.
     pub stream: bool,
-    /// Whether usage is wanted in the stream.
+    /// Whether the stream includes token usage.
     pub include_usage: bool,
-    /// The request's id, told in a header.
+    /// The request's id, sent in [`ID_HEADER`].
     pub id: Arc<str>,
-    /// Number of the last event that the caller already has.
+    /// Number of the last event that the caller has received.
     pub last_event: u64,
 }
 
-/// The caller's end of an answer.
+/// The response to one caller.
 pub struct Delivery {
-    wish: Wish,
+    options: ResponseOptions,
     reply: Option<Reply>,
     sink: Option<Sink>,
-    assembly: Assembly,
-    /// Number of the last event that was taken in.
-    pub last: u64,
-    /// Tokens that the backend server says were used.
+    builder: ResponseBuilder,
+    /// Number of the last event handled.
+    pub last_event: u64,
+    /// Tokens used, as reported by the backend server.
     pub used: Tokens,
-    /// Output tokens seen.
+    /// Number of output tokens received.
     pub output: u32,
     is_gone: bool,
     is_done: bool,
     is_restarted: bool,
 }
 
-/// Puts a whole answer together from the events of a stream.
+/// Builds a single response body from the events of a stream.
 #[derive(Debug, Default)]
-struct Assembly {
+struct ResponseBuilder {
     first: Option<Value>,
     text: String,
     finish: Value,
@@ -62,14 +63,14 @@
 }
 
 impl Delivery {
-    /// A delivery that has sent nothing yet.
-    pub fn new(wish: Wish, reply: Reply) -> Self {
+    /// Creates a delivery that has sent nothing yet.
+    pub fn new(options: ResponseOptions, reply: Reply) -> Self {
         Self {
-            last: wish.last_event,
-            wish,
+            last_event: options.last_event,
+            options,
             reply: Some(reply),
             sink: None,
-            assembly: Assembly::default(),
+            builder: ResponseBuilder::default(),
             used: Tokens::ZERO,
             output: 0,
             is_gone: false,
@@ -78,12 +79,12 @@
         }
     }
 
-    /// Whether the caller has received a part of the answer.
+    /// Whether a part of the response was sent to the caller.
     pub fn has_begun(&self) -> bool {
         self.sink.is_some()
     }
 
-    /// Whether the caller went away.
+    /// Whether the caller disconnected.
     pub fn is_gone(&self) -> bool {
         self.is_gone
             || self
@@ -96,26 +97,26 @@
                 .is_some_and(|sink| sink.closed().now().is_some())
     }
 
-    /// Whether the end of the answer was taken in.
+    /// Whether the end of the response was received.
     pub fn is_done(&self) -> bool {
         self.is_done
     }
 
-    /// Forgets an attempt of which nothing was sent on, before another one.
+    /// Discards an attempt of which nothing was sent, before the next attempt.
     ///
-    /// A new run gives a new text, so that it starts at its first token whatever the caller has of an
-    /// earlier one; a header says so.
+    /// Another attempt generates another text. So the response starts at its first token, whatever the caller
+    /// has received of an earlier one, and [`RESTARTED_HEADER`] tells the caller.
     pub fn restart(&mut self) {
-        self.last = 0;
-        self.assembly = Assembly::default();
+        self.last_event = 0;
+        self.builder = ResponseBuilder::default();
         self.used = Tokens::ZERO;
         self.output = 0;
         self.is_done = false;
         self.is_restarted = true;
     }
 
-    /// Takes in one event of the backend server's stream.
-    pub async fn take(&mut self, event: sse::Event) {
+    /// Handles one event of the backend server's stream.
+    pub async fn handle_event(&mut self, event: sse::Event) {
         if &event.data[..] == DONE {
             self.is_done = true;
             self.send(event).await;
@@ -123,7 +124,7 @@
         }
         let value: Value = serde_json::from_slice(&event.data).unwrap_or_default();
         if let Some(number) = event.id.as_deref().and_then(|id| id.parse().ok()) {
-            self.last = number;
+            self.last_event = number;
             self.output += 1;
         }
         let is_usage = value["usage"].is_object();
@@ -131,18 +132,18 @@
             let total = value["usage"]["total_tokens"].as_u64().unwrap_or_default();
             self.used = Tokens(total);
         }
-        let is_usage_alone = is_usage && value["choices"].as_array().is_none_or(Vec::is_empty);
-        if self.wish.stream {
-            if !is_usage_alone || self.wish.include_usage {
+        let is_usage_only = is_usage && value["choices"].as_array().is_none_or(Vec::is_empty);
+        if self.options.stream {
+            if !is_usage_only || self.options.include_usage {
                 self.send(event).await;
             }
             return;
         }
-        self.assembly.add(self.wish.path, value);
+        self.builder.add(self.options.path, value);
     }
 
     async fn send(&mut self, event: sse::Event) {
-        if !self.wish.stream || self.is_gone {
+        if !self.options.stream || self.is_gone {
             return;
         }
         if self.sink.is_none() {
@@ -166,18 +167,18 @@
     fn headers(&self, content_type: &'static str) -> HeaderMap {
         let mut headers = HeaderMap::new();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
-        if let Ok(id) = HeaderValue::from_str(&self.wish.id) {
+        if let Ok(id) = HeaderValue::from_str(&self.options.id) {
             headers.insert(ID_HEADER, id);
         }
-        if self.wish.last_event > 0 && self.is_restarted {
+        if self.options.last_event > 0 && self.is_restarted {
             headers.insert(RESTARTED_HEADER, HeaderValue::from_static("true"));
         }
         headers
     }
 
-    /// Ends a whole answer.
+    /// Ends the stream, or sends the single body.
     pub async fn finish(mut self) {
-        if self.wish.stream && !self.is_done {
+        if self.options.stream && !self.is_done {
             self.send(sse::Event::data(DONE)).await;
         }
         if let Some(sink) = self.sink.take() {
@@ -188,23 +189,23 @@
         let Some(reply) = self.reply.take() else {
             return;
         };
-        let body = self.assembly.whole(self.wish.path);
+        let body = self.builder.build(self.options.path);
         reply.whole(StatusCode::OK, headers, Bytes::from(body.to_string()));
     }
 
-    /// Passes on what a backend server said about a request that it did not take.
-    pub fn pass_on(mut self, status: StatusCode, body: Bytes) {
+    /// Forwards a complete response: a backend server's rejection or a stored response.
+    pub fn forward(mut self, status: StatusCode, body: Bytes) {
         let headers = self.headers("application/json");
         if let Some(reply) = self.reply.take() {
             reply.whole(status, headers, body);
         }
     }
 
-    /// Refuses the request; within a stream that has begun, as its last event.
+    /// Refuses the request; if the stream has begun, the refusal is sent as its last event.
     pub async fn refuse(mut self, refusal: &Refusal) {
         if let Some(reply) = self.reply.take() {
             let mut response = refusal_response(refusal);
-            if let Ok(id) = HeaderValue::from_str(&self.wish.id) {
+            if let Ok(id) = HeaderValue::from_str(&self.options.id) {
                 response.headers_mut().insert(ID_HEADER, id);
             }
             let (parts, body) = response.into_parts();
@@ -221,7 +222,7 @@
     }
 }
 
-impl Assembly {
+impl ResponseBuilder {
     fn add(&mut self, path: Path, value: Value) {
         let choice = &value["choices"][0];
         let text = match path {
@@ -240,7 +241,7 @@
         }
     }
 
-    fn whole(self, path: Path) -> Value {
+    fn build(self, path: Path) -> Value {
         let first = self.first.unwrap_or_default();
         let (object, choice) = match path {
             Path::Chat => (
--- a/crates/fescuewell_router/src/event_loop.rs
+++ b/crates/fescuewell_router/src/event_loop.rs
@@ -1,4 +1,4 @@
-//! The decision thread: takes events from its ring, asks the node, carries its actions to adapters.
+//! The event loop of the decision thread: passes events to the node and executes the resulting actions.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,85 +12,87 @@
 use fescuewell_node::state::Summary;
 use fescuewell_placement::order::{Order, Response};
 
-use crate::adapters::{BackendWork, Rings};
+use crate::adapters::{BackendWork, Channels};
 use crate::plane::{Plane, Published};
 
-/// Time between two publications of the fleet's view for the data plane.
+/// Interval at which state is published to the data plane.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(200);
-/// Events taken from the ring before the publication is looked at again.
-const BURST: usize = 256;
+/// Maximum number of further events handled before checking whether state is due to be published.
+const MAX_EVENTS_PER_PUBLISH_CHECK: usize = 256;
 
-/// What the decision thread works with.
-pub struct Brain {
-    /// The decisions.
+/// State of the decision thread.
+pub struct EventLoop {
+    /// The decision logic.
     pub node: Node,
-    /// Present time.
+    /// Clock of the node.
     pub clock: Arc<dyn Clock>,
-    /// Events from everywhere.
+    /// Events from all other threads.
     pub inbox: flume::Receiver<NodeEvent>,
-    /// Where verdicts and the view go.
+    /// Receives verdicts and published state.
     pub plane: Arc<Plane>,
-    /// Where work goes.
-    pub rings: Rings,
-    /// Peers.
+    /// Channels to the adapter threads.
+    pub channels: Channels,
+    /// Connections to other instances.
     pub transport: Arc<fescuewell_peer::Transport>,
-    /// The newest summary, for operators.
+    /// The latest summary, for operators.
     pub summary: Arc<arc_swap::ArcSwap<Summary>>,
 }
 
-impl Brain {
-    /// Runs until the node says that nothing is left to do, or every sender is gone.
+impl EventLoop {
+    /// Runs until the node requests an exit or all event senders are dropped.
     pub fn run(mut self) {
-        let mut publish_at = Instant::default();
+        let mut next_publish = Instant::default();
         loop {
             let Ok(event) = self.inbox.recv() else {
                 return;
             };
-            if self.take(event) {
+            if self.handle(event) {
                 return;
             }
-            for _ in 0..BURST {
+            for _ in 0..MAX_EVENTS_PER_PUBLISH_CHECK {
                 let Ok(event) = self.inbox.try_recv() else {
                     break;
                 };
-                if self.take(event) {
+                if self.handle(event) {
                     return;
                 }
             }
             let now = self.clock.now();
-            if now >= publish_at {
-                publish_at = now + PUBLISH_INTERVAL;
+            if now >= next_publish {
+                next_publish = now + PUBLISH_INTERVAL;
                 self.publish();
             }
         }
     }
 
-    /// Returns whether the process is to end.
-    fn take(&mut self, event: NodeEvent) -> bool {
+    /// Handles one event and returns whether the process should exit.
+    fn handle(&mut self, event: NodeEvent) -> bool {
         let actions = self.node.handle(self.clock.now(), event);
-        let mut ends = false;
+        let mut exits = false;
         for action in actions {
-            ends |= self.carry_out(action);
+            exits |= self.execute(action);
         }
-        ends
+        exits
     }
 
-    fn carry_out(&mut self, action: Action) -> bool {
+    fn execute(&mut self, action: Action) -> bool {
         match action {
-            Action::Decide { ticket, verdict } => self.plane.desk.hand_out(ticket, verdict),
+            Action::Decide { ticket, verdict } => {
+                self.plane.pending.deliver_verdict(ticket, verdict)
+            }
             Action::Send {
                 instance,
                 address,
                 message,
             } => {
                 let to = fescuewell_peer::Address { instance, address };
-                // A message that cannot be sent is lost like any other; its sender asks again.
+                // A message that cannot be encoded counts as lost; the requesting side repeats it.
                 if let Ok(payload) = postcard::to_stdvec(&message) {
                     self.transport.send(to, payload);
                 }
             }
-            Action::Table { duty, step } => self.give_to_table(duty, step),
-            Action::Fetch { name } => self.rings.give_fetch(name),
+            Action::Table { duty, step } => self.send_to_table(duty, step),
+            Action::Fetch { name } => self.channels.send_fetch(name),
             Action::ListStreams {
                 server,
                 address,
@@ -103,17 +105,17 @@
                     holder,
                     is_engine,
                 };
-                self.rings.give_backend(work);
+                self.channels.send_backend(work);
             }
             Action::CancelStream {
                 address, stream, ..
             } => {
-                self.rings
-                    .give_backend(BackendWork::Cancel { address, stream });
+                self.channels
+                    .send_backend(BackendWork::Cancel { address, stream });
             }
-            Action::Order { address, order, .. } => return self.give_order(address, order),
+            Action::Order { address, order, .. } => return self.send_order(address, order),
             Action::InForce { document, .. } => {
-                self.rings.set_servers(&document);
+                self.channels.set_servers(&document);
                 self.plane.index.store(Arc::new(Index::new(document)));
                 self.publish();
             }
@@ -127,29 +129,31 @@
         false
     }
 
-    fn give_to_table(&mut self, duty: Duty, step: table::Step) {
-        // Each duty has one step outstanding and a ring of its own, so that there is always room.
-        if self.rings.give_table(duty, step).is_err() {
-            let reason = "the table's thread is gone".into();
+    fn send_to_table(&mut self, duty: Duty, step: table::Step) {
+        // Each component has at most one outstanding step and a channel of its own, so the channel is
+        // never full; sending fails only if the table thread has stopped.
+        if self.channels.send_table(duty, step).is_err() {
+            let reason = "the table thread has stopped".into();
             let reply = table::Reply::Failed(table::Error::Unreachable { reason });
             self.node
                 .handle(self.clock.now(), NodeEvent::Table { duty, reply });
         }
     }
 
-    fn give_order(&mut self, address: SocketAddr, order: Order) -> bool {
-        let given = self.clock.now();
+    fn send_order(&mut self, address: SocketAddr, order: Order) -> bool {
+        let created_at = self.clock.now();
         let work = BackendWork::Order {
             address,
             order: order.clone(),
-            given,
+            created_at,
         };
-        if self.rings.give_order(work).is_ok() {
+        if self.channels.send_order(work).is_ok() {
             return false;
         }
-        // It was certainly not sent. Were that not said, the planner would wait ten minutes for a load.
+        // The order was certainly not sent. Without this report the planner would wait ten minutes for
+        // the model to load.
         let answer = Response::Refused;
-        self.take(NodeEvent::Ordered { order, answer })
+        self.handle(NodeEvent::Ordered { order, answer })
     }
 
     fn publish(&mut self) {
--- a/crates/fescuewell_router/src/lib.rs
+++ b/crates/fescuewell_router/src/lib.rs
@@ -1,17 +1,17 @@
-//! The router daemon: threads, rings and adapters around the decisions.
+//! The router daemon: runs the decision logic of `fescuewell_node` with its threads, channels and adapters.
 //!
-//! | thread | duty |
+//! | thread | task |
 //! | --- | --- |
-//! | `decisions` | [`event_loop`]: all decisions of the instance |
-//! | `callers-N` | [`plane`]: callers' connections and streams from backend servers |
-//! | `operators-0` | [`operator`]: state and metrics |
-//! | `table-*` | [`adapters`]: one for each duty at the table |
+//! | `decisions` | [`event_loop`]: makes all decisions of the instance |
+//! | `callers-N` | [`plane`]: connections of callers and response streams from backend servers |
+//! | `operators-0` | [`operator`]: serves state and metrics to operators |
+//! | `table-*` | [`adapters`]: one for each component that uses the table service |
 //! | `objects`, `instances` | [`adapters`]: object store, instance list |
-//! | `backends` | [`backends`]: load reports, cache events, listings |
-//! | `peer*` | messages between instances |
-//! | `timer` | ticks |
+//! | `backends` | [`backends`]: load reports, loaded models, orders and stream listings |
+//! | `peer*` | exchange messages with other instances |
+//! | `timer` | sends periodic ticks |
 //!
-//! [`daemon::Router`] puts them together.
+//! [`daemon::Router`] starts all of them.
 
 pub mod adapters;
 pub mod attempt;
@@ -28,7 +28,7 @@
 pub mod plane;
 pub mod settings;
 
-/// What the program needs to run an instance.
+/// The types that a program needs to run an instance.
 pub mod prelude {
     pub use crate::daemon::Router;
     pub use crate::settings::Settings;
--- a/crates/fescuewell_router/src/metrics.rs
+++ b/crates/fescuewell_router/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and gauges of one instance, kept by `opentelemetry` and shown as Prometheus text.
+//! Metrics of one instance, recorded with `opentelemetry` and exported in the Prometheus text format.
 
 use fescuewell_core::prelude::*;
 pub use fescuewell_metrics::Error;
@@ -6,25 +6,25 @@
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Counter, Histogram};
 
-/// Everything that one instance counts.
+/// The metric instruments of one instance.
 pub struct Metrics {
     page: Page,
-    /// Requests that reached the callers' listener.
+    /// Requests received by the callers' listener.
     pub requests: Counter<u64>,
-    /// Tokens billed here.
+    /// Tokens billed by this instance.
     pub tokens: Counter<u64>,
-    /// Time to the verdict, in seconds.
+    /// Time from the arrival of a request to its first verdict, in seconds.
     pub verdict_seconds: Histogram<f64>,
     refusals: Counter<u64>,
     events: Counter<u64>,
 }
 
 impl Metrics {
-    /// Sets the instruments up.
+    /// Creates the instruments.
     ///
     /// # Errors
     ///
-    /// When the page cannot be set up.
+    /// When the metrics page cannot be created.
     pub fn new() -> Result<Self, Error> {
         let page = Page::new()?;
         let meter = page.meter();
@@ -52,7 +52,7 @@
         self.events.add(1, &[KeyValue::new("event", event.title())]);
     }
 
-    /// The present values in the Prometheus text format.
+    /// Returns the current values in the Prometheus text format.
     pub fn text(&self) -> Vec<u8> {
         self.page.text()
     }
--- a/crates/fescuewell_router/src/operator.rs
+++ b/crates/fescuewell_router/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' listener of an instance: live state and metrics. It takes no callers' keys.
+//! The HTTP interface for operators: live state and metrics. It does not accept callers' keys.
 
 use std::sync::Arc;
 
@@ -12,13 +12,13 @@
 
 use crate::metrics::Metrics;
 
-/// Answers operators.
+/// Handler of the operators' listener.
 pub struct Operator {
-    /// The newest summary of the decisions.
+    /// The latest summary of the decision thread.
     pub summary: Arc<ArcSwap<Summary>>,
-    /// Counters.
+    /// Metrics of the instance.
     pub metrics: Arc<Metrics>,
-    /// Hash of the operators' token; without one, only loopback addresses are served.
+    /// Hash of the operators' token; without a token, only loopback addresses are allowed.
     pub token_hash: Option<Arc<str>>,
 }
 
--- a/crates/fescuewell_router/src/pending.rs
+++ b/crates/fescuewell_router/src/pending.rs
@@ -1,4 +1,4 @@
-//! Where the data plane and the decision thread meet: events one way, verdicts the other.
+//! Pending requests: sends events of the data plane to the decision thread and returns its verdicts.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,74 +8,74 @@
 use fescuewell_node::event::Event as NodeEvent;
 use fescuewell_node::request::{Ticket, Verdict};
 
-/// Verdicts that may wait for one request; there is one for each attempt.
-const WAITING_VERDICTS: usize = 4;
+/// Capacity of the channel of verdicts of one request; each attempt gets one verdict.
+const MAX_QUEUED_VERDICTS: usize = 4;
 
-/// The ring to the decision thread and the requests that wait for its verdicts.
-pub struct Desk {
-    ring: flume::Sender<NodeEvent>,
+/// The channel to the decision thread and the requests that wait for its verdicts.
+pub struct PendingRequests {
+    events: flume::Sender<NodeEvent>,
     waiting: Mutex<HashMap<Ticket, flume::Sender<Verdict>>>,
     next: AtomicU64,
 }
 
-/// A request's place at the desk; leaving it tells the decision thread if no verdict came.
-pub struct Place<'a> {
-    desk: &'a Desk,
+/// Registration of one request; dropping it while a verdict is outstanding withdraws the request.
+pub struct Registration<'a> {
+    pending: &'a PendingRequests,
     verdicts: flume::Receiver<Verdict>,
-    /// The request's name in this process.
+    /// Identifies the request within this process.
     pub ticket: Ticket,
-    is_open: bool,
+    awaits_verdict: bool,
 }
 
-impl Desk {
-    /// A desk that puts its events into `ring`.
-    pub fn new(ring: flume::Sender<NodeEvent>) -> Self {
+impl PendingRequests {
+    /// Creates an empty set of requests that sends its events to `events`.
+    pub fn new(events: flume::Sender<NodeEvent>) -> Self {
         Self {
-            ring,
+            events,
             waiting: Mutex::default(),
             next: AtomicU64::new(1),
         }
     }
 
-    /// Takes a place for a new request.
-    pub fn take_place(&self) -> Place<'_> {
+    /// Registers a new request.
+    pub fn register(&self) -> Registration<'_> {
         let ticket = Ticket(self.next.fetch_add(1, Ordering::Relaxed));
-        let (sender, verdicts) = flume::bounded(WAITING_VERDICTS);
+        let (sender, verdicts) = flume::bounded(MAX_QUEUED_VERDICTS);
         self.lock().insert(ticket, sender);
-        Place {
-            desk: self,
+        Registration {
+            pending: self,
             verdicts,
             ticket,
-            is_open: false,
+            awaits_verdict: false,
         }
     }
 
-    /// Hands a verdict to the request that waits for it; it may have left.
-    pub fn hand_out(&self, ticket: Ticket, verdict: Verdict) {
+    /// Delivers a verdict to its request; ignores it when the request is no longer registered.
+    pub fn deliver_verdict(&self, ticket: Ticket, verdict: Verdict) {
         let sender = self.lock().get(&ticket).cloned();
         if let Some(sender) = sender {
             let _ = sender.try_send(verdict);
         }
     }
 
-    /// How many requests have a place.
+    /// Number of registered requests.
     pub fn len(&self) -> usize {
         self.lock().len()
     }
 
-    /// Whether no request has a place.
+    /// Whether no request is registered.
     pub fn is_empty(&self) -> bool {
         self.lock().is_empty()
     }
 
-    /// Tells the decision thread something that must not be lost; waits for room in the ring.
-    pub async fn tell(&self, event: NodeEvent) {
-        let _ = self.ring.send_async(event).await;
+    /// Sends an event that must not be lost; waits while the channel is full.
+    pub async fn send(&self, event: NodeEvent) {
+        let _ = self.events.send_async(event).await;
     }
 
-    /// Tells the decision thread something that the next event of its kind makes up for.
-    pub fn hint(&self, event: NodeEvent) {
-        let _ = self.ring.try_send(event);
+    /// Sends an event that may be lost; drops it when the channel is full.
+    pub fn try_send(&self, event: NodeEvent) {
+        let _ = self.events.try_send(event);
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<Ticket, flume::Sender<Verdict>>> {
@@ -83,48 +83,48 @@
     }
 }
 
-impl Place<'_> {
-    /// Puts the request's first event into the ring and waits for the verdict.
+impl Registration<'_> {
+    /// Sends the request's first event and waits for the verdict.
     ///
     /// # Errors
     ///
-    /// [`Code::Overloaded`] when the ring is full: better a truthful refusal now than a queue before
-    /// the queue, whose length nobody counts.
-    pub async fn open(&mut self, event: NodeEvent) -> Result<Verdict, Refusal> {
-        if self.desk.ring.try_send(event).is_err() {
+    /// [`Code::Overloaded`] when the channel is full: waiting here would add a second queue in front of the
+    /// request queue, and its length would not be counted. [`Code::Internal`] when the process ends.
+    pub async fn submit(&mut self, event: NodeEvent) -> Result<Verdict, Refusal> {
+        if self.pending.events.try_send(event).is_err() {
             return Err(
                 Refusal::new(Code::Overloaded).with_retry_after(std::time::Duration::from_secs(1))
             );
         }
-        self.is_open = true;
-        self.next().await
+        self.awaits_verdict = true;
+        self.verdict().await
     }
 
-    /// Tells how the attempt ended and waits for the next verdict.
+    /// Reports how the attempt ended and waits for the next verdict.
     ///
     /// # Errors
     ///
-    /// When the process ends.
-    pub async fn again(&mut self, event: NodeEvent) -> Result<Verdict, Refusal> {
-        self.is_open = true;
-        self.desk.tell(event).await;
-        self.next().await
+    /// [`Code::Internal`] when the process ends.
+    pub async fn report(&mut self, event: NodeEvent) -> Result<Verdict, Refusal> {
+        self.awaits_verdict = true;
+        self.pending.send(event).await;
+        self.verdict().await
     }
 
-    async fn next(&mut self) -> Result<Verdict, Refusal> {
+    async fn verdict(&mut self) -> Result<Verdict, Refusal> {
         let verdict = self.verdicts.recv_async().await;
-        self.is_open = false;
+        self.awaits_verdict = false;
         verdict.map_err(|_| Refusal::new(Code::Internal))
     }
 }
 
-impl Drop for Place<'_> {
+impl Drop for Registration<'_> {
     fn drop(&mut self) {
-        self.desk.lock().remove(&self.ticket);
-        // The caller went away while no verdict had come: claim, hold and place in the queue would be
-        // kept for nobody.
-        if self.is_open {
-            self.desk.hint(NodeEvent::Withdrawn {
+        self.pending.lock().remove(&self.ticket);
+        // The caller disconnected before the verdict: without this event the request would keep its claim,
+        // hold and queue position.
+        if self.awaits_verdict {
+            self.pending.try_send(NodeEvent::Withdrawn {
                 ticket: self.ticket,
             });
         }
--- a/crates/fescuewell_router/src/plane.rs
+++ b/crates/fescuewell_router/src/plane.rs
@@ -1,4 +1,4 @@
-//! The callers' interface: which path does what, from a read request to its answer.
+//! The HTTP interface for callers: routes each request and sends its response.
 
 mod resume;
 mod service;
@@ -22,48 +22,48 @@
 use http::{Method, StatusCode};
 use serde_json::{Value, json};
 
-use crate::attempt::Bench;
+use crate::attempt::Runner;
 use crate::caller::{Caller, authenticate, deadline_of, kind_of};
 use crate::chat::{Path, Prompt};
-use crate::delivery::{Delivery, Wish};
+use crate::delivery::{Delivery, ResponseOptions};
 use crate::metrics::Metrics;
-use crate::pending::Desk;
+use crate::pending::PendingRequests;
 
-/// Deepest nesting of a JSON body.
-const DEEPEST: usize = 64;
+/// Maximum nesting depth of a JSON body.
+const MAX_JSON_DEPTH: usize = 64;
 
-/// What the decision thread publishes for the data plane.
+/// State that the decision thread publishes for the data plane.
 #[derive(Default)]
 pub struct Published {
-    /// The fleet.
+    /// The known instances.
     pub view: View,
-    /// Whether this instance takes requests.
+    /// Whether this instance accepts requests.
     pub is_ready: bool,
-    /// Whether it is shutting down.
+    /// Whether this instance is draining before it shuts down.
     pub is_draining: bool,
 }
 
-/// The data plane of one instance.
+/// The data plane of one instance, shared by the threads that serve callers.
 pub struct Plane {
-    /// The document in force, indexed.
+    /// Index of the active document.
     pub index: ArcSwap<Index>,
-    /// The fleet as the decision thread last published it.
+    /// State that the decision thread last published.
     pub published: ArcSwap<Published>,
-    /// Where requests meet the decision thread.
-    pub desk: Desk,
-    /// Connections to backend servers.
+    /// Requests that wait for a verdict of the decision thread.
+    pub pending: PendingRequests,
+    /// HTTP client for backend servers.
     pub client: Client,
-    /// Time limits towards backend servers.
+    /// Timeouts of requests to backend servers.
     pub timeouts: Timeouts,
-    /// How callers are spread.
+    /// How callers are distributed over the instances.
     pub addresses: address::Settings,
-    /// `instance.incarnation`, part of the request ids made here.
+    /// `instance.incarnation`, part of the request ids that this instance generates.
     pub holder: Arc<str>,
     /// Counters.
     pub metrics: Arc<Metrics>,
 }
 
-/// The listener's handler; a handle to the [`Plane`].
+/// Handler of the callers' listener; serves each request on the [`Plane`].
 pub struct Front(pub Arc<Plane>);
 
 impl Handler for Front {
@@ -75,11 +75,11 @@
     }
 }
 
-/// A request that passed its first checks.
-struct Checked {
+/// A request whose headers and body were validated.
+struct ValidatedRequest {
     caller: Caller,
     arrival: Arrival,
-    wish: Option<Wish>,
+    options: Option<ResponseOptions>,
     prompt: Option<Prompt>,
     request: Request,
     deadline: Instant,
@@ -94,23 +94,25 @@
         let is_post = request.method == Method::POST;
         match (parts.as_slice(), is_get, is_post) {
             (["healthz"], true, _) => send_json(reply, StatusCode::OK, &json!({"status": "ok"})),
-            (["readyz"], true, _) => self.answer_ready(reply),
-            (["v1", "instances"], true, _) => self.answer_instances(&request, reply),
-            (["v1", "models"], true, _) => self.answer_models(&request, reply),
+            (["readyz"], true, _) => self.send_readiness(reply),
+            (["v1", "instances"], true, _) => self.send_instances(&request, reply),
+            (["v1", "models"], true, _) => self.send_models(&request, reply),
             (["v1", "chat", "completions"], _, true) => {
-                self.model(Path::Chat, request, reply).await
+                self.serve_model(Path::Chat, request, reply).await
             }
-            (["v1", "completions"], _, true) => self.model(Path::Text, request, reply).await,
+            (["v1", "completions"], _, true) => self.serve_model(Path::Text, request, reply).await,
             (["v1", "services", service, call], _, true) => {
-                self.service(service, call, request, reply).await;
+                self.serve_call(service, call, request, reply).await;
+            }
+            (["v1", "responses", id], true, _) => self.serve_resume(id, request, reply).await,
+            (path, _, _) if is_known_path(path) => {
+                reply.refuse(&Refusal::new(Code::MethodNotAllowed))
             }
-            (["v1", "responses", id], true, _) => self.resume(id, request, reply).await,
-            (known, _, _) if is_known(known) => reply.refuse(&Refusal::new(Code::MethodNotAllowed)),
             _ => reply.refuse(&Refusal::new(Code::NoSuchPath)),
         }
     }
 
-    fn answer_ready(&self, reply: Reply) {
+    fn send_readiness(&self, reply: Reply) {
         let published = self.published.load();
         if published.is_ready {
             send_json(reply, StatusCode::OK, &json!({"status": "ready"}));
@@ -124,7 +126,7 @@
         reply.refuse(&Refusal::new(code));
     }
 
-    fn answer_instances(&self, request: &Request, reply: Reply) {
+    fn send_instances(&self, request: &Request, reply: Reply) {
         let index = self.index.load();
         let account = match authenticate(&index, request) {
             Ok(account) => account,
@@ -142,8 +144,8 @@
 
     fn instances(&self, caller: &address::Caller) -> Value {
         let published = self.published.load();
-        let answer = address::resolve(&self.addresses, caller, &published.view);
-        let instances: Vec<Value> = answer
+        let response = address::resolve(&self.addresses, caller, &published.view);
+        let instances: Vec<Value> = response
             .addresses
             .iter()
             .map(|entry| {
@@ -154,10 +156,10 @@
                 })
             })
             .collect();
-        json!({"ttl_seconds": answer.ttl.as_secs(), "instances": instances})
+        json!({"ttl_seconds": response.ttl.as_secs(), "instances": instances})
     }
 
-    fn answer_models(&self, request: &Request, reply: Reply) {
+    fn send_models(&self, request: &Request, reply: Reply) {
         let index = self.index.load();
         let account = match authenticate(&index, request) {
             Ok(account) => account,
@@ -175,57 +177,61 @@
         );
     }
 
-    async fn model(&self, path: Path, request: Request, reply: Reply) {
-        let mut place = self.desk.take_place();
-        let checked = match self.check_model(path, request, place.ticket) {
-            Ok(checked) => checked,
+    async fn serve_model(&self, path: Path, request: Request, reply: Reply) {
+        let mut registration = self.pending.register();
+        let validated = match self.validate_model(path, request, registration.ticket) {
+            Ok(validated) => validated,
             Err(refusal) => return self.refuse(reply, &refusal),
         };
-        let (Some(wish), Some(prompt)) = (checked.wish, checked.prompt) else {
+        let (Some(options), Some(prompt)) = (validated.options, validated.prompt) else {
             return;
         };
-        let mut delivery = Delivery::new(wish.clone(), reply);
-        let bench = Bench {
+        let mut delivery = Delivery::new(options.clone(), reply);
+        let runner = Runner {
             client: &self.client,
-            desk: &self.desk,
+            pending: &self.pending,
             timeouts: self.timeouts,
-            ticket: place.ticket,
-            deadline: checked.deadline,
-            may_ask_again: checked.caller.may_ask_again,
+            ticket: registration.ticket,
+            deadline: validated.deadline,
+            may_retry: validated.caller.may_retry,
         };
-        let ticket = place.ticket;
-        let arrived = checked.request.arrived;
-        let mut verdict = place.open(NodeEvent::Arrived(checked.arrival)).await;
+        let ticket = registration.ticket;
+        let arrived = validated.request.arrived;
+        let mut verdict = registration
+            .submit(NodeEvent::Arrived(validated.arrival))
+            .await;
         self.count_verdict(arrived);
         loop {
             match verdict {
                 Err(refusal) | Ok(Verdict::Refuse(refusal)) => {
                     return self.refuse_delivery(delivery, &refusal).await;
                 }
-                Ok(Verdict::Stored(answer)) => {
+                Ok(Verdict::Stored(response)) => {
                     return delivery
-                        .pass_on(status_of(&answer), Bytes::copy_from_slice(&answer.body));
+                        .forward(status_of(&response), Bytes::copy_from_slice(&response.body));
                 }
                 Ok(Verdict::Attach {
                     address, stream, ..
-                }) => match bench.read(address, &stream, &mut delivery).await {
-                    Some(outcome) => return self.end(ticket, outcome, delivery).await,
-                    None => verdict = place.again(NodeEvent::StreamGone { ticket }).await,
+                }) => match runner.read(address, &stream, &mut delivery).await {
+                    Some(outcome) => return self.finish(ticket, outcome, delivery).await,
+                    None => verdict = registration.report(NodeEvent::StreamGone { ticket }).await,
                 },
                 Ok(Verdict::Run(assignment)) => {
                     delivery.restart();
-                    let outcome = bench.run(&assignment, &prompt, &wish, &mut delivery).await;
-                    if !is_retried(&outcome.end) {
-                        return self.end(ticket, outcome, delivery).await;
+                    let outcome = runner
+                        .run(&assignment, &prompt, &options, &mut delivery)
+                        .await;
+                    if !is_retryable(&outcome.end) {
+                        return self.finish(ticket, outcome, delivery).await;
                     }
                     let end = outcome.end;
-                    verdict = place.again(NodeEvent::Ended { ticket, end }).await;
+                    verdict = registration.report(NodeEvent::Ended { ticket, end }).await;
                 }
             }
         }
     }
 
-    async fn end(&self, ticket: Ticket, outcome: crate::attempt::Outcome, delivery: Delivery) {
+    async fn finish(&self, ticket: Ticket, outcome: crate::attempt::Outcome, delivery: Delivery) {
         use fescuewell_node::request::End;
         let end = outcome.end.clone();
         self.count_cost(&end);
@@ -233,9 +239,9 @@
             End::Done { .. } => delivery.finish().await,
             End::Rejected => {
                 let (status, body) = outcome.rejection.unwrap_or_default();
-                delivery.pass_on(status, body);
+                delivery.forward(status, body);
             }
-            _ if outcome.is_late => {
+            _ if outcome.deadline_exceeded => {
                 self.refuse_delivery(delivery, &Refusal::new(Code::DeadlineCut))
                     .await;
             }
@@ -248,7 +254,7 @@
                     .await
             }
         }
-        self.desk.tell(NodeEvent::Ended { ticket, end }).await;
+        self.pending.send(NodeEvent::Ended { ticket, end }).await;
     }
 
     fn count_cost(&self, end: &fescuewell_node::request::End) {
@@ -262,15 +268,15 @@
         self.metrics.verdict_seconds.record(seconds, &[]);
     }
 
-    fn check_model(
+    fn validate_model(
         &self,
         path: Path,
         request: Request,
         ticket: Ticket,
-    ) -> Result<Checked, Refusal> {
+    ) -> Result<ValidatedRequest, Refusal> {
         let index = self.index.load();
-        let caller = Caller::read(&index, &request, || self.make_id(ticket))?;
-        depth::check(&request.body, DEEPEST).map_err(|_| Refusal::new(Code::TooDeep))?;
+        let caller = Caller::read(&index, &request, || self.generate_id(ticket))?;
+        depth::check(&request.body, MAX_JSON_DEPTH).map_err(|_| Refusal::new(Code::TooDeep))?;
         let prompt = Prompt::read(path, &request.body)?;
         let model = index
             .model(&prompt.model)
@@ -288,29 +294,29 @@
             prompt_bound: prompt.bound,
             output_limit,
         };
-        let wish = Wish {
+        let options = ResponseOptions {
             path,
             stream: prompt.stream,
             include_usage: prompt.include_usage,
             id: caller.id.clone(),
             last_event: caller.last_event,
         };
-        self.checked(&index, caller, request, work, ticket)
-            .map(|checked| Checked {
-                wish: Some(wish),
+        self.validate(&index, caller, request, work, ticket)
+            .map(|validated| ValidatedRequest {
+                options: Some(options),
                 prompt: Some(prompt),
-                ..checked
+                ..validated
             })
     }
 
-    fn checked(
+    fn validate(
         &self,
         index: &Index,
         caller: Caller,
         request: Request,
         work: Work,
         ticket: Ticket,
-    ) -> Result<Checked, Refusal> {
+    ) -> Result<ValidatedRequest, Refusal> {
         let kind = match &work {
             Work::Call { service, call, .. } => match index.call(service, call) {
                 Some((_, call)) if !request.headers.contains_key(crate::caller::KIND_HEADER) => {
@@ -330,17 +336,17 @@
             work,
             deadline,
         };
-        Ok(Checked {
+        Ok(ValidatedRequest {
             caller,
             arrival,
-            wish: None,
+            options: None,
             prompt: None,
             request,
             deadline: Instant::now() + deadline,
         })
     }
 
-    fn make_id(&self, ticket: Ticket) -> String {
+    fn generate_id(&self, ticket: Ticket) -> String {
         format!("auto-{}-{}", self.holder, ticket.0)
     }
 
@@ -351,7 +357,8 @@
         reply.whole(parts.status, parts.headers, body);
     }
 
-    // A caller that holds the address of an instance that is leaving is told others right away.
+    // Lists the other ready instances, so that a caller of an instance that takes no requests can switch
+    // to one of them at once.
     fn add_addresses(&self, refusal: &Refusal, headers: &mut HeaderMap) {
         if !matches!(
             refusal.code,
@@ -375,7 +382,7 @@
     }
 }
 
-fn is_known(parts: &[&str]) -> bool {
+fn is_known_path(parts: &[&str]) -> bool {
     matches!(
         parts,
         ["healthz"]
@@ -387,7 +394,7 @@
     )
 }
 
-fn is_retried(end: &fescuewell_node::request::End) -> bool {
+fn is_retryable(end: &fescuewell_node::request::End) -> bool {
     use fescuewell_node::request::End;
     matches!(
         end,
@@ -400,7 +407,7 @@
     )
 }
 
-/// Hash of what is asked, so that the same id with another body is noticed.
+/// Hashes path and body, so that reuse of a request id with another body is detected.
 fn fingerprint(request: &Request) -> Digest {
     let mut bytes = request.path.as_bytes().to_vec();
     bytes.push(0);
@@ -408,8 +415,8 @@
     Digest::of(&bytes)
 }
 
-fn status_of(answer: &StoredResponse) -> StatusCode {
-    StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK)
+fn status_of(response: &StoredResponse) -> StatusCode {
+    StatusCode::from_u16(response.status).unwrap_or(StatusCode::OK)
 }
 
 fn send_json(reply: Reply, status: StatusCode, body: &Value) {
--- a/crates/fescuewell_router/src/plane/resume.rs
+++ b/crates/fescuewell_router/src/plane/resume.rs
@@ -1,4 +1,4 @@
-//! Answers of earlier requests, taken up again.
+//! Resumes the response of an earlier request.
 
 use std::time::Instant;
 
@@ -9,14 +9,14 @@
 use fescuewell_node::request::{Ticket, Verdict};
 
 use super::{Plane, query_value, status_of};
-use crate::attempt::Bench;
+use crate::attempt::Runner;
 use crate::caller::Caller;
 use crate::chat::Path;
-use crate::delivery::{Delivery, Wish};
+use crate::delivery::{Delivery, ResponseOptions};
 
 impl Plane {
-    /// Takes up the answer of an earlier request of the same account.
-    pub(super) async fn resume(&self, id: &str, request: Request, reply: Reply) {
+    /// Resumes the response of an earlier request of the same account.
+    pub(super) async fn serve_resume(&self, id: &str, request: Request, reply: Reply) {
         let index = self.index.load_full();
         let caller = match Caller::read(&index, &request, String::new) {
             Ok(caller) => caller,
@@ -28,18 +28,18 @@
             let refusal = Refusal::new(Code::InvalidField).with_detail("starting_after");
             return self.refuse(reply, &refusal);
         };
-        let mut place = self.desk.take_place();
-        let ticket = place.ticket;
+        let mut registration = self.pending.register();
+        let ticket = registration.ticket;
         let key = RequestKey::new(caller.account.clone(), id);
-        let wish = Wish {
+        let options = ResponseOptions {
             path: Path::Chat,
             stream: query_value(&request.query, "stream") != Some("false"),
             include_usage: true,
             id: id.into(),
             last_event,
         };
-        let delivery = Delivery::new(wish, reply);
-        let verdict = place.open(NodeEvent::Resume { ticket, key }).await;
+        let delivery = Delivery::new(options, reply);
+        let verdict = registration.submit(NodeEvent::Resume { ticket, key }).await;
         self.deliver_resumed(ticket, verdict, delivery).await;
     }
 
@@ -49,26 +49,26 @@
         verdict: Result<Verdict, Refusal>,
         mut delivery: Delivery,
     ) {
-        let bench = Bench {
+        let runner = Runner {
             client: &self.client,
-            desk: &self.desk,
+            pending: &self.pending,
             timeouts: self.timeouts,
             ticket,
-            deadline: Instant::now() + crate::caller::LONGEST_DEADLINE,
-            may_ask_again: false,
+            deadline: Instant::now() + crate::caller::MAX_DEADLINE,
+            may_retry: false,
         };
         match verdict {
             Ok(Verdict::Attach {
                 address, stream, ..
-            }) => match bench.read(address, &stream, &mut delivery).await {
-                Some(outcome) => self.end(ticket, outcome, delivery).await,
+            }) => match runner.read(address, &stream, &mut delivery).await {
+                Some(outcome) => self.finish(ticket, outcome, delivery).await,
                 None => {
                     self.refuse_delivery(delivery, &Refusal::new(Code::NoSuchStream))
                         .await;
                 }
             },
-            Ok(Verdict::Stored(answer)) => {
-                delivery.pass_on(status_of(&answer), Bytes::copy_from_slice(&answer.body));
+            Ok(Verdict::Stored(response)) => {
+                delivery.forward(status_of(&response), Bytes::copy_from_slice(&response.body));
             }
             Err(refusal) | Ok(Verdict::Refuse(refusal)) => {
                 self.refuse_delivery(delivery, &refusal).await;
--- a/crates/fescuewell_router/src/plane/service.rs
+++ b/crates/fescuewell_router/src/plane/service.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services.
+//! Serves calls of plain services, which don't stream their responses.
 
 use bytes::Bytes;
 use fescuewell_claims::message::StoredResponse;
@@ -8,53 +8,61 @@
 use fescuewell_node::request::{Ticket, Verdict, Work};
 use http::header::{CONTENT_TYPE, HeaderMap, HeaderValue};
 
-use super::{Checked, Plane, status_of};
+use super::{Plane, ValidatedRequest, status_of};
 use crate::caller::Caller;
 
 impl Plane {
-    pub(super) async fn service(&self, service: &str, call: &str, request: Request, reply: Reply) {
-        let mut place = self.desk.take_place();
-        let checked = match self.check_call(service, call, request, place.ticket) {
-            Ok(checked) => checked,
+    pub(super) async fn serve_call(
+        &self,
+        service: &str,
+        call: &str,
+        request: Request,
+        reply: Reply,
+    ) {
+        let mut registration = self.pending.register();
+        let validated = match self.validate_call(service, call, request, registration.ticket) {
+            Ok(validated) => validated,
             Err(refusal) => return self.refuse(reply, &refusal),
         };
         let Work::Call {
             price, repeatable, ..
-        } = checked.arrival.work
+        } = validated.arrival.work
         else {
             return;
         };
-        let ticket = place.ticket;
-        let id = checked.caller.id.clone();
-        let sender = crate::call::Call {
+        let ticket = registration.ticket;
+        let id = validated.caller.id.clone();
+        let runner = crate::call::Call {
             client: &self.client,
             timeouts: self.timeouts,
-            deadline: checked.deadline,
+            deadline: validated.deadline,
             call,
-            body: &checked.request.body,
-            content_type: checked.request.headers.get(CONTENT_TYPE),
+            body: &validated.request.body,
+            content_type: validated.request.headers.get(CONTENT_TYPE),
             price,
             repeatable,
         };
-        let mut verdict = place.open(NodeEvent::Arrived(checked.arrival)).await;
-        self.count_verdict(checked.request.arrived);
+        let mut verdict = registration
+            .submit(NodeEvent::Arrived(validated.arrival))
+            .await;
+        self.count_verdict(validated.request.arrived);
         loop {
             match verdict {
-                Ok(Verdict::Stored(answer)) => return send_answer(reply, &answer, &id),
+                Ok(Verdict::Stored(response)) => return send_response(reply, &response, &id),
                 Ok(Verdict::Run(assignment)) => {
-                    let outcome = sender.run(&assignment).await;
+                    let outcome = runner.run(&assignment).await;
                     let end = outcome.end;
-                    if let Some(answer) = outcome.answer {
+                    if let Some(response) = outcome.response {
                         self.count_cost(&end);
-                        send_answer(reply, &answer, &id);
-                        return self.desk.tell(NodeEvent::Ended { ticket, end }).await;
+                        send_response(reply, &response, &id);
+                        return self.pending.send(NodeEvent::Ended { ticket, end }).await;
                     }
-                    if is_lost(&end) && !repeatable {
+                    if is_outcome_unknown(&end) && !repeatable {
                         self.refuse(reply, &Refusal::new(Code::OutcomeUnknown));
-                        let end = sender.settle_later(&assignment).await;
-                        return self.desk.tell(NodeEvent::Ended { ticket, end }).await;
+                        let end = runner.poll_record_late(&assignment).await;
+                        return self.pending.send(NodeEvent::Ended { ticket, end }).await;
                     }
-                    verdict = place.again(NodeEvent::Ended { ticket, end }).await;
+                    verdict = registration.report(NodeEvent::Ended { ticket, end }).await;
                 }
                 Err(refusal) | Ok(Verdict::Refuse(refusal)) => return self.refuse(reply, &refusal),
                 Ok(Verdict::Attach { .. }) => {
@@ -64,15 +72,15 @@
         }
     }
 
-    fn check_call(
+    fn validate_call(
         &self,
         service: &str,
         call: &str,
         request: Request,
         ticket: Ticket,
-    ) -> Result<Checked, Refusal> {
+    ) -> Result<ValidatedRequest, Refusal> {
         let index = self.index.load();
-        let caller = Caller::read(&index, &request, || self.make_id(ticket))?;
+        let caller = Caller::read(&index, &request, || self.generate_id(ticket))?;
         let (service, call) = index
             .call(service, call)
             .ok_or_else(|| Refusal::new(Code::UnknownService))?;
@@ -82,25 +90,25 @@
             repeatable: call.repeatable,
             price: call.price,
         };
-        self.checked(&index, caller, request, work, ticket)
+        self.validate(&index, caller, request, work, ticket)
     }
 }
 
-fn is_lost(end: &fescuewell_node::request::End) -> bool {
+fn is_outcome_unknown(end: &fescuewell_node::request::End) -> bool {
     matches!(end, fescuewell_node::request::End::Lost { .. })
 }
 
-fn send_answer(reply: Reply, answer: &StoredResponse, id: &str) {
+fn send_response(reply: Reply, response: &StoredResponse, id: &str) {
     let mut headers = HeaderMap::new();
-    if let Ok(value) = HeaderValue::from_str(&answer.content_type) {
+    if let Ok(value) = HeaderValue::from_str(&response.content_type) {
         headers.insert(CONTENT_TYPE, value);
     }
     if let Ok(value) = HeaderValue::from_str(id) {
         headers.insert(crate::delivery::ID_HEADER, value);
     }
     reply.whole(
-        status_of(answer),
+        status_of(response),
         headers,
-        Bytes::copy_from_slice(&answer.body),
+        Bytes::copy_from_slice(&response.body),
     );
 }
--- a/crates/fescuewell_router/src/settings.rs
+++ b/crates/fescuewell_router/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of a router.
+//! Reads and validates the settings file of a router.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,40 +8,40 @@
 use fescuewell_platform::settings::Secret;
 use serde::{Deserialize, Serialize};
 
-/// Settings of one entry instance.
+/// Settings of one router instance.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
     /// Name of the instance, as in the instance list and in its certificate.
     pub instance: Arc<str>,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: Arc<str>,
-    /// Where callers connect.
+    /// Address of the callers' listener.
     pub listen: SocketAddr,
-    /// Where operators connect: state and metrics.
+    /// Address of the operators' listener, which serves state and metrics.
     pub operator_listen: SocketAddr,
-    /// Token that operators show there; without one, only loopback addresses are served.
+    /// Token that operators must send; without one, only loopback addresses are allowed.
     #[serde(default)]
     pub operator_token: Option<Secret>,
-    /// Certificate and key of the callers' listener; plain HTTP without.
+    /// Certificate and key of the callers' listener; it serves plain HTTP without them.
     #[serde(default)]
     pub tls: Option<Tls>,
     /// Listener and certificates for other instances.
     pub peers: fescuewell_peer::Settings,
-    /// The platform's services.
+    /// Platform services.
     pub platform: fescuewell_platform::settings::Settings,
-    /// Size of the fleet that rates are set for.
+    /// Number of instances that rate limits are calculated for.
     #[serde(default = "default_fleet")]
     pub fleet: u32,
-    /// Bounds of the callers' listener.
+    /// Resource limits.
     #[serde(default)]
     pub limits: Limits,
-    /// Time limits.
+    /// Timeouts and intervals.
     #[serde(default)]
     pub timing: Timing,
 }
 
-/// Certificate and key of a listener, by file.
+/// Files of a listener's certificate and key.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tls {
@@ -51,47 +51,47 @@
     pub key: Arc<str>,
 }
 
-/// Bounds of one instance.
+/// Resource limits of one instance.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Open connections of callers.
+    /// Maximum number of open connections of callers.
     pub connections: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request body.
     pub body_bytes: usize,
-    /// Bytes of a request's head; at least 8192.
+    /// Maximum size of a request head; at least 8192.
     pub head_bytes: usize,
-    /// Requests that the instance has a part in at once.
+    /// Maximum number of requests that the instance handles at once.
     pub requests: usize,
-    /// Threads that serve callers.
+    /// Number of threads that serve callers.
     pub threads: usize,
 }
 
-/// Time limits of one instance, in milliseconds.
+/// Timeouts and intervals of one instance, in milliseconds.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Timing {
-    /// Connecting to a backend server.
+    /// Timeout for connecting to a backend server.
     pub connect_ms: u64,
-    /// From sending a request to the head of its answer.
+    /// Timeout from sending a request to the head of its response.
     pub first_byte_ms: u64,
-    /// Between two chunks of an answer.
+    /// Timeout between two chunks of a response.
     pub progress_ms: u64,
-    /// How long callers keep an address that they were given.
+    /// How long callers may use an address from the instance list (its TTL).
     pub address_ttl_ms: u64,
-    /// How long a draining instance waits until every peer knows of it.
+    /// How long a draining instance waits for all peers to learn of the drain.
     pub drain_spread_ms: u64,
-    /// After so long a draining process ends, whatever is left.
+    /// Time after which a draining process exits, even with requests in flight.
     pub drain_limit_ms: u64,
-    /// Least time between two group commits of claims and bills.
+    /// Minimum interval between two group commits of claims and bills.
     pub commit_interval_ms: u64,
-    /// How long a claim is waited for before a repeatable request goes on without.
+    /// Timeout of a claim, after which a repeatable request proceeds without it.
     pub claim_patience_ms: u64,
-    /// Longest lag of the instance list.
+    /// Maximum lag of the instance list.
     pub list_lag_ms: u64,
-    /// Silence of both the table and all peers after which requests are refused.
+    /// Time without contact to both the table service and all peers after which requests are refused.
     pub isolation_ms: u64,
-    /// Heartbeats missing for so long make an instance's slots free to take over.
+    /// Time without heartbeats after which other instances may take over an instance's slots.
     pub lease_ms: u64,
 }
 
@@ -129,17 +129,17 @@
     }
 }
 
-/// Shortest name of an instance or zone is one character; the longest fits a DNS label.
-const LONGEST_NAME: usize = 63;
-/// Least size of a head that HTTP libraries accept.
-const LEAST_HEAD: usize = 8_192;
+/// Maximum length of an instance or zone name, so that it fits a DNS label.
+const MAX_NAME_LENGTH: usize = 63;
+/// Smallest limit of the head size that the HTTP library accepts.
+const MIN_HEAD_BYTES: usize = 8_192;
 
 impl Settings {
     /// Reads and checks a settings file.
     ///
     /// # Errors
     ///
-    /// The first fault, with file and line where it is known.
+    /// The first invalid setting, with file and, if known, line.
     pub fn read(text: &str, file: &str) -> Result<Self, fescuewell_document::settings::Error> {
         let settings: Self = fescuewell_document::settings::read(text, file)?;
         settings
@@ -162,18 +162,18 @@
             (
                 "limits.head_bytes",
                 self.limits.head_bytes,
-                LEAST_HEAD,
+                MIN_HEAD_BYTES,
                 1024 * 1024,
             ),
             ("limits.requests", self.limits.requests, 1, 100_000),
             ("limits.threads", self.limits.threads, 1, 64),
             ("fleet", self.fleet as usize, 1, 10_000),
         ];
-        for (name, value, least, most) in bounds {
-            if !(least..=most).contains(&value) {
+        for (name, value, min, max) in bounds {
+            if !(min..=max).contains(&value) {
                 return Err(Fault::new(
                     name,
-                    format!("{value} is not between {least} and {most}"),
+                    format!("{value} is not between {min} and {max}"),
                 ));
             }
         }
@@ -203,7 +203,7 @@
         Ok(())
     }
 
-    /// Settings of the decisions.
+    /// Returns the settings of the decision logic.
     pub fn node(&self) -> fescuewell_node::settings::Settings {
         let timing = &self.timing;
         let mut node = fescuewell_node::settings::Settings::sized(self.fleet);
@@ -222,8 +222,8 @@
 
 fn check_name(setting: &str, name: &str) -> Result<(), Fault> {
     let allowed = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-';
-    if name.is_empty() || name.len() > LONGEST_NAME || !name.bytes().all(allowed) {
-        let text = format!("`{name}` is not 1 to {LONGEST_NAME} of a-z, 0-9 and -");
+    if name.is_empty() || name.len() > MAX_NAME_LENGTH || !name.bytes().all(allowed) {
+        let text = format!("`{name}` is not 1 to {MAX_NAME_LENGTH} of a-z, 0-9 and -");
         return Err(Fault::new(setting, text));
     }
     Ok(())
