--- a/crates/fescuewell_router/src/adapters.rs
+++ b/crates/fescuewell_router/src/adapters.rs
@@ -12,7 +12,7 @@
 use fescuewell_core::table::{Step, Table};
 use fescuewell_core::timer;
 use fescuewell_document::model::{Document, Server};
-use fescuewell_node::event::{Duty, Event as NodeEvent};
+use fescuewell_node::event::{Component, Event as NodeEvent};
 use fescuewell_placement::order::Order;
 use fescuewell_platform::Worker;
 
@@ -21,13 +21,13 @@
 /// Interval at which the instance list is read.
 const LIST_INTERVAL: Duration = Duration::from_secs(1);
 /// Components that use the table service; each has a thread of its own, so that a slow one delays no other.
-const COMPONENTS: [Duty; 6] = [
-    Duty::Budget,
-    Duty::Claims,
-    Duty::Members,
-    Duty::Head,
-    Duty::Placement,
-    Duty::Reclaim,
+const COMPONENTS: [Component; 6] = [
+    Component::Budget,
+    Component::Claims,
+    Component::Members,
+    Component::Head,
+    Component::Placement,
+    Component::Reclaim,
 ];
 
 /// A request to a backend server.
@@ -64,7 +64,7 @@
 
 /// Senders to the adapter threads.
 pub struct Channels {
-    table: BTreeMap<Duty, flume::Sender<(Duty, Step)>>,
+    table: BTreeMap<Component, flume::Sender<(Component, Step)>>,
     fetches: flume::Sender<Arc<str>>,
     backend: flume::Sender<BackendWork>,
     /// Backend servers of the active document, for the `backends` thread.
@@ -81,9 +81,9 @@
     /// # Errors
     ///
     /// [`SendError`] when the channel is full or the thread has stopped.
-    pub fn send_table(&self, duty: Duty, step: Step) -> Result<(), SendError> {
-        let channel = self.table.get(&duty).ok_or(SendError)?;
-        channel.try_send((duty, step)).map_err(|_| SendError)
+    pub fn send_table(&self, component: Component, step: Step) -> Result<(), SendError> {
+        let channel = self.table.get(&component).ok_or(SendError)?;
+        channel.try_send((component, step)).map_err(|_| SendError)
     }
 
     /// Sends the name of an object to fetch. It is dropped when the channel is full; document propagation
@@ -135,17 +135,21 @@
     timer: &timer::Service,
 ) -> std::io::Result<(Channels, flume::Receiver<BackendWork>)> {
     let mut table = BTreeMap::new();
-    for duty in COMPONENTS {
+    for component in COMPONENTS {
         let (channel, inbox) = flume::bounded(CHANNEL_CAPACITY);
         let events = platform.events.clone();
-        let answer = move |duty, reply| events.send(NodeEvent::Table { duty, reply }).is_ok();
+        let answer = move |component, reply| {
+            events
+                .send(NodeEvent::TableReply { component, reply })
+                .is_ok()
+        };
         Worker::start(
-            &format!("table-{duty:?}"),
+            &format!("table-{component:?}"),
             platform.table.clone(),
             inbox,
             Box::new(answer),
         )?;
-        table.insert(duty, channel);
+        table.insert(component, channel);
     }
     let fetches = start_objects(platform)?;
     start_instances(platform, timer)?;
@@ -168,7 +172,10 @@
         .spawn(move || {
             for name in inbox.iter() {
                 let content = objects.get(&name).ok().flatten();
-                if events.send(NodeEvent::Fetched { name, content }).is_err() {
+                if events
+                    .send(NodeEvent::ObjectFetched { name, content })
+                    .is_err()
+                {
                     return;
                 }
             }
@@ -194,7 +201,7 @@
                 let Ok(list) = instances.list() else {
                     continue;
                 };
-                if events.send(NodeEvent::Listed(list)).is_err() {
+                if events.send(NodeEvent::InstancesListed(list)).is_err() {
                     return;
                 }
             }
--- a/crates/fescuewell_router/src/attempt.rs
+++ b/crates/fescuewell_router/src/attempt.rs
@@ -228,7 +228,7 @@
     fn report_leaving(&self, assignment: &Assignment, exchange: &Exchange) {
         if exchange.headers.contains_key(LEAVING_HEADER) {
             let server = assignment.server.clone();
-            self.pending.try_send(NodeEvent::Leaving { server });
+            self.pending.try_send(NodeEvent::ServerLeaving { server });
         }
     }
 
@@ -445,7 +445,7 @@
     End::Done {
         cost: used_tokens(delivery),
         output: delivery.output,
-        answer: None,
+        response: None,
     }
 }
 
--- a/crates/fescuewell_router/src/backends.rs
+++ b/crates/fescuewell_router/src/backends.rs
@@ -10,7 +10,7 @@
 use fescuewell_core::prelude::*;
 use fescuewell_document::model::{Server, ServerRole};
 use fescuewell_http::upstream::{self, Client, Target, Timeouts};
-use fescuewell_node::event::{Event as NodeEvent, ReadBack, StreamRecord};
+use fescuewell_node::event::{Event as NodeEvent, ModelReport, StreamRecord};
 use fescuewell_placement::order::{Action, Order, Response};
 use fescuewell_routing::load::Report;
 use serde_json::{Value, json};
@@ -116,7 +116,7 @@
             return 0;
         };
         let report = parse_load_report(&String::from_utf8_lossy(&metrics));
-        let event = NodeEvent::Reported {
+        let event = NodeEvent::LoadReported {
             server: server.name.clone(),
             report,
             loaded,
@@ -125,15 +125,14 @@
         1
     }
 
-    fn report_models(&self, server: &Arc<str>, report: Option<ReadBack>) {
+    fn report_models(&self, server: &Arc<str>, report: Option<ModelReport>) {
         let Some(report) = report else {
             return;
         };
         let server = server.clone();
-        let _ = self.events.try_send(NodeEvent::Models {
-            server,
-            said: report,
-        });
+        let _ = self
+            .events
+            .try_send(NodeEvent::ModelsReported { server, report });
     }
 
     async fn handle(&self, work: BackendWork) {
@@ -143,8 +142,8 @@
                 order,
                 created_at,
             } => {
-                let answer = self.order(address, &order, created_at).await;
-                let event = NodeEvent::Ordered { order, answer };
+                let response = self.order(address, &order, created_at).await;
+                let event = NodeEvent::OrderResponse { order, response };
                 let _ = self.events.send_async(event).await;
             }
             BackendWork::Cancel { address, stream } => {
@@ -158,7 +157,7 @@
                 ..
             } => {
                 let streams = Some(Vec::new());
-                let event = NodeEvent::Streams {
+                let event = NodeEvent::StreamsListed {
                     server,
                     holder,
                     streams,
@@ -174,7 +173,7 @@
                 let path = format!("/v1/responses?holder={holder}");
                 let body = self.get(address, &path).await;
                 let streams = body.and_then(|body| parse_streams(&body));
-                let event = NodeEvent::Streams {
+                let event = NodeEvent::StreamsListed {
                     server,
                     holder,
                     streams,
@@ -242,11 +241,11 @@
 
 /// Parses the list of a server's models; `None` when the response has no list, which does not mean that the
 /// server has no models.
-fn parse_models(requested_at: Instant, models: &Value) -> Option<ReadBack> {
+fn parse_models(requested_at: Instant, models: &Value) -> Option<ModelReport> {
     models["data"].as_array()?;
     let loading = models["loading"].as_array().into_iter().flatten();
-    Some(ReadBack {
-        asked: requested_at,
+    Some(ModelReport {
+        requested_at,
         loaded: model_names(models),
         loading: loading
             .filter_map(|name| name.as_str().map(Arc::from))
@@ -320,7 +319,7 @@
         hold: Tokens(hold.unwrap_or_default()),
         done: record["done"].as_bool().unwrap_or_default(),
         complete: matches!(finish, "stop" | "length"),
-        answer: None,
+        response: None,
         used: Tokens(record["usage"]["total_tokens"].as_u64().unwrap_or_default()),
     })
 }
--- a/crates/fescuewell_router/src/call.rs
+++ b/crates/fescuewell_router/src/call.rs
@@ -83,7 +83,7 @@
             end: End::Done {
                 cost: self.price,
                 output: 0,
-                answer: is_stored.then(|| response.clone()),
+                response: is_stored.then(|| response.clone()),
             },
             response: Some(response),
         }
--- a/crates/fescuewell_router/src/daemon.rs
+++ b/crates/fescuewell_router/src/daemon.rs
@@ -265,7 +265,10 @@
             continue;
         };
         let from = incoming.from;
-        if events.send(NodeEvent::Peer { from, message }).is_err() {
+        if events
+            .send(NodeEvent::PeerMessage { from, message })
+            .is_err()
+        {
             return;
         }
     }
--- a/crates/fescuewell_router/src/event_loop.rs
+++ b/crates/fescuewell_router/src/event_loop.rs
@@ -7,7 +7,7 @@
 use fescuewell_core::prelude::*;
 use fescuewell_core::table;
 use fescuewell_document::lookup::Index;
-use fescuewell_node::event::{Action, Duty, Event as NodeEvent};
+use fescuewell_node::event::{Action, Component, Event as NodeEvent};
 use fescuewell_node::node::Node;
 use fescuewell_node::state::Summary;
 use fescuewell_placement::order::{Order, Response};
@@ -91,7 +91,7 @@
                     self.transport.send(to, payload);
                 }
             }
-            Action::Table { duty, step } => self.send_to_table(duty, step),
+            Action::Table { component, step } => self.send_to_table(component, step),
             Action::Fetch { name } => self.channels.send_fetch(name),
             Action::ListStreams {
                 server,
@@ -114,7 +114,7 @@
                     .send_backend(BackendWork::Cancel { address, stream });
             }
             Action::Order { address, order, .. } => return self.send_order(address, order),
-            Action::InForce { document, .. } => {
+            Action::ApplyDocument { document, .. } => {
                 self.channels.set_servers(&document);
                 self.plane.index.store(Arc::new(Index::new(document)));
                 self.publish();
@@ -129,14 +129,14 @@
         false
     }
 
-    fn send_to_table(&mut self, duty: Duty, step: table::Step) {
+    fn send_to_table(&mut self, component: Component, step: table::Step) {
         // Each component has at most one outstanding step and a channel of its own, so the channel is
         // never full; sending fails only if the table thread has stopped.
-        if self.channels.send_table(duty, step).is_err() {
+        if self.channels.send_table(component, step).is_err() {
             let reason = "the table thread has stopped".into();
             let reply = table::Reply::Failed(table::Error::Unreachable { reason });
             self.node
-                .handle(self.clock.now(), NodeEvent::Table { duty, reply });
+                .handle(self.clock.now(), NodeEvent::TableReply { component, reply });
         }
     }
 
@@ -152,8 +152,8 @@
         }
         // The order was certainly not sent. Without this report the planner would wait ten minutes for
         // the model to load.
-        let answer = Response::Refused;
-        self.handle(NodeEvent::Ordered { order, answer })
+        let response = Response::Refused;
+        self.handle(NodeEvent::OrderResponse { order, response })
     }
 
     fn publish(&mut self) {
