--- a/crates/fescuewell_router/src/adapters.rs
+++ b/crates/fescuewell_router/src/adapters.rs
@@ -138,7 +138,7 @@
     for component in COMPONENTS {
         let (channel, inbox) = flume::bounded(CHANNEL_CAPACITY);
         let events = platform.events.clone();
-        let answer = move |component, reply| {
+        let send_reply = move |component, reply| {
             events
                 .send(NodeEvent::TableReply { component, reply })
                 .is_ok()
@@ -147,7 +147,7 @@
             &format!("table-{component:?}"),
             platform.table.clone(),
             inbox,
-            Box::new(answer),
+            Box::new(send_reply),
         )?;
         table.insert(component, channel);
     }
