--- a/crates/fescuewell_bench/src/load.rs
+++ b/crates/fescuewell_bench/src/load.rs
@@ -87,11 +87,11 @@
     wait_slots(&fleet)?;
     let holders = holders(&fleet)?;
     let fault = fleet.platform.content().fault().clone();
-    let before = fault.count();
+    let before = fault.counters();
     let cpu = processor_seconds();
     let run = drive::drive(plan, &fleet)?;
     let cpu = processor_seconds().zip(cpu).map(|(end, start)| end - start);
-    let after = fault.count();
+    let after = fault.counters();
     let engines = fleet.engines.iter().map(|engine| engine.counters());
     let engines: Vec<engine::Counters> = engines.collect();
     let services = fleet.services.iter().map(|service| service.counters());
--- a/crates/fescuewell_peer/examples/peer_rate.rs
+++ b/crates/fescuewell_peer/examples/peer_rate.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use fescuewell_peer::{Address, Incoming, Traffic, Transport, testing};
+use fescuewell_peer::{Address, Message, Traffic, Transport, testing};
 
 const ROUND_TRIPS: usize = 5_000;
 const BURST: usize = 20_000;
@@ -21,7 +21,7 @@
 
 struct Node {
     transport: Transport,
-    inbox: flume::Receiver<Incoming>,
+    inbox: flume::Receiver<Message>,
 }
 
 impl Node {
--- a/crates/fescuewell_peer/src/credentials.rs
+++ b/crates/fescuewell_peer/src/credentials.rs
@@ -16,7 +16,7 @@
 use crate::frame::FRAME_LIMIT;
 use crate::settings::{Limits, Settings, millis};
 
-pub use authority::{Authority, Issued};
+pub use authority::{Authority, CertifiedKey};
 
 /// Names the protocol in the TLS handshake, so that another QUIC service is not mistaken for a peer.
 const PROTOCOL: &[u8] = b"fescuewell/1";
--- a/crates/fescuewell_peer/src/credentials/authority.rs
+++ b/crates/fescuewell_peer/src/credentials/authority.rs
@@ -20,7 +20,7 @@
 
 /// What an authority issued to one instance.
 #[derive(Clone)]
-pub struct Issued {
+pub struct CertifiedKey {
     /// The instance's certificate, as PEM.
     pub certificate: Arc<str>,
     /// Its private key, as PEM.
@@ -57,8 +57,8 @@
     /// # Errors
     ///
     /// When the name cannot stand in a certificate or no key can be generated.
-    pub fn issue(&self, instance: &str) -> Result<Issued, rcgen::Error> {
-        self.issue_for(vec![instance.into()])
+    pub fn issue(&self, instance: &str) -> Result<CertifiedKey, rcgen::Error> {
+        self.issue_for_names(vec![instance.into()])
     }
 
     /// Signs a certificate with these DNS names, one or not.
@@ -66,7 +66,7 @@
     /// # Errors
     ///
     /// Those of [`Self::issue`].
-    pub fn issue_for(&self, names: Vec<String>) -> Result<Issued, rcgen::Error> {
+    pub fn issue_for_names(&self, names: Vec<String>) -> Result<CertifiedKey, rcgen::Error> {
         let key = KeyPair::generate()?;
         let mut params = CertificateParams::new(names)?;
         params.key_usages = vec![KeyUsagePurpose::DigitalSignature];
@@ -75,7 +75,7 @@
             ExtendedKeyUsagePurpose::ClientAuth,
         ];
         let certificate = params.signed_by(&key, &self.issuer)?;
-        Ok(Issued {
+        Ok(CertifiedKey {
             certificate: certificate.pem().into(),
             key: key.serialize_pem().into(),
         })
--- a/crates/fescuewell_peer/src/lib.rs
+++ b/crates/fescuewell_peer/src/lib.rs
@@ -36,4 +36,4 @@
 
 pub use settings::Settings;
 pub use traffic::Traffic;
-pub use transport::{Address, Error, Incoming, Transport};
+pub use transport::{Address, Error, Message, Transport};
--- a/crates/fescuewell_peer/src/transport.rs
+++ b/crates/fescuewell_peer/src/transport.rs
@@ -41,7 +41,7 @@
 
 /// A message from a peer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Incoming {
+pub struct Message {
     /// The sender's name, as its certificate proved it.
     pub from: Arc<str>,
     /// The message.
@@ -79,7 +79,7 @@
     },
     /// A reload may change keys and authorities, not who or where the instance is.
     #[snafu(display("setting {setting}: it can only change with a restart"))]
-    Fixed {
+    RestartRequired {
         /// Which setting.
         setting: &'static str,
     },
@@ -110,7 +110,7 @@
     /// # Errors
     ///
     /// When the settings cannot be used, the address cannot be listened on, or no thread can be started.
-    pub fn start(settings: Settings, inbox: flume::Sender<Incoming>) -> Result<Self, Error> {
+    pub fn start(settings: Settings, inbox: flume::Sender<Message>) -> Result<Self, Error> {
         check_limits(&settings)?;
         let identity = Identity::load(&settings).context(CredentialsSnafu)?;
         let runtime = tokio::runtime::Builder::new_current_thread()
@@ -186,12 +186,12 @@
     pub fn reload(&self, settings: &Settings) -> Result<(), Error> {
         check_limits(settings)?;
         if settings.listen != self.shared.settings.listen {
-            return Err(Error::Fixed { setting: "listen" });
+            return Err(Error::RestartRequired { setting: "listen" });
         }
         let identity = Identity::load(settings).context(CredentialsSnafu)?;
         if identity.instance != self.instance() {
             let setting = "certificate";
-            return Err(Error::Fixed { setting });
+            return Err(Error::RestartRequired { setting });
         }
         self.shared.replace_identity(identity);
         fescuewell_core::log_event!(Event::KeysReloaded, "instance={}", self.instance());
--- a/crates/fescuewell_peer/src/transport/listener.rs
+++ b/crates/fescuewell_peer/src/transport/listener.rs
@@ -7,7 +7,7 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::timeout;
 
-use super::Incoming;
+use super::Message;
 use super::shared::{CLOSING, Kind, MALFORMED, NOT_A_PEER, Shared, TOO_MANY};
 use crate::credentials::{instance_name, peer_chain};
 use crate::frame::{self, FRAME_LIMIT};
@@ -114,7 +114,7 @@
 
 fn deliver(shared: &Shared, connection: &Connection, from: Arc<str>, payload: Vec<u8>) {
     let length = payload.len();
-    match shared.inbox.try_send(Incoming { from, payload }) {
+    match shared.inbox.try_send(Message { from, payload }) {
         Ok(()) => {
             add(&shared.counters.received, 1);
             add(&shared.counters.received_bytes, length);
--- a/crates/fescuewell_peer/src/transport/shared.rs
+++ b/crates/fescuewell_peer/src/transport/shared.rs
@@ -7,7 +7,7 @@
 use fescuewell_core::event::Event;
 use quinn::VarInt;
 
-use super::Incoming;
+use super::Message;
 use crate::credentials::{Identity, peer_chain};
 use crate::settings::Settings;
 use crate::traffic::{Counters, Traffic, add};
@@ -30,7 +30,7 @@
 pub(super) struct Shared {
     pub settings: Settings,
     pub endpoint: quinn::Endpoint,
-    pub inbox: flume::Sender<Incoming>,
+    pub inbox: flume::Sender<Message>,
     pub counters: Counters,
     identity: Mutex<Arc<Identity>>,
     connections: Mutex<Connections>,
@@ -70,7 +70,7 @@
         settings: Settings,
         identity: Identity,
         endpoint: quinn::Endpoint,
-        inbox: flume::Sender<Incoming>,
+        inbox: flume::Sender<Message>,
     ) -> Self {
         Self {
             settings,
--- a/crates/fescuewell_peer/tests/common/mod.rs
+++ b/crates/fescuewell_peer/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use fescuewell_peer::credentials::Authority;
-use fescuewell_peer::{Address, Incoming, Settings, Transport};
+use fescuewell_peer::{Address, Message, Settings, Transport};
 use rustls::pki_types::pem::PemObject;
 use rustls::pki_types::{CertificateDer, PrivateKeyDer};
 
@@ -21,7 +21,7 @@
 
 pub struct Node {
     pub transport: Transport,
-    pub inbox: flume::Receiver<Incoming>,
+    pub inbox: flume::Receiver<Message>,
 }
 
 pub fn loopback() -> SocketAddr {
@@ -47,11 +47,11 @@
     }
 
     /// Sends until it arrives, and takes it out of the receiver's inbox.
-    pub fn deliver(&self, to: &Node, payload: &[u8]) -> Incoming {
+    pub fn deliver(&self, to: &Node, payload: &[u8]) -> Message {
         self.deliver_to(&to.address(), to, payload)
     }
 
-    pub fn deliver_to(&self, address: &Address, to: &Node, payload: &[u8]) -> Incoming {
+    pub fn deliver_to(&self, address: &Address, to: &Node, payload: &[u8]) -> Message {
         let deadline = Instant::now() + PATIENCE;
         while Instant::now() < deadline {
             self.transport.send(address.clone(), payload.to_vec());
--- a/crates/fescuewell_peer/tests/transport.rs
+++ b/crates/fescuewell_peer/tests/transport.rs
@@ -275,7 +275,7 @@
 
     assert!(matches!(
         a.transport.reload(&renamed),
-        Err(Error::Fixed { .. })
+        Err(Error::RestartRequired { .. })
     ));
     let message = a.transport.reload(&broken).unwrap_err().to_string();
 
@@ -291,7 +291,7 @@
         vec!["a".to_owned(), "b".to_owned()],
         vec!["*.a".to_owned()],
     ] {
-        let issued = authority.issue_for(names.clone()).unwrap();
+        let issued = authority.issue_for_names(names.clone()).unwrap();
         let mut settings = authority.settings("x", loopback()).unwrap();
         settings.certificate = issued.certificate;
         settings.key = issued.key;
--- a/crates/fescuewell_platform/src/memory.rs
+++ b/crates/fescuewell_platform/src/memory.rs
@@ -8,7 +8,7 @@
 mod objects;
 mod table;
 
-pub use fault::{Count, Fate, Fault};
+pub use fault::{CallResult, Counters, Fault};
 pub use instances::Instances;
 pub use objects::Objects;
 pub use table::Table;
--- a/crates/fescuewell_platform/src/memory/fault.rs
+++ b/crates/fescuewell_platform/src/memory/fault.rs
@@ -8,7 +8,7 @@
 
 /// How often a service was used since it was made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, serde::Serialize)]
-pub struct Count {
+pub struct Counters {
     /// Reads and scans that arrived, answered or not.
     pub reads: u64,
     /// Transactions (for an object store: puts) that arrived, answered or not.
@@ -32,14 +32,14 @@
     lost_replies: u32,
     reads: Option<Limit>,
     writes: Option<Limit>,
-    count: Count,
+    counters: Counters,
 }
 
 /// What happens to a call that arrives.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum CallResult {
     /// It takes effect and is answered.
-    Answered,
+    Completed,
     /// It takes effect and its reply is lost.
     ReplyLost,
     /// It is lost on the way, which its sender cannot tell from a lost reply.
@@ -78,44 +78,44 @@
     }
 
     /// The counters so far.
-    pub fn count(&self) -> Count {
-        self.lock().count
+    pub fn counters(&self) -> Counters {
+        self.lock().counters
     }
 
-    /// Counts a read and decides its fate.
-    pub fn on_read(&self) -> Fate {
+    /// Counts a read and decides its result.
+    pub fn on_read(&self) -> CallResult {
         let mut controls = self.lock();
-        controls.count.reads += 1;
+        controls.counters.reads += 1;
         if controls.down {
-            return Fate::Down;
+            return CallResult::Down;
         }
         let admitted = admit(&mut controls.reads);
         controls.answer_or_busy(admitted)
     }
 
-    /// Decides the fate of a transaction of `writes` rows.
-    pub fn on_transaction(&self, writes: usize) -> Fate {
+    /// Decides the result of a transaction of `writes` rows.
+    pub fn on_transaction(&self, writes: usize) -> CallResult {
         let mut controls = self.lock();
-        controls.count.transactions += 1;
+        controls.counters.transactions += 1;
         if controls.down {
-            return Fate::Down;
+            return CallResult::Down;
         }
         if controls.lost_requests > 0 {
             controls.lost_requests -= 1;
-            return Fate::RequestLost;
+            return CallResult::RequestLost;
         }
         let admitted = writes == 0 || admit(&mut controls.writes);
-        let fate = controls.answer_or_busy(admitted);
-        if fate == Fate::Answered && controls.lost_replies > 0 {
+        let result = controls.answer_or_busy(admitted);
+        if result == CallResult::Completed && controls.lost_replies > 0 {
             controls.lost_replies -= 1;
-            return Fate::ReplyLost;
+            return CallResult::ReplyLost;
         }
-        fate
+        result
     }
 
     /// Counts rows that were written.
-    pub fn wrote(&self, rows: usize) {
-        self.lock().count.writes += rows as u64;
+    pub fn record_writes(&self, rows: usize) {
+        self.lock().counters.writes += rows as u64;
     }
 
     fn lock(&self) -> MutexGuard<'_, Controls> {
@@ -124,12 +124,12 @@
 }
 
 impl Controls {
-    fn answer_or_busy(&mut self, admitted: bool) -> Fate {
+    fn answer_or_busy(&mut self, admitted: bool) -> CallResult {
         if admitted {
-            return Fate::Answered;
+            return CallResult::Completed;
         }
-        self.count.busy += 1;
-        Fate::Busy
+        self.counters.busy += 1;
+        CallResult::Busy
     }
 }
 
--- a/crates/fescuewell_platform/src/memory/instances.rs
+++ b/crates/fescuewell_platform/src/memory/instances.rs
@@ -7,7 +7,7 @@
 use fescuewell_core::platform::{self, Error, Listing, State};
 use fescuewell_core::time::{Clock, Instant};
 
-use super::fault::{Fate, Fault};
+use super::fault::{CallResult, Fault};
 
 const SERVICE: &str = "instance list";
 
@@ -129,14 +129,14 @@
 impl platform::Instances for Instances {
     fn list(&self) -> Result<Vec<Listing>, Error> {
         let reason = match self.fault.on_read() {
-            Fate::Answered => {
+            CallResult::Completed => {
                 let mut content = self.lock();
                 content.settle();
                 return Ok(content.visible.values().cloned().collect());
             }
-            Fate::Busy => "over its limit",
-            Fate::Down => "switched off",
-            Fate::ReplyLost | Fate::RequestLost => "no reply",
+            CallResult::Busy => "over its limit",
+            CallResult::Down => "switched off",
+            CallResult::ReplyLost | CallResult::RequestLost => "no reply",
         };
         Err(Error {
             service: SERVICE,
--- a/crates/fescuewell_platform/src/memory/objects.rs
+++ b/crates/fescuewell_platform/src/memory/objects.rs
@@ -5,7 +5,7 @@
 
 use fescuewell_core::platform::{self, Error};
 
-use super::fault::{Fate, Fault};
+use super::fault::{CallResult, Fault};
 
 const SERVICE: &str = "object store";
 
@@ -35,15 +35,15 @@
 
     fn store(&self, name: &str, content: &[u8]) {
         self.lock().insert(name.into(), content.into());
-        self.fault.wrote(1);
+        self.fault.record_writes(1);
     }
 }
 
-fn failed(fate: Fate) -> Error {
-    let reason = match fate {
-        Fate::Down => "switched off",
-        Fate::Busy => "over its limit",
-        Fate::Answered | Fate::ReplyLost | Fate::RequestLost => "no reply",
+fn failed(result: CallResult) -> Error {
+    let reason = match result {
+        CallResult::Down => "switched off",
+        CallResult::Busy => "over its limit",
+        CallResult::Completed | CallResult::ReplyLost | CallResult::RequestLost => "no reply",
     };
     Error {
         service: SERVICE,
@@ -53,20 +53,20 @@
 
 impl platform::Objects for Objects {
     fn put(&self, name: &str, content: &[u8]) -> Result<(), Error> {
-        let fate = self.fault.on_transaction(1);
-        if matches!(fate, Fate::Answered | Fate::ReplyLost) {
+        let result = self.fault.on_transaction(1);
+        if matches!(result, CallResult::Completed | CallResult::ReplyLost) {
             self.store(name, content);
         }
-        match fate {
-            Fate::Answered => Ok(()),
-            _ => Err(failed(fate)),
+        match result {
+            CallResult::Completed => Ok(()),
+            _ => Err(failed(result)),
         }
     }
 
     fn get(&self, name: &str) -> Result<Option<Vec<u8>>, Error> {
         match self.fault.on_read() {
-            Fate::Answered => Ok(self.lock().get(name).map(|content| content.to_vec())),
-            fate => Err(failed(fate)),
+            CallResult::Completed => Ok(self.lock().get(name).map(|content| content.to_vec())),
+            result => Err(failed(result)),
         }
     }
 }
--- a/crates/fescuewell_platform/src/memory/table.rs
+++ b/crates/fescuewell_platform/src/memory/table.rs
@@ -8,7 +8,7 @@
     self, Compare, Error, MOST_ENTRIES, Outcome, Range, Row, Transaction, Write,
 };
 
-use super::fault::{Fate, Fault};
+use super::fault::{CallResult, Fault};
 
 /// A table that lives in memory and is shared by its clones.
 #[derive(Clone, Default)]
@@ -41,17 +41,17 @@
     fn apply(&self, transaction: &Transaction) -> Outcome {
         let outcome = self.lock().apply(transaction);
         if matches!(outcome, Outcome::Committed { .. }) {
-            self.fault.wrote(transaction.writes.len());
+            self.fault.record_writes(transaction.writes.len());
         }
         outcome
     }
 
     fn check_read(&self) -> Result<(), Error> {
         match self.fault.on_read() {
-            Fate::Answered => Ok(()),
-            Fate::Busy => Err(Error::Busy),
-            Fate::Down => Err(unreachable()),
-            Fate::ReplyLost | Fate::RequestLost => Err(unknown()),
+            CallResult::Completed => Ok(()),
+            CallResult::Busy => Err(Error::Busy),
+            CallResult::Down => Err(unreachable()),
+            CallResult::ReplyLost | CallResult::RequestLost => Err(unknown()),
         }
     }
 }
@@ -150,14 +150,14 @@
             return Err(Error::Unreachable { reason });
         }
         match self.fault.on_transaction(transaction.writes.len()) {
-            Fate::Answered => Ok(self.apply(transaction)),
-            Fate::ReplyLost => {
+            CallResult::Completed => Ok(self.apply(transaction)),
+            CallResult::ReplyLost => {
                 self.apply(transaction);
                 Err(unknown())
             }
-            Fate::RequestLost => Err(unknown()),
-            Fate::Down => Err(unreachable()),
-            Fate::Busy => Err(Error::Busy),
+            CallResult::RequestLost => Err(unknown()),
+            CallResult::Down => Err(unreachable()),
+            CallResult::Busy => Err(Error::Busy),
         }
     }
 
--- a/crates/fescuewell_platform/src/settings.rs
+++ b/crates/fescuewell_platform/src/settings.rs
@@ -147,7 +147,7 @@
     /// # Errors
     ///
     /// When the address or a time limit cannot be used, or the scheme and [`Self::authority`] do not go together.
-    pub fn socket(&self) -> Result<SocketAddr, Error> {
+    pub fn socket_address(&self) -> Result<SocketAddr, Error> {
         let address = self.address.clone();
         if self.connect_timeout_ms == 0 || self.timeout_ms == 0 {
             return TimeoutSnafu { address }.fail();
@@ -169,7 +169,7 @@
     /// # Errors
     ///
     /// When the file cannot be read.
-    pub fn authority_text(&self) -> Result<Option<String>, Error> {
+    pub fn authority_pem(&self) -> Result<Option<String>, Error> {
         let Some(authority) = &self.authority else {
             return Ok(None);
         };
@@ -177,12 +177,12 @@
             return Ok(Some(authority.to_string()));
         }
         let text = std::fs::read_to_string(&**authority);
-        let text = text.map_err(|error| self.bad_authority(&error))?;
+        let text = text.map_err(|error| self.authority_error(&error))?;
         Ok(Some(text))
     }
 
     /// An [`Error::Authority`] of these settings.
-    pub fn bad_authority<Cause>(&self, cause: &Cause) -> Error
+    pub fn authority_error<Cause>(&self, cause: &Cause) -> Error
     where
         Cause: std::fmt::Display,
     {
--- a/crates/fescuewell_platform/src/worker.rs
+++ b/crates/fescuewell_platform/src/worker.rs
@@ -7,7 +7,7 @@
 use fescuewell_core::table::{self, Reply, Step, Table};
 
 /// Takes the reply to a duty's step; returns `false` once nobody wants replies any more.
-pub type Answer<Duty> = Box<dyn FnMut(Duty, Reply) -> bool + Send>;
+pub type ReplyHandler<Duty> = Box<dyn FnMut(Duty, Reply) -> bool + Send>;
 
 /// One thread between a bounded ring of table work and a table.
 ///
@@ -47,7 +47,7 @@
         name: &str,
         table: Arc<dyn Table>,
         inbox: flume::Receiver<(Duty, Step)>,
-        answer: Answer<Duty>,
+        answer: ReplyHandler<Duty>,
     ) -> io::Result<Self>
     where
         Duty: Send + 'static,
@@ -64,7 +64,11 @@
     }
 }
 
-fn run<Duty>(table: &dyn Table, inbox: &flume::Receiver<(Duty, Step)>, mut answer: Answer<Duty>) {
+fn run<Duty>(
+    table: &dyn Table,
+    inbox: &flume::Receiver<(Duty, Step)>,
+    mut answer: ReplyHandler<Duty>,
+) {
     for (duty, step) in inbox.iter() {
         let reply = table::carry_out(table, &step);
         if !answer(duty, reply) {
--- a/crates/fescuewell_platform/tests/memory.rs
+++ b/crates/fescuewell_platform/tests/memory.rs
@@ -110,7 +110,7 @@
     assert_eq!(refused, Err(Error::Busy));
     assert!(taken.is_ok());
     assert_eq!(table.commit(&insert("d")), Err(Error::Busy));
-    let count = table.fault().count();
+    let count = table.fault().counters();
     assert_eq!((count.transactions, count.writes, count.busy), (5, 3, 2));
 }
 
--- a/crates/fescuewell_router/src/daemon.rs
+++ b/crates/fescuewell_router/src/daemon.rs
@@ -240,7 +240,7 @@
     settings: &Settings,
     events: &flume::Sender<NodeEvent>,
 ) -> Result<Arc<Transport>, Error> {
-    let (inbox, messages) = flume::bounded::<fescuewell_peer::Incoming>(PEER_RING);
+    let (inbox, messages) = flume::bounded::<fescuewell_peer::Message>(PEER_RING);
     let transport = Transport::start(settings.peers.clone(), inbox).context(PeersSnafu)?;
     let events = events.clone();
     std::thread::Builder::new()
@@ -250,10 +250,7 @@
     Ok(Arc::new(transport))
 }
 
-fn decode(
-    messages: &flume::Receiver<fescuewell_peer::Incoming>,
-    events: &flume::Sender<NodeEvent>,
-) {
+fn decode(messages: &flume::Receiver<fescuewell_peer::Message>, events: &flume::Sender<NodeEvent>) {
     for incoming in messages.iter() {
         let Ok(message) = postcard::from_bytes(&incoming.payload) else {
             fescuewell_core::log_event!(
--- a/crates/fescuewell_standin/src/platform/control.rs
+++ b/crates/fescuewell_standin/src/platform/control.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use fescuewell_core::platform::{Listing, State};
-use fescuewell_platform::memory::{self, Count};
+use fescuewell_platform::memory::{self, Counters};
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
@@ -85,11 +85,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Report {
     /// Use of the store's rows.
-    pub rows: Count,
+    pub rows: Counters,
     /// Use of its objects.
-    pub objects: Count,
+    pub objects: Counters,
     /// Use of the instance list.
-    pub instances: Count,
+    pub instances: Counters,
     /// Bytes that the weight store sent.
     pub weights_bytes: u64,
 }
@@ -98,9 +98,9 @@
     pub(super) fn of(others: &Others) -> Self {
         let content = &others.content;
         Self {
-            rows: content.fault().count(),
-            objects: content.objects.fault().count(),
-            instances: content.instances.fault().count(),
+            rows: content.fault().counters(),
+            objects: content.objects.fault().counters(),
+            instances: content.instances.fault().counters(),
             weights_bytes: others.weights.sent.load(Ordering::Relaxed),
         }
     }
--- a/crates/fescuewell_standin/src/rows/serve.rs
+++ b/crates/fescuewell_standin/src/rows/serve.rs
@@ -10,7 +10,7 @@
 use fescuewell_core::platform::Objects as _;
 use fescuewell_http::listener::{Handler, Reply, Request, spawn};
 use fescuewell_platform::layout;
-use fescuewell_platform::memory::Fate;
+use fescuewell_platform::memory::CallResult;
 use http::header::{AUTHORIZATION, CONTENT_TYPE, HeaderValue};
 use http::{HeaderMap, HeaderName, Method, StatusCode};
 use percent_encoding::percent_decode_str;
@@ -229,9 +229,9 @@
             return None;
         }
         match self.content.fault().on_read() {
-            Fate::Answered => {}
-            Fate::Busy => return Some((StatusCode::TOO_MANY_REQUESTS, json!({}))),
-            Fate::Down | Fate::ReplyLost | Fate::RequestLost => return None,
+            CallResult::Completed => {}
+            CallResult::Busy => return Some((StatusCode::TOO_MANY_REQUESTS, json!({}))),
+            CallResult::Down | CallResult::ReplyLost | CallResult::RequestLost => return None,
         }
         let limit = query.get("limit").and_then(|text| text.parse().ok());
         let limit = limit.unwrap_or(PAGE).min(PAGE);
@@ -270,12 +270,12 @@
         };
         let fate = self.content.fault().on_transaction(writes.len());
         match fate {
-            Fate::Answered | Fate::ReplyLost => {}
-            Fate::Busy => return bad(StatusCode::TOO_MANY_REQUESTS),
-            Fate::Down | Fate::RequestLost => return None,
+            CallResult::Completed | CallResult::ReplyLost => {}
+            CallResult::Busy => return bad(StatusCode::TOO_MANY_REQUESTS),
+            CallResult::Down | CallResult::RequestLost => return None,
         }
         let answer = self.apply(&change, writes);
-        (fate == Fate::Answered).then_some(answer)
+        (fate == CallResult::Completed).then_some(answer)
     }
 
     fn apply(&self, change: &WireChange, writes: Vec<Write>) -> (StatusCode, Value) {
@@ -294,7 +294,7 @@
         let count = writes.len();
         let version = state.apply(writes);
         drop(state);
-        self.content.fault().wrote(count);
+        self.content.fault().record_writes(count);
         self.content.wake();
         (StatusCode::OK, self.reading(Vec::new(), version, false))
     }
