--- a/crates/fescuewell_platform/src/layout.rs
+++ b/crates/fescuewell_platform/src/layout.rs
@@ -1,4 +1,4 @@
-//! Where the product's data stands in the store, and the form of the instance list's rows.
+//! Names of the store's tables, and the JSON format of the instance list's rows.
 //!
 //! ```
 //! use fescuewell_platform::layout;
@@ -15,24 +15,24 @@
 use serde::{Deserialize, Serialize};
 use snafu::{ResultExt, Snafu, ensure};
 
-/// Table of all rows of [`fescuewell_core::table::Table`].
+/// Table that holds all rows of [`fescuewell_core::table::Table`].
 pub const PRODUCT: &str = "product";
-/// Table of the instance list: a row for each name.
+/// Table of the instance list, with one row per instance name.
 pub const INSTANCES: &str = "instances";
 
-/// A row of the instance list that cannot be read.
+/// Why a row of the instance list cannot be decoded.
 #[derive(Debug, Snafu)]
 pub enum Malformed {
-    /// It is not of the form that is wanted.
+    /// The row is not valid JSON of the expected shape.
     #[snafu(display("{source}"))]
-    Form {
-        /// What the decoder said.
+    Json {
+        /// The decoder's error.
         source: serde_json::Error,
     },
-    /// It has no name, or none for its availability zone.
+    /// The instance name or the availability zone is empty.
     #[snafu(display("{field} is empty"))]
     Empty {
-        /// Which.
+        /// Name of the empty field.
         field: &'static str,
     },
 }
@@ -63,31 +63,31 @@
     Terminated,
 }
 
-/// Reads a row of the instance list.
+/// Decodes a row of the instance list.
 ///
 /// # Errors
 ///
-/// [`Malformed`] says what is wrong with it.
+/// [`Malformed`] when the row is not valid.
 pub fn read_listing(name: Arc<str>, row: &[u8]) -> Result<Listing, Malformed> {
-    let line: Line = serde_json::from_slice(row).context(FormSnafu)?;
+    let decoded: Line = serde_json::from_slice(row).context(JsonSnafu)?;
     ensure!(!name.is_empty(), EmptySnafu { field: "name" });
-    ensure!(!line.zone.is_empty(), EmptySnafu { field: "zone" });
+    ensure!(!decoded.zone.is_empty(), EmptySnafu { field: "zone" });
     Ok(Listing {
         name,
-        role: line.role,
-        address: line.address,
-        zone: line.zone,
-        state: line.state,
+        role: decoded.role,
+        address: decoded.address,
+        zone: decoded.zone,
+        state: decoded.state,
     })
 }
 
-/// Writes a row of the instance list.
+/// Encodes a row of the instance list.
 pub fn write_listing(listing: &Listing) -> Vec<u8> {
-    let line = Line {
+    let row = Line {
         role: listing.role,
         address: listing.address,
         zone: listing.zone.clone(),
         state: listing.state,
     };
-    serde_json::to_vec(&line).unwrap_or_default()
+    serde_json::to_vec(&row).unwrap_or_default()
 }
--- a/crates/fescuewell_platform/src/lib.rs
+++ b/crates/fescuewell_platform/src/lib.rs
@@ -1,8 +1,8 @@
-//! What the product keeps in the platform's store: its table, its objects and the instance list; and in-memory versions of them with
-//! faults that tests control.
+//! Access to the platform's store (table, object store and instance list): settings, row layout, a worker thread, and
+//! in-memory implementations with fault injection for tests.
 //!
-//! The traits stand in [`fescuewell_core::table`] and [`fescuewell_core::platform`]. The client that implements them over the
-//! store's protocol is the adapter's; [`Worker`] carries out table work on a thread of its own.
+//! The traits are defined in [`fescuewell_core::table`] and [`fescuewell_core::platform`]. The adapter crate implements them
+//! over the store's protocol. [`Worker`] runs table operations on a thread of its own.
 //!
 //! ```
 //! use fescuewell_core::table::{Outcome, Table as _, Transaction};
@@ -29,12 +29,12 @@
 pub use settings::Settings;
 pub use worker::Worker;
 
-/// The store as the rest of a process uses it.
+/// The store's services, shared by the components of a process.
 #[derive(Clone)]
 pub struct Services {
-    /// Rows with transactions.
+    /// Table of rows with transactions.
     pub table: Arc<dyn Table>,
-    /// Objects named by their content.
+    /// Object store; objects are named by the hash of their content.
     pub objects: Arc<dyn Objects>,
     /// The instance list.
     pub instances: Arc<dyn Instances>,
--- a/crates/fescuewell_platform/src/memory.rs
+++ b/crates/fescuewell_platform/src/memory.rs
@@ -1,7 +1,7 @@
-//! In-memory versions of the platform's services, with faults that tests control.
+//! In-memory implementations of the platform's services, with fault injection for tests.
 //!
-//! Each is `Arc`-shared: a clone is another handle to the same content. Nothing here reads a clock
-//! or sleeps; limits per second use a [`Clock`](fescuewell_core::time::Clock) that is passed in.
+//! A clone is another handle to the same content. Nothing here reads the system clock or sleeps;
+//! rate limits use the [`Clock`](fescuewell_core::time::Clock) that is passed in.
 
 mod fault;
 mod instances;
--- a/crates/fescuewell_platform/src/memory/fault.rs
+++ b/crates/fescuewell_platform/src/memory/fault.rs
@@ -1,4 +1,4 @@
-//! Faults of an in-memory service, switched on and off by plain methods.
+//! Fault injection for the in-memory services.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -6,20 +6,20 @@
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// How often a service was used since it was made.
+/// Number of calls to a service since its creation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, serde::Serialize)]
 pub struct Counters {
-    /// Reads and scans that arrived, answered or not.
+    /// Reads and scans received, including failed ones.
     pub reads: u64,
-    /// Transactions (for an object store: puts) that arrived, answered or not.
+    /// Transactions (puts, for an object store) received, including failed ones.
     pub transactions: u64,
-    /// Rows or objects that were written or removed.
+    /// Rows or objects written or removed.
     pub writes: u64,
-    /// Calls that failed because of a limit per second.
+    /// Calls rejected by a rate limit.
     pub busy: u64,
 }
 
-/// Controls of one service's faults and its counters. A clone controls the same service.
+/// Fault controls and call counters of one service. A clone controls the same service.
 #[derive(Clone, Default)]
 pub struct Fault {
     controls: Arc<Mutex<Controls>>,
@@ -30,23 +30,23 @@
     down: bool,
     lost_requests: u32,
     lost_replies: u32,
-    reads: Option<Limit>,
-    writes: Option<Limit>,
+    read_limit: Option<RateLimit>,
+    write_limit: Option<RateLimit>,
     counters: Counters,
 }
 
-/// What happens to a call that arrives.
+/// What happens to a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallResult {
-    /// It takes effect and is answered.
+    /// The call takes effect and its reply is returned.
     Completed,
-    /// It takes effect and its reply is lost.
+    /// The call takes effect but its reply is lost.
     ReplyLost,
-    /// It is lost on the way, which its sender cannot tell from a lost reply.
+    /// The request is lost and has no effect. The caller cannot distinguish this from a lost reply.
     RequestLost,
     /// The service cannot be reached.
     Down,
-    /// The service takes no more for now.
+    /// The call exceeds a rate limit and has no effect.
     Busy,
 }
 
@@ -56,44 +56,44 @@
         self.lock().down = down;
     }
 
-    /// The next `count` transactions take effect, but their replies are lost.
+    /// Lets the next `count` transactions take effect but loses their replies.
     pub fn lose_next_replies(&self, count: u32) {
         self.lock().lost_replies = count;
     }
 
-    /// The next `count` transactions are lost before they take effect, which looks the same to their sender.
+    /// Loses the next `count` transactions before they take effect, which looks the same to the caller.
     pub fn lose_next_requests(&self, count: u32) {
         self.lock().lost_requests = count;
     }
 
-    /// Limits the transactions that write, whatever the number of rows in each. Up to one second's
-    /// worth may come at once; 0 removes the limit.
+    /// Limits the rate of transactions that write, regardless of their number of rows. The burst size
+    /// is one second's worth; 0 removes the limit.
     pub fn set_writes_per_second(&self, limit: u32, clock: Arc<dyn Clock>) {
-        self.lock().writes = Limit::new(limit, clock);
+        self.lock().write_limit = RateLimit::new(limit, clock);
     }
 
-    /// Limits reads and scans in the same way.
+    /// Limits the rate of reads and scans, as [`Self::set_writes_per_second`] does for writes.
     pub fn set_reads_per_second(&self, limit: u32, clock: Arc<dyn Clock>) {
-        self.lock().reads = Limit::new(limit, clock);
+        self.lock().read_limit = RateLimit::new(limit, clock);
     }
 
-    /// The counters so far.
+    /// Returns the current counters.
     pub fn counters(&self) -> Counters {
         self.lock().counters
     }
 
-    /// Counts a read and decides its result.
+    /// Counts a read or scan and decides its result.
     pub fn on_read(&self) -> CallResult {
         let mut controls = self.lock();
         controls.counters.reads += 1;
         if controls.down {
             return CallResult::Down;
         }
-        let admitted = admit(&mut controls.reads);
-        controls.answer_or_busy(admitted)
+        let admitted = admit(&mut controls.read_limit);
+        controls.result_of_admission(admitted)
     }
 
-    /// Decides the result of a transaction of `writes` rows.
+    /// Counts a transaction that writes `writes` rows and decides its result.
     pub fn on_transaction(&self, writes: usize) -> CallResult {
         let mut controls = self.lock();
         controls.counters.transactions += 1;
@@ -104,8 +104,8 @@
             controls.lost_requests -= 1;
             return CallResult::RequestLost;
         }
-        let admitted = writes == 0 || admit(&mut controls.writes);
-        let result = controls.answer_or_busy(admitted);
+        let admitted = writes == 0 || admit(&mut controls.write_limit);
+        let result = controls.result_of_admission(admitted);
         if result == CallResult::Completed && controls.lost_replies > 0 {
             controls.lost_replies -= 1;
             return CallResult::ReplyLost;
@@ -113,7 +113,7 @@
         result
     }
 
-    /// Counts rows that were written.
+    /// Adds `rows` to the count of written rows.
     pub fn record_writes(&self, rows: usize) {
         self.lock().counters.writes += rows as u64;
     }
@@ -124,7 +124,7 @@
 }
 
 impl Controls {
-    fn answer_or_busy(&mut self, admitted: bool) -> CallResult {
+    fn result_of_admission(&mut self, admitted: bool) -> CallResult {
         if admitted {
             return CallResult::Completed;
         }
@@ -133,26 +133,26 @@
     }
 }
 
-fn admit(limit: &mut Option<Limit>) -> bool {
-    limit.as_mut().is_none_or(Limit::admit)
+fn admit(limit: &mut Option<RateLimit>) -> bool {
+    limit.as_mut().is_none_or(RateLimit::admit)
 }
 
-/// A token bucket that holds one second's worth.
-struct Limit {
+/// Token bucket with a capacity of one second's worth of calls.
+struct RateLimit {
     per_second: u64,
-    /// Content in millionths of a call.
-    level: u64,
-    filled_at: Instant,
+    /// Available tokens, in millionths of a call.
+    tokens: u64,
+    refilled_at: Instant,
     clock: Arc<dyn Clock>,
 }
 
-impl Limit {
+impl RateLimit {
     fn new(per_second: u32, clock: Arc<dyn Clock>) -> Option<Self> {
         let per_second = u64::from(per_second);
         let limit = Self {
             per_second,
-            level: per_second * MICROS_PER_SECOND,
-            filled_at: clock.now(),
+            tokens: per_second * MICROS_PER_SECOND,
+            refilled_at: clock.now(),
             clock,
         };
         (per_second > 0).then_some(limit)
@@ -160,15 +160,15 @@
 
     fn admit(&mut self) -> bool {
         let now = self.clock.now();
-        let elapsed = now.since(self.filled_at).as_micros() as u64;
-        let gained = elapsed.saturating_mul(self.per_second);
-        let full = self.per_second * MICROS_PER_SECOND;
-        self.filled_at = now;
-        self.level = self.level.saturating_add(gained).min(full);
-        let Some(rest) = self.level.checked_sub(MICROS_PER_SECOND) else {
+        let elapsed = now.since(self.refilled_at).as_micros() as u64;
+        let refill = elapsed.saturating_mul(self.per_second);
+        let capacity = self.per_second * MICROS_PER_SECOND;
+        self.refilled_at = now;
+        self.tokens = self.tokens.saturating_add(refill).min(capacity);
+        let Some(remaining) = self.tokens.checked_sub(MICROS_PER_SECOND) else {
             return false;
         };
-        self.level = rest;
+        self.tokens = remaining;
         true
     }
 }
--- a/crates/fescuewell_platform/src/memory/instances.rs
+++ b/crates/fescuewell_platform/src/memory/instances.rs
@@ -1,4 +1,4 @@
-//! The in-memory instance list, which lags on demand.
+//! In-memory instance list with a configurable propagation delay.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,7 +13,7 @@
 
 /// An instance list that lives in memory and is shared by its clones.
 ///
-/// Without a lag every change is seen at once; with one, only after that time on the clock given.
+/// Changes are visible at once, or after the delay set by [`Instances::set_lag`].
 #[derive(Clone, Default)]
 pub struct Instances {
     content: Arc<Mutex<Content>>,
@@ -22,11 +22,11 @@
 
 #[derive(Default)]
 struct Content {
-    /// What is true now.
+    /// The current entries.
     actual: Entries,
-    /// What readers see.
+    /// The entries that readers see.
     visible: Entries,
-    /// Changes on their way from one to the other.
+    /// Changes that are not visible yet, each with the time at which it becomes visible.
     pending: VecDeque<(Instant, Change)>,
     lag: Option<Lag>,
 }
@@ -46,34 +46,34 @@
 }
 
 impl Instances {
-    /// The controls of this list's faults.
+    /// Returns the fault controls of this list.
     pub fn fault(&self) -> &Fault {
         &self.fault
     }
 
-    /// Lets every later change be seen only `delay` after it was made.
+    /// Makes every later change visible only `delay` after it is made, measured on `clock`.
     pub fn set_lag(&self, delay: Duration, clock: Arc<dyn Clock>) {
         let mut content = self.lock();
-        content.settle();
+        content.apply_due();
         content.lag = Some(Lag { delay, clock });
     }
 
-    /// Adds a listing, or replaces the one of the same name.
+    /// Adds a listing or replaces the one with the same name.
     pub fn put(&self, listing: Listing) {
         self.lock().change(Change::Put(listing));
     }
 
-    /// Sets the state of a name. Returns whether the list has that name.
+    /// Sets the state of the instance `name`. Returns whether the list contains it.
     pub fn set_state(&self, name: &str, state: State) -> bool {
         self.lock().change(Change::State(name.into(), state))
     }
 
-    /// Takes a name off the list. Returns whether the list had it.
+    /// Removes the instance `name`. Returns whether the list contained it.
     pub fn remove(&self, name: &str) -> bool {
         self.lock().change(Change::Remove(name.into()))
     }
 
-    /// The list without lag and whatever the faults.
+    /// Returns the current list, ignoring the delay and any faults.
     pub fn actual(&self) -> Vec<Listing> {
         self.lock().actual.values().cloned().collect()
     }
@@ -91,13 +91,13 @@
             None => Instant::default(),
         };
         self.pending.push_back((due, change));
-        self.settle();
+        self.apply_due();
         known
     }
 
-    /// Makes visible what is due. Changes stay in order, so that a shorter lag set later does not
-    /// let a newer change be overwritten by an older one.
-    fn settle(&mut self) {
+    /// Makes the changes that are due visible. Changes are applied in the order they were made;
+    /// otherwise, after the delay is shortened, an older change could overwrite a newer one.
+    fn apply_due(&mut self) {
         let now = match &self.lag {
             Some(lag) => lag.clock.now(),
             None => Instant::default(),
@@ -131,11 +131,11 @@
         let reason = match self.fault.on_read() {
             CallResult::Completed => {
                 let mut content = self.lock();
-                content.settle();
+                content.apply_due();
                 return Ok(content.visible.values().cloned().collect());
             }
-            CallResult::Busy => "over its limit",
-            CallResult::Down => "switched off",
+            CallResult::Busy => "rate limit exceeded",
+            CallResult::Down => "service is down",
             CallResult::ReplyLost | CallResult::RequestLost => "no reply",
         };
         Err(Error {
--- a/crates/fescuewell_platform/src/memory/objects.rs
+++ b/crates/fescuewell_platform/src/memory/objects.rs
@@ -1,4 +1,4 @@
-//! The in-memory object store.
+//! In-memory object store.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -19,12 +19,12 @@
 type Content = BTreeMap<Arc<str>, Arc<[u8]>>;
 
 impl Objects {
-    /// The controls of this store's faults.
+    /// Returns the fault controls of this store.
     pub fn fault(&self) -> &Fault {
         &self.fault
     }
 
-    /// The names of all objects, whatever the faults.
+    /// Returns the names of all objects, ignoring any faults.
     pub fn names(&self) -> Vec<Arc<str>> {
         self.lock().keys().cloned().collect()
     }
@@ -39,10 +39,10 @@
     }
 }
 
-fn failed(result: CallResult) -> Error {
+fn error_of(result: CallResult) -> Error {
     let reason = match result {
-        CallResult::Down => "switched off",
-        CallResult::Busy => "over its limit",
+        CallResult::Down => "service is down",
+        CallResult::Busy => "rate limit exceeded",
         CallResult::Completed | CallResult::ReplyLost | CallResult::RequestLost => "no reply",
     };
     Error {
@@ -59,14 +59,14 @@
         }
         match result {
             CallResult::Completed => Ok(()),
-            _ => Err(failed(result)),
+            _ => Err(error_of(result)),
         }
     }
 
     fn get(&self, name: &str) -> Result<Option<Vec<u8>>, Error> {
         match self.fault.on_read() {
             CallResult::Completed => Ok(self.lock().get(name).map(|content| content.to_vec())),
-            result => Err(failed(result)),
+            result => Err(error_of(result)),
         }
     }
 }
--- a/crates/fescuewell_platform/src/memory/table.rs
+++ b/crates/fescuewell_platform/src/memory/table.rs
@@ -1,4 +1,4 @@
-//! The in-memory table service.
+//! In-memory table service.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -24,12 +24,12 @@
 }
 
 impl Table {
-    /// The controls of this table's faults.
+    /// Returns the fault controls of this table.
     pub fn fault(&self) -> &Fault {
         &self.fault
     }
 
-    /// Every row in key order, whatever the faults, uncounted: for checks at the end of a test.
+    /// Returns all rows in key order, ignoring any faults and without counting a read. For assertions in tests.
     pub fn rows(&self) -> Vec<Row> {
         self.lock().rows.values().cloned().collect()
     }
@@ -50,18 +50,18 @@
         match self.fault.on_read() {
             CallResult::Completed => Ok(()),
             CallResult::Busy => Err(Error::Busy),
-            CallResult::Down => Err(unreachable()),
-            CallResult::ReplyLost | CallResult::RequestLost => Err(unknown()),
+            CallResult::Down => Err(unreachable_error()),
+            CallResult::ReplyLost | CallResult::RequestLost => Err(unknown_error()),
         }
     }
 }
 
-fn unreachable() -> Error {
-    let reason = "switched off".into();
+fn unreachable_error() -> Error {
+    let reason = "service is down".into();
     Error::Unreachable { reason }
 }
 
-fn unknown() -> Error {
+fn unknown_error() -> Error {
     let reason = "no reply".into();
     Error::Unknown { reason }
 }
@@ -123,7 +123,7 @@
         self.collect(start, range.limit, |key| key.starts_with(&*range.prefix))
     }
 
-    /// Rows from `start` on, as long as `within` holds for their keys.
+    /// Returns rows from `start` on while `within` accepts their keys, at most `limit` of them (0: no limit).
     fn collect<Within>(&self, start: Bound<Arc<str>>, limit: u32, within: Within) -> Vec<Row>
     where
         Within: Fn(&str) -> bool,
@@ -153,10 +153,10 @@
             CallResult::Completed => Ok(self.apply(transaction)),
             CallResult::ReplyLost => {
                 self.apply(transaction);
-                Err(unknown())
+                Err(unknown_error())
             }
-            CallResult::RequestLost => Err(unknown()),
-            CallResult::Down => Err(unreachable()),
+            CallResult::RequestLost => Err(unknown_error()),
+            CallResult::Down => Err(unreachable_error()),
             CallResult::Busy => Err(Error::Busy),
         }
     }
--- a/crates/fescuewell_platform/src/settings.rs
+++ b/crates/fescuewell_platform/src/settings.rs
@@ -1,4 +1,4 @@
-//! Address, credentials and timeouts of the platform's store.
+//! Settings of the client for the platform's store: address, credentials and timeouts.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,26 +13,26 @@
 pub struct Settings {
     /// Address, `http://ip:port` or `https://ip:port`.
     pub address: Arc<str>,
-    /// Certificates of the authorities that an `https` store is trusted by: a PEM file's path, or the PEM text itself. No
-    /// others are trusted.
+    /// Certificates of the authorities trusted to sign an `https` store's certificate: the path of a PEM file, or the PEM
+    /// text itself. The system's root certificates are not trusted.
     #[serde(default)]
     pub authority: Option<Arc<str>>,
-    /// Where to find the bearer token, if the store wants one.
+    /// Source of the bearer token, if the store requires one.
     #[serde(default)]
     pub token: Option<Secret>,
-    /// Longest wait for a connection, in milliseconds.
+    /// Timeout for establishing a connection, in milliseconds.
     #[serde(default = "default_connect_timeout")]
     pub connect_timeout_ms: u32,
-    /// Longest wait for a whole reply, in milliseconds.
+    /// Timeout for a complete reply, in milliseconds.
     #[serde(default = "default_timeout")]
     pub timeout_ms: u32,
 }
 
-/// A reference to a secret, so that settings themselves hold none.
+/// Reference to a secret, so that the settings do not contain the secret itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Secret {
-    /// The content of a file, without white space at its ends.
+    /// The content of a file, with leading and trailing whitespace removed.
     File(Arc<str>),
     /// The value of an environment variable.
     Environment(Arc<str>),
@@ -41,17 +41,19 @@
 /// Why a client could not be built.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The address cannot be used.
+    /// The address is not valid.
     #[snafu(display(
-        "address {address:?} is not of the form http://host:port or https://host:port with an IP number as host"
+        "address {address:?} is not of the form http://host:port or https://host:port with an IP address as host"
     ))]
     Address {
         /// The address as set.
         address: Arc<str>,
     },
-    /// An `https` address without authorities, or the other way round.
-    #[snafu(display("{address:?} needs the setting authority if, and only if, it is https"))]
-    AuthorityMissing {
+    /// An `https` address without authorities, or an `http` address with them.
+    #[snafu(display(
+        "setting authority of {address:?}: it is required for https and not allowed for http"
+    ))]
+    AuthorityMismatch {
         /// The address as set.
         address: Arc<str>,
     },
@@ -60,36 +62,36 @@
     Authority {
         /// The address as set.
         address: Arc<str>,
-        /// What is wrong.
+        /// Description of the failure.
         reason: Arc<str>,
     },
-    /// A time limit is zero.
-    #[snafu(display("the time limits of {address:?} must be at least 1 ms"))]
+    /// A timeout is zero.
+    #[snafu(display("the timeouts of {address:?} must be at least 1 ms"))]
     Timeout {
         /// The address as set.
         address: Arc<str>,
     },
-    /// The file of a secret could not be read.
+    /// The file that holds a secret could not be read.
     #[snafu(display("the secret's file {file:?} could not be read"))]
     SecretFile {
         /// The file's path.
         file: Arc<str>,
-        /// What the operating system said.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// The variable of a secret is not set.
+    /// The environment variable that holds a secret is not set.
     #[snafu(display("the secret's environment variable {variable:?} is not set"))]
     SecretVariable {
         /// The variable's name.
         variable: Arc<str>,
     },
-    /// The secret is empty or holds characters that a header cannot carry.
+    /// The secret is empty or contains characters that are not allowed in an HTTP header.
     #[snafu(display("the secret is empty or not printable ASCII"))]
     SecretContent,
     /// The client's thread could not be started.
     #[snafu(display("cannot start the client's thread: {source}"))]
     Thread {
-        /// What the operating system said.
+        /// The operating system's error.
         source: std::io::Error,
     },
 }
@@ -105,15 +107,15 @@
     DEFAULT_TIMEOUT_MS
 }
 
-/// How an `https` address begins.
-const SECURE: &str = "https://";
-/// How an address without TLS begins.
-const PLAIN: &str = "http://";
-/// How the text of a PEM file starts; anything else is a path.
-const PEM_START: &str = "-----BEGIN";
+/// Prefix of an address with TLS.
+const HTTPS_PREFIX: &str = "https://";
+/// Prefix of an address without TLS.
+const HTTP_PREFIX: &str = "http://";
+/// Prefix of PEM text. A setting without it is the path of a PEM file.
+const PEM_PREFIX: &str = "-----BEGIN";
 
 impl Settings {
-    /// Settings without a token and with the default time limits.
+    /// Creates settings for `address` with the default timeouts and neither authority nor token.
     pub fn new(address: impl Into<Arc<str>>) -> Self {
         Self {
             address: address.into(),
@@ -124,47 +126,47 @@
         }
     }
 
-    /// Sets by which authorities the store is trusted.
+    /// Sets the authorities trusted to sign the store's certificate.
     pub fn with_authority(mut self, authority: impl Into<Arc<str>>) -> Self {
         self.authority = Some(authority.into());
         self
     }
 
-    /// Sets where to find the bearer token.
+    /// Sets the source of the bearer token.
     pub fn with_token(mut self, token: Secret) -> Self {
         self.token = Some(token);
         self
     }
 
-    /// Sets the longest wait for a whole reply.
+    /// Sets the timeout for a complete reply.
     pub fn with_timeout(mut self, timeout: Duration) -> Self {
         self.timeout_ms = u32::try_from(timeout.as_millis()).unwrap_or(u32::MAX);
         self
     }
 
-    /// The address to connect to.
+    /// Returns the address to connect to.
     ///
     /// # Errors
     ///
-    /// When the address or a time limit cannot be used, or the scheme and [`Self::authority`] do not go together.
+    /// When the address or a timeout is not valid, or the scheme does not match [`Self::authority`].
     pub fn socket_address(&self) -> Result<SocketAddr, Error> {
         let address = self.address.clone();
         if self.connect_timeout_ms == 0 || self.timeout_ms == 0 {
             return TimeoutSnafu { address }.fail();
         }
-        let secure = self.address.strip_prefix(SECURE);
-        let host = secure.or_else(|| self.address.strip_prefix(PLAIN));
+        let https_host = self.address.strip_prefix(HTTPS_PREFIX);
+        let host = https_host.or_else(|| self.address.strip_prefix(HTTP_PREFIX));
         let socket = host.and_then(|host| host.trim_end_matches('/').parse().ok());
         let Some(socket) = socket else {
             return AddressSnafu { address }.fail();
         };
-        if secure.is_some() != self.authority.is_some() {
-            return AuthorityMissingSnafu { address }.fail();
+        if https_host.is_some() != self.authority.is_some() {
+            return AuthorityMismatchSnafu { address }.fail();
         }
         Ok(socket)
     }
 
-    /// The authorities' certificates as PEM text, if the store is reached by TLS.
+    /// Returns the authorities' certificates as PEM text, or `None` if none are set.
     ///
     /// # Errors
     ///
@@ -173,7 +175,7 @@
         let Some(authority) = &self.authority else {
             return Ok(None);
         };
-        if authority.trim_start().starts_with(PEM_START) {
+        if authority.trim_start().starts_with(PEM_PREFIX) {
             return Ok(Some(authority.to_string()));
         }
         let text = std::fs::read_to_string(&**authority);
@@ -181,7 +183,7 @@
         Ok(Some(text))
     }
 
-    /// An [`Error::Authority`] of these settings.
+    /// Builds an [`Error::Authority`] for these settings.
     pub fn authority_error<Cause>(&self, cause: &Cause) -> Error
     where
         Cause: std::fmt::Display,
@@ -198,7 +200,7 @@
     ///
     /// # Errors
     ///
-    /// When it cannot be found, is empty, or is not printable ASCII. The error never quotes it.
+    /// When the secret cannot be found, is empty, or is not printable ASCII. The error never contains the secret.
     pub fn read(&self) -> Result<Arc<str>, Error> {
         let text = match self {
             Self::File(file) => {
--- a/crates/fescuewell_platform/src/worker.rs
+++ b/crates/fescuewell_platform/src/worker.rs
@@ -1,4 +1,4 @@
-//! A thread that carries out table work, so that decisions never wait for the table.
+//! Worker thread that runs table operations, so that the event loop never blocks on the table.
 
 use std::io;
 use std::sync::Arc;
@@ -6,14 +6,14 @@
 
 use fescuewell_core::table::{self, Reply, Step, Table};
 
-/// Takes the reply to a duty's step; returns `false` once nobody wants replies any more.
-pub type ReplyHandler<Duty> = Box<dyn FnMut(Duty, Reply) -> bool + Send>;
+/// Called with each reply and the tag of its step. Returns `false` when replies are no longer consumed.
+pub type ReplyHandler<Tag> = Box<dyn FnMut(Tag, Reply) -> bool + Send>;
 
-/// One thread between a bounded ring of table work and a table.
+/// A thread that takes table operations from a bounded channel and runs them on a table.
 ///
-/// Steps are carried out one after another, in the order of the ring: the table sees at most one
-/// request of a worker at a time, which bounds what a slow table can pile up. The thread ends when
-/// all senders of its ring are gone, or when the replies are no longer wanted.
+/// Steps run one after another in channel order. The table gets at most one request of a worker at a
+/// time, which bounds the number of requests that pile up when the table is slow. The thread ends when
+/// all senders of the channel are dropped, or when the reply handler returns `false`.
 ///
 /// ```
 /// use std::sync::Arc;
@@ -23,12 +23,12 @@
 /// let (steps, inbox) = flume::bounded(16);
 /// let (replies, outbox) = flume::bounded(16);
 /// let table = Arc::new(memory::Table::default());
-/// let answer = move |duty: u32, reply: Reply| replies.send((duty, reply)).is_ok();
-/// let worker = Worker::start("table", table, inbox, Box::new(answer)).unwrap();
+/// let on_reply = move |tag: u32, reply: Reply| replies.send((tag, reply)).is_ok();
+/// let worker = Worker::start("table", table, inbox, Box::new(on_reply)).unwrap();
 ///
 /// steps.send((7, Step::Commit(Transaction::default().with_put("a", *b"1")))).unwrap();
-/// let (duty, reply) = outbox.recv().unwrap();
-/// assert_eq!(duty, 7);
+/// let (tag, reply) = outbox.recv().unwrap();
+/// assert_eq!(tag, 7);
 /// assert!(matches!(reply, Reply::Outcome(_)));
 /// drop(steps);
 /// worker.join();
@@ -42,19 +42,19 @@
     ///
     /// # Errors
     ///
-    /// When the operating system starts no more threads.
-    pub fn start<Duty>(
+    /// When the operating system cannot start a thread.
+    pub fn start<Tag>(
         name: &str,
         table: Arc<dyn Table>,
-        inbox: flume::Receiver<(Duty, Step)>,
-        answer: ReplyHandler<Duty>,
+        inbox: flume::Receiver<(Tag, Step)>,
+        on_reply: ReplyHandler<Tag>,
     ) -> io::Result<Self>
     where
-        Duty: Send + 'static,
+        Tag: Send + 'static,
     {
         let thread = std::thread::Builder::new()
             .name(name.into())
-            .spawn(move || run(&*table, &inbox, answer))?;
+            .spawn(move || run(&*table, &inbox, on_reply))?;
         Ok(Self { thread })
     }
 
@@ -64,14 +64,14 @@
     }
 }
 
-fn run<Duty>(
+fn run<Tag>(
     table: &dyn Table,
-    inbox: &flume::Receiver<(Duty, Step)>,
-    mut answer: ReplyHandler<Duty>,
+    inbox: &flume::Receiver<(Tag, Step)>,
+    mut on_reply: ReplyHandler<Tag>,
 ) {
-    for (duty, step) in inbox.iter() {
+    for (tag, step) in inbox.iter() {
         let reply = table::carry_out(table, &step);
-        if !answer(duty, reply) {
+        if !on_reply(tag, reply) {
             return;
         }
     }
--- a/crates/fescuewell_platform/tests/memory.rs
+++ b/crates/fescuewell_platform/tests/memory.rs
@@ -1,4 +1,4 @@
-//! The in-memory services and their faults.
+//! Tests of the in-memory services and their fault injection.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,9 +28,9 @@
 fn a_conflict_shows_the_compared_rows_and_writes_nothing() {
     let table = memory::Table::default();
     table.commit(&insert("a")).unwrap();
-    let race = insert("a").with_compare("absent", 0).with_put("b", *b"2");
+    let conflicting = insert("a").with_compare("absent", 0).with_put("b", *b"2");
 
-    let outcome = table.commit(&race).unwrap();
+    let outcome = table.commit(&conflicting).unwrap();
 
     let Outcome::Conflict { rows } = outcome else {
         panic!("{outcome:?}")
@@ -74,8 +74,8 @@
     assert_eq!(&*second[0].key, "budget/b");
 }
 
-// Symptom: a group's money is drawn twice. Sequence: a draw is committed, its reply is lost, the
-// instance takes that for "not written" and draws again. Cause: a lost reply is no proof of anything.
+// Guards against withdrawing a group's money twice: a withdrawal is committed, its reply is lost, and
+// the instance assumes that nothing was written and withdraws again. A lost reply proves neither.
 #[test]
 fn a_lost_reply_took_effect_and_a_lost_request_did_not() {
     let table = memory::Table::default();
@@ -91,8 +91,8 @@
     assert!(table.read("b").unwrap().is_none());
 }
 
-// Symptom: writes fail in a burst after a restart. Sequence: all instances write at once.
-// Cause: the service takes only so many writes a second and refuses the rest without applying them.
+// Models writes that fail after a restart because all instances write at once: the service limits
+// writes per second and rejects the excess without applying it.
 #[test]
 fn writes_beyond_the_limit_are_refused_until_time_passes() {
     let clock = ManualClock::default();
@@ -105,17 +105,20 @@
 
     let refused = table.commit(&insert("c"));
     clock.advance(Duration::from_millis(500));
-    let taken = table.commit(&insert("c"));
+    let accepted = table.commit(&insert("c"));
 
     assert_eq!(refused, Err(Error::Busy));
-    assert!(taken.is_ok());
+    assert!(accepted.is_ok());
     assert_eq!(table.commit(&insert("d")), Err(Error::Busy));
-    let count = table.fault().counters();
-    assert_eq!((count.transactions, count.writes, count.busy), (5, 3, 2));
+    let counters = table.fault().counters();
+    assert_eq!(
+        (counters.transactions, counters.writes, counters.busy),
+        (5, 3, 2)
+    );
 }
 
-// Symptom: no service answers for an hour. Sequence: the table goes down and comes back.
-// Cause: an outage; what was written before it must still be there.
+// Models a long outage (such as an hour without replies) after which the service returns: calls fail
+// during the outage, and data written before it must be kept.
 #[test]
 fn an_outage_refuses_everything_and_loses_nothing() {
     let table = memory::Table::default();
@@ -139,8 +142,8 @@
     assert_eq!(objects.get("x").unwrap().as_deref(), Some(&b"1"[..]));
 }
 
-// Symptom: work goes to a backend server that has left. Sequence: it leaves, the list still says
-// "live" for a while. Cause: the list lags behind what is true.
+// Models work sent to a backend server that has left: the instance list lags behind, so it still
+// shows the server as live for a while.
 #[test]
 fn changes_of_a_lagging_list_are_seen_late_and_in_order() {
     let clock = ManualClock::default();
@@ -166,8 +169,9 @@
     let table = memory::Table::default();
     let (steps, inbox) = flume::bounded(8);
     let (replies, outbox) = flume::bounded(8);
-    let answer = move |duty: u32, reply| replies.send((duty, reply)).is_ok();
-    let worker = Worker::start("table", Arc::new(table.clone()), inbox, Box::new(answer)).unwrap();
+    let on_reply = move |tag: u32, reply| replies.send((tag, reply)).is_ok();
+    let worker =
+        Worker::start("table", Arc::new(table.clone()), inbox, Box::new(on_reply)).unwrap();
 
     steps.send((1, Step::Commit(insert("a")))).unwrap();
     let keys = vec!["a".into(), "absent".into()];
@@ -175,8 +179,8 @@
     drop(steps);
     worker.join();
 
-    let (duty, reply) = outbox.recv().unwrap();
-    assert_eq!(duty, 1);
+    let (tag, reply) = outbox.recv().unwrap();
+    assert_eq!(tag, 1);
     assert_eq!(reply, Reply::Outcome(Outcome::Committed { revision: 1 }));
     assert_eq!(outbox.recv().unwrap(), (2, Reply::Rows(table.rows())));
     assert!(outbox.recv().is_err());
