--- a/crates/fescuewell_peer/examples/peer_rate.rs
+++ b/crates/fescuewell_peer/examples/peer_rate.rs
@@ -1,5 +1,5 @@
-//! Measures the transport between two instances in one process on loopback: round trips, messages a
-//! second, UDP bytes for each message, and what an idle connection costs.
+//! Benchmark of the transport between two instances in one process on loopback: round-trip time,
+//! messages per second, UDP bytes per message, and the traffic of an idle connection.
 //!
 //! `cargo run --release -p fescuewell_peer --example peer_rate`
 
@@ -11,11 +11,11 @@
 
 const ROUND_TRIPS: usize = 5_000;
 const BURST: usize = 20_000;
-/// Messages that may be on their way at once; the transport drops what its rings cannot hold.
-const UNDER_WAY: usize = 512;
-const SETTLE: Duration = Duration::from_millis(500);
-const IDLE: Duration = Duration::from_secs(12);
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Maximum number of messages in flight. The transport drops messages that exceed its queues.
+const MAX_IN_FLIGHT: usize = 512;
+const SETTLE_TIME: Duration = Duration::from_millis(500);
+const IDLE_TIME: Duration = Duration::from_secs(12);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
 type Outcome<Value> = Result<Value, Box<dyn Error>>;
 
@@ -45,8 +45,8 @@
     let a = Node::start(&authority, "instance-a")?;
     let b = Node::start(&authority, "instance-b")?;
     round_trip(&a, &b, 64)?;
-    // Whatever the connections do by themselves after their start is part of their price.
-    std::thread::sleep(SETTLE);
+    // Packets that the connections send on their own after the handshake count towards their cost.
+    std::thread::sleep(SETTLE_TIME);
     println!(
         "two connections and one message on each: {} UDP bytes, both directions",
         wire_bytes(&a.transport.traffic())
@@ -62,12 +62,12 @@
 }
 
 fn round_trip(a: &Node, b: &Node, size: usize) -> Outcome<Duration> {
-    let began = Instant::now();
+    let start = Instant::now();
     a.transport.send(b.address(), vec![1; size]);
-    let question = b.inbox.recv_timeout(PATIENCE)?;
-    b.transport.send(a.address(), question.payload);
-    a.inbox.recv_timeout(PATIENCE)?;
-    Ok(began.elapsed())
+    let request = b.inbox.recv_timeout(TIMEOUT)?;
+    b.transport.send(a.address(), request.payload);
+    a.inbox.recv_timeout(TIMEOUT)?;
+    Ok(start.elapsed())
 }
 
 fn measure_round_trips(a: &Node, b: &Node, size: usize) -> Outcome<()> {
@@ -77,39 +77,39 @@
         times.push(round_trip(a, b, size)?);
     }
     times.sort_unstable();
-    let at = |part: f64| times[(times.len() as f64 * part) as usize];
-    let wire = wire_bytes(&a.transport.traffic()) - wire_bytes(&before);
+    let quantile = |fraction: f64| times[(times.len() as f64 * fraction) as usize];
+    let udp_bytes = wire_bytes(&a.transport.traffic()) - wire_bytes(&before);
     println!(
-        "round trip of {size} bytes: p50 {:?} p99 {:?}; {:.0} UDP bytes for each message, all directions",
-        at(0.5),
-        at(0.99),
-        wire as f64 / (2 * ROUND_TRIPS) as f64
+        "round trip of {size} bytes: p50 {:?} p99 {:?}; {:.0} UDP bytes per message, all directions",
+        quantile(0.5),
+        quantile(0.99),
+        udp_bytes as f64 / (2 * ROUND_TRIPS) as f64
     );
     Ok(())
 }
 
 fn measure_burst(a: &Node, b: &Node, size: usize) -> Outcome<()> {
     let before = a.transport.traffic();
-    let began = Instant::now();
+    let start = Instant::now();
     let mut received = 0;
     let mut sent = 0;
     while received < BURST {
-        let room = sent < BURST && sent - received < UNDER_WAY;
-        if room && a.transport.send(b.address(), vec![1; size]) {
+        let may_send = sent < BURST && sent - received < MAX_IN_FLIGHT;
+        if may_send && a.transport.send(b.address(), vec![1; size]) {
             sent += 1;
             continue;
         }
-        // Enough is under way, or all is sent: take what has arrived.
-        b.inbox.recv_timeout(PATIENCE)?;
+        // Enough messages are in flight, or all are sent: receive those that have arrived.
+        b.inbox.recv_timeout(TIMEOUT)?;
         received += 1 + b.inbox.drain().count();
     }
-    let elapsed = began.elapsed();
+    let elapsed = start.elapsed();
     let after = a.transport.traffic();
-    let wire = wire_bytes(&after) - wire_bytes(&before);
+    let udp_bytes = wire_bytes(&after) - wire_bytes(&before);
     println!(
-        "one way, {size} bytes, {BURST} messages: {:.0} a second, {:.0} UDP bytes for each, {} lost, {} calls refused by the ring",
+        "one way, {size} bytes, {BURST} messages: {:.0} per second, {:.0} UDP bytes per message, {} lost, {} sends rejected by a full queue",
         BURST as f64 / elapsed.as_secs_f64(),
-        wire as f64 / BURST as f64,
+        udp_bytes as f64 / BURST as f64,
         after.lost - before.lost,
         after.dropped - before.dropped
     );
@@ -118,13 +118,13 @@
 
 fn measure_idle(a: &Node) {
     let before = a.transport.traffic();
-    std::thread::sleep(IDLE);
+    std::thread::sleep(IDLE_TIME);
     let after = a.transport.traffic();
-    let wire = wire_bytes(&after) - wire_bytes(&before);
+    let udp_bytes = wire_bytes(&after) - wire_bytes(&before);
     println!(
-        "idle, {} connections: {:.1} UDP bytes a second, both directions",
+        "idle, {} connections: {:.1} UDP bytes per second, both directions",
         after.open,
-        wire as f64 / IDLE.as_secs_f64()
+        udp_bytes as f64 / IDLE_TIME.as_secs_f64()
     );
 }
 
--- a/crates/fescuewell_peer/src/credentials.rs
+++ b/crates/fescuewell_peer/src/credentials.rs
@@ -1,4 +1,4 @@
-//! Certificates: reading them from settings, and what they say about a peer.
+//! Certificates and keys: loading them from settings, and identifying a peer by its certificate.
 
 mod authority;
 
@@ -18,48 +18,48 @@
 
 pub use authority::{Authority, CertifiedKey};
 
-/// Names the protocol in the TLS handshake, so that another QUIC service is not mistaken for a peer.
-const PROTOCOL: &[u8] = b"fescuewell/1";
-/// How the text of a PEM file starts; anything else is a path.
-const PEM_START: &str = "-----BEGIN";
-/// First guess of the round-trip time. Instances are some milliseconds apart.
-const INITIAL_ROUND_TRIP: Duration = Duration::from_millis(100);
-/// How much may be under way on one connection, in each direction.
-const CONNECTION_WINDOW: u32 = 4 * FRAME_LIMIT as u32;
+/// ALPN protocol name, so that a connection to another QUIC service fails in the handshake.
+const ALPN_PROTOCOL: &[u8] = b"fescuewell/1";
+/// Prefix of PEM text. A setting without it is the path of a PEM file.
+const PEM_PREFIX: &str = "-----BEGIN";
+/// Initial estimate of the round-trip time. Between instances it is a few milliseconds.
+const INITIAL_RTT: Duration = Duration::from_millis(100);
+/// Flow control window of one connection, in bytes, in each direction.
+const CONNECTION_WINDOW_BYTES: u32 = 4 * FRAME_LIMIT as u32;
 
-/// Why credentials cannot be used. No message quotes a key.
+/// Why credentials cannot be used. No error message contains a key.
 #[derive(Debug, Snafu)]
 pub enum Error {
     /// A file could not be read.
     #[snafu(display("setting {setting}: the file {file:?} could not be read"))]
     File {
-        /// Which setting names it.
+        /// The setting that contains the path.
         setting: &'static str,
-        /// Its path.
+        /// The file's path.
         file: Arc<str>,
-        /// What the operating system said.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// A text is not the PEM that it should be.
+    /// The text contains no PEM block of the expected kind.
     #[snafu(display("setting {setting}: no usable PEM block was found"))]
     Pem {
-        /// Which setting.
+        /// Name of the setting.
         setting: &'static str,
     },
-    /// The certificate has no DNS name, or several, or one that cannot name an instance.
+    /// The certificate has no DNS name, several, or one that is not a valid instance name.
     #[snafu(display("setting certificate: it must have exactly one DNS name, the instance's"))]
     Name,
-    /// The parts do not fit each other.
+    /// The TLS library rejected the credentials, for example because key and certificate do not match.
     #[snafu(display("setting {setting}: {reason}"))]
     Unusable {
-        /// Which setting.
+        /// Name of the setting.
         setting: &'static str,
-        /// What the TLS library said.
+        /// The TLS library's error.
         reason: Arc<str>,
     },
 }
 
-/// Credentials that were read and checked, ready for use.
+/// Loaded and validated credentials, as QUIC server and client configurations.
 pub(crate) struct Identity {
     pub instance: Arc<str>,
     pub server: quinn::ServerConfig,
@@ -83,9 +83,9 @@
             .with_client_cert_verifier(verifier.clone())
             .with_single_cert(chain.clone(), key.clone_key())
             .map_err(|error| unusable("key", &error))?;
-        server.alpn_protocols = vec![PROTOCOL.to_vec()];
-        // A resumed session skips the certificates. After a reload that drops an authority, its
-        // instances could go on as peers; every connection therefore shows its certificate.
+        server.alpn_protocols = vec![ALPN_PROTOCOL.to_vec()];
+        // A resumed session skips certificate verification. After a reload that removes an authority,
+        // instances with its certificates could still connect, so session resumption is disabled.
         server.send_tls13_tickets = 0;
 
         let mut client = rustls::ClientConfig::builder_with_provider(provider)
@@ -94,7 +94,7 @@
             .with_root_certificates(roots)
             .with_client_auth_cert(chain.clone(), key)
             .map_err(|error| unusable("key", &error))?;
-        client.alpn_protocols = vec![PROTOCOL.to_vec()];
+        client.alpn_protocols = vec![ALPN_PROTOCOL.to_vec()];
         client.resumption = rustls::client::Resumption::disabled();
 
         Ok(Self {
@@ -105,14 +105,14 @@
         })
     }
 
-    /// Whether a peer's certificates are still good by these credentials.
+    /// Returns whether these credentials accept a peer's certificate chain.
     pub(crate) fn accepts(&self, chain: &[CertificateDer<'_>]) -> bool {
-        let Some((first, rest)) = chain.split_first() else {
+        let Some((end_entity, intermediates)) = chain.split_first() else {
             return false;
         };
         let verified = self
             .verifier
-            .verify_client_cert(first, rest, UnixTime::now());
+            .verify_client_cert(end_entity, intermediates, UnixTime::now());
         verified.is_ok()
     }
 }
@@ -125,7 +125,7 @@
     transport.max_concurrent_uni_streams(limits.max_streams.into());
     config.transport_config(Arc::new(transport));
     config.max_incoming(limits.max_incoming as usize);
-    // Peers connect by fixed addresses; a connection that moves is not one of theirs.
+    // Peers have fixed addresses, so a legitimate connection never migrates.
     config.migration(false);
     Ok(config)
 }
@@ -147,25 +147,25 @@
     config.max_concurrent_bidi_streams(0u32.into());
     config.datagram_receive_buffer_size(None);
     config.stream_receive_window((FRAME_LIMIT as u32).into());
-    config.receive_window(CONNECTION_WINDOW.into());
-    config.send_window(CONNECTION_WINDOW.into());
-    // Searching for larger packets costs a new connection more bytes than its messages, which are small.
+    config.receive_window(CONNECTION_WINDOW_BYTES.into());
+    config.send_window(CONNECTION_WINDOW_BYTES.into());
+    // Messages are small: MTU discovery costs a new connection more bytes than its messages.
     config.mtu_discovery_config(None);
-    config.initial_rtt(INITIAL_ROUND_TRIP);
+    config.initial_rtt(INITIAL_RTT);
     config
 }
 
-/// The certificates with which the other end of a connection proved itself.
+/// Returns the certificate chain that the peer presented in the handshake.
 pub(crate) fn peer_chain(connection: &quinn::Connection) -> Vec<CertificateDer<'static>> {
     let identity = connection.peer_identity();
     let chain = identity.and_then(|identity| identity.downcast::<Vec<CertificateDer>>().ok());
     chain.map(|chain| *chain).unwrap_or_default()
 }
 
-/// The instance that a verified chain stands for.
+/// Returns the name of the instance that a verified chain identifies.
 ///
-/// A certificate with several names could pass for several instances, and one without a name for
-/// none; neither is taken.
+/// Returns `None` for a certificate without a name, and for one with several names, which could
+/// impersonate several instances.
 pub(crate) fn instance_name(chain: &[CertificateDer<'_>]) -> Option<Arc<str>> {
     let certificate = webpki::EndEntityCert::try_from(chain.first()?).ok()?;
     let mut names = certificate.valid_dns_names();
@@ -179,7 +179,7 @@
 }
 
 fn read_text(setting: &'static str, value: &Arc<str>) -> Result<String, Error> {
-    if value.trim_start().starts_with(PEM_START) {
+    if value.trim_start().starts_with(PEM_PREFIX) {
         return Ok(value.to_string());
     }
     let file = value.clone();
--- a/crates/fescuewell_peer/src/credentials/authority.rs
+++ b/crates/fescuewell_peer/src/credentials/authority.rs
@@ -1,4 +1,4 @@
-//! A certificate authority of our own, for the demo and for tests.
+//! In-memory certificate authority for the demo and for tests.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,29 +10,29 @@
 
 use crate::settings::{Limits, Settings};
 
-/// An authority that signs instances' certificates, held in memory.
+/// A certificate authority that signs instances' certificates and exists only in memory.
 ///
-/// Operators of a real fleet use their own; nothing here stores or renews anything.
+/// It is not meant for production: it does not store or renew certificates.
 pub struct Authority {
     certificate: Arc<str>,
     issuer: Issuer<'static, KeyPair>,
 }
 
-/// What an authority issued to one instance.
+/// A certificate and its private key, issued to one instance.
 #[derive(Clone)]
 pub struct CertifiedKey {
     /// The instance's certificate, as PEM.
     pub certificate: Arc<str>,
-    /// Its private key, as PEM.
+    /// The certificate's private key, as PEM.
     pub key: Arc<str>,
 }
 
 impl Authority {
-    /// Makes an authority with a fresh key.
+    /// Creates an authority with a new key.
     ///
     /// # Errors
     ///
-    /// When no key can be generated.
+    /// When key generation fails.
     pub fn new(name: &str) -> Result<Self, rcgen::Error> {
         let key = KeyPair::generate()?;
         let mut params = CertificateParams::new(Vec::new())?;
@@ -47,21 +47,21 @@
         })
     }
 
-    /// The authority's certificate, as PEM.
+    /// Returns the authority's certificate, as PEM.
     pub fn certificate(&self) -> Arc<str> {
         self.certificate.clone()
     }
 
-    /// Signs a certificate for an instance.
+    /// Issues a certificate for an instance.
     ///
     /// # Errors
     ///
-    /// When the name cannot stand in a certificate or no key can be generated.
+    /// When the name is not a valid DNS name or key generation fails.
     pub fn issue(&self, instance: &str) -> Result<CertifiedKey, rcgen::Error> {
         self.issue_for_names(vec![instance.into()])
     }
 
-    /// Signs a certificate with these DNS names, one or not.
+    /// Issues a certificate with any number of DNS names; only one with exactly one name is accepted.
     ///
     /// # Errors
     ///
@@ -81,7 +81,7 @@
         })
     }
 
-    /// Settings for an instance that trusts this authority and got its certificate from it.
+    /// Returns settings for an instance with a certificate of this authority, which it also trusts.
     ///
     /// # Errors
     ///
--- a/crates/fescuewell_peer/src/frame.rs
+++ b/crates/fescuewell_peer/src/frame.rs
@@ -1,25 +1,25 @@
-//! What stands on a stream: one byte for the format, then the message.
+//! Framing of a message on a stream: one format byte, then the message.
 //!
-//! The byte lets a later program add a format that an older one refuses by name instead of misreading.
+//! The format byte lets a later version add a format that older versions reject instead of misreading.
 
 use snafu::Snafu;
 
-/// Largest message, in bytes.
+/// Maximum size of a message, in bytes.
 pub const MESSAGE_LIMIT: usize = 256 * 1024;
 
-/// Largest frame, in bytes.
+/// Maximum size of a frame, in bytes.
 pub(crate) const FRAME_LIMIT: usize = MESSAGE_LIMIT + 1;
 
-/// The format whose content is the message as it is.
-const PLAIN: u8 = 1;
+/// Format byte of a frame that contains the message unchanged.
+const FORMAT_PLAIN: u8 = 1;
 
-/// Why a frame was refused.
+/// Why a frame or message was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum Error {
     /// The stream ended before the format byte.
     #[snafu(display("the frame is empty"))]
     Empty,
-    /// The format is not known to this program.
+    /// This version does not know the format.
     #[snafu(display("the frame has the unknown format {format}"))]
     Format {
         /// The format byte.
@@ -33,7 +33,7 @@
     },
 }
 
-/// Frames a message.
+/// Encodes a message as a frame.
 ///
 /// # Errors
 ///
@@ -41,12 +41,12 @@
 pub fn encode(payload: &[u8]) -> Result<Vec<u8>, Error> {
     check_length(payload)?;
     let mut frame = Vec::with_capacity(payload.len() + 1);
-    frame.push(PLAIN);
+    frame.push(FORMAT_PLAIN);
     frame.extend_from_slice(payload);
     Ok(frame)
 }
 
-/// Takes the message out of a frame.
+/// Decodes a frame and returns its message.
 ///
 /// # Errors
 ///
@@ -54,7 +54,7 @@
 pub fn decode(mut frame: Vec<u8>) -> Result<Vec<u8>, Error> {
     match frame.first() {
         None => Err(Error::Empty),
-        Some(&PLAIN) => {
+        Some(&FORMAT_PLAIN) => {
             check_length(&frame[1..])?;
             frame.remove(0);
             Ok(frame)
--- a/crates/fescuewell_peer/src/lib.rs
+++ b/crates/fescuewell_peer/src/lib.rs
@@ -1,12 +1,12 @@
-//! Messages between entry instances over QUIC, with mutual TLS and certificates from settings.
+//! Message transport between entry instances over QUIC, with mutual TLS and certificates from settings.
 //!
-//! Every message travels on a unidirectional stream of its own, so that a lost packet of one never
-//! holds up another. Delivery is at most once and in no order: [`Transport::send`] never blocks, a
-//! message that cannot be sent or is not acknowledged in time is dropped and counted, and the
-//! protocol of the caller sends it again.
+//! Each message is sent on a unidirectional stream of its own, so that a lost packet of one message
+//! does not delay another. Delivery is at most once and unordered. [`Transport::send`] never blocks. A
+//! message that cannot be sent or is not acknowledged in time is dropped and counted; the caller's
+//! protocol is responsible for retries.
 //!
-//! An instance proves who it is by a certificate that the fleet's authority signed; the
-//! certificate's DNS name is the instance's name, and a received message carries that name.
+//! An instance authenticates with a certificate signed by the fleet's authority. The certificate's
+//! DNS name is the instance's name, and each received message carries the sender's name.
 //!
 //! ```
 //! use std::time::Duration;
--- a/crates/fescuewell_peer/src/settings.rs
+++ b/crates/fescuewell_peer/src/settings.rs
@@ -1,4 +1,4 @@
-//! Where an instance listens for its peers and how it proves who it is.
+//! Settings of the transport: listen address, credentials and limits.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,45 +12,45 @@
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Where to listen (UDP).
+    /// UDP address to listen on.
     pub listen: SocketAddr,
-    /// This instance's certificate, followed by any intermediate ones. Its one DNS name is the
-    /// instance's name.
+    /// This instance's certificate, followed by any intermediate certificates. It must have exactly one
+    /// DNS name, the instance's name.
     pub certificate: Arc<str>,
     /// The certificate's private key.
     pub key: Arc<str>,
-    /// Certificates of the authorities that peers are trusted by. While an authority is replaced, both
-    /// the old and the new one stand here.
+    /// Certificates of the authorities trusted to sign peers' certificates. During a rotation this
+    /// contains both the old and the new authority.
     pub authority: Arc<str>,
-    /// Time and number limits.
+    /// Timeouts and limits.
     #[serde(default)]
     pub limits: Limits,
 }
 
-/// Time and number limits of the transport.
+/// Timeouts and limits of the transport.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// A message that is not acknowledged for so long closes its connection, in milliseconds.
+    /// Timeout for the acknowledgement of a message, in milliseconds. When it expires, the connection is closed.
     pub acknowledge_ms: u32,
-    /// Longest wait for a connection to be made or taken, in milliseconds.
+    /// Timeout for a handshake, and for receiving a complete message, in milliseconds.
     pub handshake_ms: u32,
-    /// Time between signs of life on a quiet connection, in milliseconds.
+    /// Interval of keep-alive packets on an idle connection, in milliseconds.
     pub keep_alive_ms: u32,
-    /// A connection without any sign of life for so long is gone, in milliseconds.
+    /// Idle timeout: a connection on which nothing is received for this time is lost, in milliseconds.
     pub idle_ms: u32,
-    /// A connection over which nothing was sent for so long is closed, in milliseconds.
+    /// An outbound connection is closed when no message is sent for this time, in milliseconds.
     pub unused_ms: u32,
-    /// A connection is replaced at this age, in milliseconds, since certificates are only looked at when it
-    /// is made: one that has run out since would otherwise serve for ever.
+    /// Maximum age of a connection, in milliseconds, after which it is replaced. Certificates are only
+    /// verified during the handshake, so an expired one would otherwise stay in use indefinitely.
     pub renew_ms: u32,
-    /// Most connections taken from peers at once.
+    /// Maximum number of inbound connections at once.
     pub max_incoming: u32,
-    /// Most connections made to peers at once.
+    /// Maximum number of outbound connections at once.
     pub max_outgoing: u32,
-    /// Most messages under way on one connection.
+    /// Maximum number of messages in flight on one connection.
     pub max_streams: u32,
-    /// Messages that may wait for the transport's thread, and for each connection.
+    /// Capacity, in messages, of the queue to the transport's thread and of each peer's send queue.
     pub ring: u32,
 }
 
@@ -93,7 +93,7 @@
     Duration::from_millis(value.into())
 }
 
-// The key may stand in the settings themselves, and what is printed ends up in logs.
+// Omits the credentials: the settings may contain the private key, and debug output reaches the logs.
 impl std::fmt::Debug for Settings {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Settings")
--- a/crates/fescuewell_peer/src/testing.rs
+++ b/crates/fescuewell_peer/src/testing.rs
@@ -1,12 +1,12 @@
-//! What tests and the demo need to start instances that trust each other.
+//! Helpers for tests and the demo, which start instances that trust each other.
 
 use crate::credentials::Authority;
 
-/// A fresh authority.
+/// Creates an authority with a new key.
 ///
 /// # Panics
 ///
-/// When the machine's source of random numbers fails.
+/// When the system's random number generator fails.
 pub fn authority() -> Authority {
-    Authority::new("fescuewell test authority").expect("keys can be generated")
+    Authority::new("fescuewell test authority").expect("key generation failed")
 }
--- a/crates/fescuewell_peer/src/traffic.rs
+++ b/crates/fescuewell_peer/src/traffic.rs
@@ -1,39 +1,39 @@
-//! Counters of the transport, for the measure of control traffic.
+//! Counters of the transport's control traffic.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use serde::Serialize;
 
-/// What the transport did since it was started.
+/// Counters of a transport since its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize)]
 pub struct Traffic {
-    /// Messages that the peer's transport acknowledged.
+    /// Messages acknowledged by the peer's transport.
     pub sent: u64,
-    /// Bytes in them.
+    /// Payload bytes of the acknowledged messages.
     pub sent_bytes: u64,
-    /// Messages received and put into the inbox.
+    /// Messages received and queued in the inbox.
     pub received: u64,
-    /// Bytes in them.
+    /// Payload bytes of the received messages.
     pub received_bytes: u64,
-    /// Messages that were never sent: a ring was full, or the peer could not be connected to.
+    /// Messages never sent, because they were too large, a queue was full or the connection failed.
     pub dropped: u64,
-    /// Messages that were sent and not acknowledged.
+    /// Messages sent but not acknowledged.
     pub lost: u64,
-    /// Messages received while the inbox was full.
+    /// Messages dropped on receipt because the inbox was full.
     pub overflowed: u64,
-    /// Connections and streams turned away.
+    /// Inbound connections and streams refused.
     pub refused: u64,
-    /// Connections made to peers.
+    /// Outbound connections established.
     pub dialled: u64,
-    /// Connections open now, in both directions.
+    /// Connections currently open, in both directions.
     pub open: u64,
-    /// Bytes of UDP datagrams sent on connections whose handshake was completed.
+    /// Bytes of UDP datagrams sent on connections that completed the handshake.
     pub wire_sent_bytes: u64,
-    /// Bytes of UDP datagrams received on them.
+    /// Bytes of UDP datagrams received on connections that completed the handshake.
     pub wire_received_bytes: u64,
 }
 
-/// The running counters behind [`Traffic`].
+/// Atomic counters from which [`Traffic`] is built.
 #[derive(Debug, Default)]
 pub(crate) struct Counters {
     pub sent: AtomicU64,
@@ -53,17 +53,17 @@
 
 impl Counters {
     pub(crate) fn snapshot(&self) -> Traffic {
-        let get = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
+        let load = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         Traffic {
-            sent: get(&self.sent),
-            sent_bytes: get(&self.sent_bytes),
-            received: get(&self.received),
-            received_bytes: get(&self.received_bytes),
-            dropped: get(&self.dropped),
-            lost: get(&self.lost),
-            overflowed: get(&self.overflowed),
-            refused: get(&self.refused),
-            dialled: get(&self.dialled),
+            sent: load(&self.sent),
+            sent_bytes: load(&self.sent_bytes),
+            received: load(&self.received),
+            received_bytes: load(&self.received_bytes),
+            dropped: load(&self.dropped),
+            lost: load(&self.lost),
+            overflowed: load(&self.overflowed),
+            refused: load(&self.refused),
+            dialled: load(&self.dialled),
             ..Traffic::default()
         }
     }
--- a/crates/fescuewell_peer/src/transport.rs
+++ b/crates/fescuewell_peer/src/transport.rs
@@ -1,4 +1,4 @@
-//! The transport's handle and its one thread.
+//! The transport: its handle, and the thread that runs all its connections.
 
 mod backoff;
 mod link;
@@ -24,77 +24,77 @@
 use crate::traffic::{Traffic, add};
 use shared::Shared;
 
-/// How long the last packets of a closed transport may take.
-const LINGER: Duration = Duration::from_millis(500);
+/// Timeout for the closing packets of a connection or endpoint.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Messages passed on to links before the links get their turn.
-const MESSAGES_PER_TURN: u32 = 32;
+/// Messages dispatched to links before the dispatch loop yields to the links' tasks.
+const MESSAGES_PER_YIELD: u32 = 32;
 
-/// Whom to send a message to.
+/// Destination of a message.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Address {
-    /// The instance's name, which its certificate must prove.
+    /// The instance's name, which must match its certificate.
     pub instance: Arc<str>,
-    /// Where it listens for peers.
+    /// The address on which it listens for peers.
     pub address: SocketAddr,
 }
 
-/// A message from a peer.
+/// A message received from a peer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Message {
-    /// The sender's name, as its certificate proved it.
+    /// The sender's name, from its verified certificate.
     pub from: Arc<str>,
-    /// The message.
+    /// The message's content.
     pub payload: Vec<u8>,
 }
 
-/// Why the transport could not start or be reloaded.
+/// Why the transport could not be started or reloaded.
 #[derive(Debug, Snafu)]
 pub enum Error {
     /// The credentials cannot be used.
     #[snafu(display("{source}"))]
     Credentials {
-        /// What is wrong with them.
+        /// The cause.
         source: credentials::Error,
     },
-    /// A limit is zero or out of range.
+    /// A limit is zero.
     #[snafu(display("setting limits.{limit}: it must be at least 1"))]
     Limit {
-        /// Which limit.
+        /// Name of the limit.
         limit: &'static str,
     },
     /// The socket could not be opened.
     #[snafu(display("setting listen: cannot listen on {address}"))]
     Listen {
-        /// The address.
+        /// The listen address.
         address: SocketAddr,
-        /// What the operating system said.
+        /// The operating system's error.
         source: std::io::Error,
     },
     /// The thread could not be started.
     #[snafu(display("the transport's thread could not be started"))]
     Thread {
-        /// What the operating system said.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// A reload may change keys and authorities, not who or where the instance is.
+    /// A reload can change keys and authorities, but not the instance's name or listen address.
     #[snafu(display("setting {setting}: it can only change with a restart"))]
     RestartRequired {
-        /// Which setting.
+        /// Name of the setting.
         setting: &'static str,
     },
 }
 
-/// One message on its way to the thread.
+/// A message queued for sending.
 struct Outgoing {
     to: Address,
     frame: Bytes,
 }
 
-/// Ask the thread to end within this time.
+/// Requests that the thread send queued messages and end within this time.
 struct Close(Duration);
 
-/// A running transport. Dropping it closes it at once.
+/// A running transport. Dropping it closes it immediately, without waiting for queued messages.
 pub struct Transport {
     address: SocketAddr,
     shared: Arc<Shared>,
@@ -104,12 +104,12 @@
 }
 
 impl Transport {
-    /// Opens the socket and starts the thread. Messages of peers go to `inbox`; one that finds it full
-    /// is dropped and counted.
+    /// Opens the socket and starts the thread. Received messages go to `inbox`; when it is full, they are
+    /// dropped and counted.
     ///
     /// # Errors
     ///
-    /// When the settings cannot be used, the address cannot be listened on, or no thread can be started.
+    /// When the settings are invalid, the socket cannot be opened, or the thread cannot be started.
     pub fn start(settings: Settings, inbox: flume::Sender<Message>) -> Result<Self, Error> {
         check_limits(&settings)?;
         let identity = Identity::load(&settings).context(CredentialsSnafu)?;
@@ -119,7 +119,7 @@
             .context(ThreadSnafu)?;
         let listen = settings.listen;
         let endpoint = {
-            let _entered = runtime.enter();
+            let _guard = runtime.enter();
             quinn::Endpoint::server(identity.server.clone(), listen)
                 .context(ListenSnafu { address: listen })?
         };
@@ -145,20 +145,20 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the address on which the transport listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The instance's own name, from its certificate.
+    /// Returns this instance's name, from its certificate.
     pub fn instance(&self) -> Arc<str> {
         self.shared.identity().instance.clone()
     }
 
-    /// Hands a message over to be sent and returns at once.
+    /// Queues a message for sending, without blocking.
     ///
-    /// Returns `false` when it was dropped here: too large, or too many are waiting. `true` is no promise
-    /// either: only an answer of the peer shows that a message arrived.
+    /// Returns `false` when the message is dropped because it is too large or the queue is full. `true`
+    /// does not guarantee delivery: only a reply from the peer shows that the message arrived.
     pub fn send(&self, to: Address, payload: Vec<u8>) -> bool {
         let frame = match frame::encode(&payload) {
             Ok(frame) => frame.into(),
@@ -175,14 +175,15 @@
         false
     }
 
-    /// Takes new keys and authorities into use without a restart.
+    /// Applies new keys and authorities without a restart.
     ///
-    /// Connections to peers are made anew with the next message. Connections from peers stay if
-    /// their certificate is good by the new authorities, and are closed if not.
+    /// An outbound connection is replaced when the next message is sent. An inbound connection stays open
+    /// if the new authorities accept the peer's certificate; otherwise it is closed.
     ///
     /// # Errors
     ///
-    /// When the settings cannot be used, or change the address or the name; the old ones stay in force.
+    /// When the settings are invalid or change the listen address or the instance's name. The old
+    /// credentials then stay in use.
     pub fn reload(&self, settings: &Settings) -> Result<(), Error> {
         check_limits(settings)?;
         if settings.listen != self.shared.settings.listen {
@@ -198,17 +199,17 @@
         Ok(())
     }
 
-    /// Counters since the start.
+    /// Returns the counters since the start.
     pub fn traffic(&self) -> Traffic {
         self.shared.traffic()
     }
 
-    /// Sends what was handed over, for at most `grace`, then closes all connections and ends the thread.
+    /// Sends the queued messages for at most `grace`, then closes all connections and ends the thread.
     pub fn close(mut self, grace: Duration) {
-        self.end(grace);
+        self.shut_down(grace);
     }
 
-    fn end(&mut self, grace: Duration) {
+    fn shut_down(&mut self, grace: Duration) {
         let _ = self.control.try_send(Close(grace));
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -218,7 +219,7 @@
 
 impl Drop for Transport {
     fn drop(&mut self) {
-        self.end(Duration::ZERO);
+        self.shut_down(Duration::ZERO);
     }
 }
 
@@ -260,11 +261,11 @@
         }
         links.finish(deadline).await;
         listener.abort();
-        let _ = timeout(LINGER, shared.close()).await;
+        let _ = timeout(CLOSE_TIMEOUT, shared.close()).await;
     });
 }
 
-/// The connections to peers, by instance name.
+/// The links to peers, by instance name.
 struct Links {
     shared: Arc<Shared>,
     entries: HashMap<Arc<str>, Entry>,
@@ -272,8 +273,8 @@
 }
 
 struct Entry {
-    ring: flume::Sender<Outgoing>,
-    used: Instant,
+    queue: flume::Sender<Outgoing>,
+    last_used: Instant,
 }
 
 impl Links {
@@ -285,18 +286,18 @@
         }
     }
 
-    /// Passes messages on until the transport is to be closed; returns the time left for that.
+    /// Dispatches messages until the transport is closed. Returns the grace period for closing.
     async fn serve(
         &mut self,
         messages: &flume::Receiver<Outgoing>,
         closes: &flume::Receiver<Close>,
     ) -> Duration {
-        let mut passed_on = 0u32;
+        let mut dispatched = 0u32;
         loop {
-            // Messages that arrive as fast as they are passed on would keep this loop busy for ever,
-            // and the links on the same thread would never send any of them.
-            passed_on = passed_on.wrapping_add(1);
-            if passed_on.is_multiple_of(MESSAGES_PER_TURN) {
+            // If messages arrive as fast as they are dispatched, this loop never waits. The links run on
+            // the same thread and would never get to send.
+            dispatched = dispatched.wrapping_add(1);
+            if dispatched.is_multiple_of(MESSAGES_PER_YIELD) {
                 tokio::task::yield_now().await;
             }
             tokio::select! {
@@ -313,42 +314,45 @@
 
     fn dispatch(&mut self, message: Outgoing) {
         let instance = message.to.instance.clone();
-        let known = self.entries.get_mut(&instance);
-        let refused = match known.filter(|entry| !entry.ring.is_disconnected()) {
+        let existing = self.entries.get_mut(&instance);
+        let dropped = match existing.filter(|entry| !entry.queue.is_disconnected()) {
             Some(entry) => {
-                entry.used = Instant::now();
-                entry.ring.try_send(message).is_err()
+                entry.last_used = Instant::now();
+                entry.queue.try_send(message).is_err()
             }
             None => self.start_link(instance).try_send(message).is_err(),
         };
-        if refused {
+        if dropped {
             add(&self.shared.counters.dropped, 1);
         }
     }
 
     fn start_link(&mut self, instance: Arc<str>) -> &flume::Sender<Outgoing> {
         self.entries
-            .retain(|_, entry| !entry.ring.is_disconnected());
+            .retain(|_, entry| !entry.queue.is_disconnected());
         if self.entries.len() >= self.shared.settings.limits.max_outgoing as usize {
             self.evict();
         }
-        let (ring, inbox) = flume::bounded(self.shared.settings.limits.ring as usize);
+        let (queue, inbox) = flume::bounded(self.shared.settings.limits.ring as usize);
         let link = link::Link::new(self.shared.clone(), instance.clone(), inbox);
         self.tasks.spawn(link.run());
-        let used = Instant::now();
+        let last_used = Instant::now();
         let entry = self.entries.entry(instance);
-        &entry.insert_entry(Entry { ring, used }).into_mut().ring
+        &entry
+            .insert_entry(Entry { queue, last_used })
+            .into_mut()
+            .queue
     }
 
-    /// Gives up the link that was used least recently; it sends what it has and ends.
+    /// Removes the least recently used link, which sends its queued messages and ends.
     fn evict(&mut self) {
-        let oldest = self.entries.iter().min_by_key(|(_, entry)| entry.used);
+        let oldest = self.entries.iter().min_by_key(|(_, entry)| entry.last_used);
         if let Some(instance) = oldest.map(|(instance, _)| instance.clone()) {
             self.entries.remove(&instance);
         }
     }
 
-    /// Lets every link send what it has, until `deadline`.
+    /// Lets every link send its queued messages until `deadline`, then aborts the rest.
     async fn finish(&mut self, deadline: Instant) {
         self.entries.clear();
         let all = async { while self.tasks.join_next().await.is_some() {} };
--- a/crates/fescuewell_peer/src/transport/backoff.rs
+++ b/crates/fescuewell_peer/src/transport/backoff.rs
@@ -1,36 +1,36 @@
-//! Pauses between attempts to connect to one peer.
+//! Delays between attempts to connect to a peer.
 
 use std::time::Duration;
 
 use rand::Rng;
 use rand::rngs::SmallRng;
 
-const FIRST: Duration = Duration::from_millis(50);
-const LONGEST: Duration = Duration::from_secs(5);
+const MIN_DELAY: Duration = Duration::from_millis(50);
+const MAX_DELAY: Duration = Duration::from_secs(5);
 
-/// Doubles from 50 ms to 5 s. Each pause is cut by a random part of up to a half: after an outage
-/// that ended for all at once, instances would otherwise all connect in the same moment, again and again.
+/// Exponential backoff from 50 ms to 5 s with random jitter, which shortens each delay by up to half.
+/// Without jitter, all instances would retry at the same moments after a common outage.
 pub(super) struct Backoff {
-    pause: Duration,
-    random: SmallRng,
+    delay: Duration,
+    rng: SmallRng,
 }
 
 impl Backoff {
-    pub(super) fn new(random: SmallRng) -> Self {
+    pub(super) fn new(rng: SmallRng) -> Self {
         Self {
-            pause: FIRST,
-            random,
+            delay: MIN_DELAY,
+            rng,
         }
     }
 
     pub(super) fn reset(&mut self) {
-        self.pause = FIRST;
+        self.delay = MIN_DELAY;
     }
 
-    /// The pause before the next attempt.
+    /// Returns the delay before the next attempt.
     pub(super) fn next(&mut self) -> Duration {
-        let pause = self.pause.mul_f64(self.random.random_range(0.5..1.0));
-        self.pause = (self.pause * 2).min(LONGEST);
-        pause
+        let delay = self.delay.mul_f64(self.rng.random_range(0.5..1.0));
+        self.delay = (self.delay * 2).min(MAX_DELAY);
+        delay
     }
 }
--- a/crates/fescuewell_peer/src/transport/link.rs
+++ b/crates/fescuewell_peer/src/transport/link.rs
@@ -1,4 +1,4 @@
-//! The connection to one peer: made, kept, given up and made again.
+//! Link to one peer: sends its messages on an outbound connection, which it opens, reuses and replaces.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,12 +13,12 @@
 use tokio::time::{Instant, timeout};
 
 use super::backoff::Backoff;
-use super::shared::{CLOSING, Kind, SILENT, Shared};
-use super::{LINGER, Outgoing};
+use super::shared::{ACK_TIMEOUT, CLOSING, Direction, Shared};
+use super::{CLOSE_TIMEOUT, Outgoing};
 use crate::credentials::Identity;
 use crate::traffic::add;
 
-/// Why a peer could not be connected to.
+/// Why connecting to a peer failed.
 #[derive(Debug, Snafu)]
 enum Error {
     #[snafu(display("no socket: {source}"))]
@@ -31,28 +31,28 @@
     Timeout,
 }
 
-/// The task that sends one peer's messages.
+/// The task that sends the messages for one peer.
 pub(super) struct Link {
     shared: Arc<Shared>,
     instance: Arc<str>,
     inbox: flume::Receiver<Outgoing>,
-    wire: Option<Arc<Wire>>,
-    streams: Arc<Semaphore>,
+    peer: Option<Arc<PeerConnection>>,
+    stream_permits: Arc<Semaphore>,
     backoff: Backoff,
     retry_at: Instant,
 }
 
-/// One connection, with the socket that it alone uses.
-struct Wire {
+/// An outbound connection with its own socket.
+struct PeerConnection {
     endpoint: quinn::Endpoint,
     connection: quinn::Connection,
     address: SocketAddr,
-    /// The credentials that it was made with.
+    /// The credentials used for the handshake.
     identity: Arc<Identity>,
-    /// When it is too old.
+    /// When the connection reaches its maximum age.
     renew_at: Instant,
-    /// Whether the peer acknowledged any message on it.
-    proven: AtomicBool,
+    /// Whether the peer has acknowledged a message on this connection.
+    acknowledged: AtomicBool,
 }
 
 impl Link {
@@ -61,62 +61,63 @@
         instance: Arc<str>,
         inbox: flume::Receiver<Outgoing>,
     ) -> Self {
-        let streams = shared.settings.limits.max_streams as usize;
+        let max_streams = shared.settings.limits.max_streams as usize;
         Self {
             shared,
             instance,
             inbox,
-            wire: None,
-            streams: Arc::new(Semaphore::new(streams)),
+            peer: None,
+            stream_permits: Arc::new(Semaphore::new(max_streams)),
             backoff: Backoff::new(SmallRng::from_os_rng()),
             retry_at: Instant::now(),
         }
     }
 
-    /// Sends messages until its ring is given up, or nothing was sent for long.
+    /// Sends messages until the queue's sender is dropped, or no message arrives for `unused_ms`.
     pub(super) async fn run(mut self) {
         let unused = self.shared.settings.limits.unused();
         while let Ok(Ok(message)) = timeout(unused, self.inbox.recv_async()).await {
             self.send(message).await;
         }
-        // From here on nothing is sent any more. A ring that still took messages would swallow them.
+        // Nothing is sent after this point. Dropping the receiver makes the queue reject further messages;
+        // otherwise they would be lost without being counted.
         drop(self.inbox);
-        let all = self.shared.settings.limits.max_streams;
-        let _ = self.streams.acquire_many(all).await;
-        if let Some(wire) = self.wire {
-            wire.connection.close(CLOSING, b"");
-            let _ = timeout(LINGER, wire.endpoint.wait_idle()).await;
+        let max_streams = self.shared.settings.limits.max_streams;
+        let _ = self.stream_permits.acquire_many(max_streams).await;
+        if let Some(peer) = self.peer {
+            peer.connection.close(CLOSING, b"");
+            let _ = timeout(CLOSE_TIMEOUT, peer.endpoint.wait_idle()).await;
         }
     }
 
     async fn send(&mut self, message: Outgoing) {
-        let Some(wire) = self.ready(message.to.address).await else {
+        let Some(peer) = self.get_or_connect(message.to.address).await else {
             add(&self.shared.counters.dropped, 1);
             return;
         };
-        // Each message under way ends within the time limit for acknowledgements, so this does too.
-        let Ok(place) = self.streams.clone().acquire_owned().await else {
+        // Each message in flight ends within the acknowledgement timeout, which bounds this wait.
+        let Ok(permit) = self.stream_permits.clone().acquire_owned().await else {
             return;
         };
-        tokio::spawn(deliver(self.shared.clone(), wire, message, place));
+        tokio::spawn(deliver(self.shared.clone(), peer, message, permit));
     }
 
-    /// A connection to `address` by the credentials in force, made if need be.
-    async fn ready(&mut self, address: SocketAddr) -> Option<Arc<Wire>> {
+    /// Returns a connection to `address` with the current credentials, and opens one if necessary.
+    async fn get_or_connect(&mut self, address: SocketAddr) -> Option<Arc<PeerConnection>> {
         let identity = self.shared.identity();
-        if let Some(wire) = &self.wire {
-            if wire.fits(address, &identity) {
-                return Some(wire.clone());
+        if let Some(peer) = &self.peer {
+            if peer.is_usable(address, &identity) {
+                return Some(peer.clone());
             }
-            self.give_up();
+            self.retire_connection();
         }
         if Instant::now() < self.retry_at {
             return None;
         }
         match dial(&self.shared, &self.instance, address, identity).await {
-            Ok(wire) => {
-                self.wire = Some(Arc::new(wire));
-                self.wire.clone()
+            Ok(peer) => {
+                self.peer = Some(Arc::new(peer));
+                self.peer.clone()
             }
             Err(error) => {
                 self.retry_at = Instant::now() + self.backoff.next();
@@ -127,46 +128,48 @@
         }
     }
 
-    /// Leaves the connection to the messages under way on it.
+    /// Stops using the current connection. It is closed after the acknowledgement timeout, so that its
+    /// messages in flight can complete.
     ///
-    /// A peer that refuses our certificate does so after the handshake has succeeded here. Without
-    /// counting such a connection as a failure, every message would make a new one.
-    fn give_up(&mut self) {
-        let Some(wire) = self.wire.take() else {
+    /// A peer that rejects this instance's certificate closes the connection after the handshake has
+    /// succeeded on this side. Such a connection counts as a failure for the backoff; otherwise every
+    /// message would open a new connection.
+    fn retire_connection(&mut self) {
+        let Some(peer) = self.peer.take() else {
             return;
         };
-        if wire.proven.load(Ordering::Relaxed) {
+        if peer.acknowledged.load(Ordering::Relaxed) {
             self.backoff.reset();
-        } else if wire.connection.close_reason().is_some() {
+        } else if peer.connection.close_reason().is_some() {
             self.retry_at = Instant::now() + self.backoff.next();
         }
         let limit = self.shared.settings.limits.acknowledge();
         tokio::spawn(async move {
-            let _ = timeout(limit, wire.connection.closed()).await;
-            wire.connection.close(CLOSING, b"");
+            let _ = timeout(limit, peer.connection.closed()).await;
+            peer.connection.close(CLOSING, b"");
         });
     }
 }
 
-impl Wire {
-    fn fits(&self, address: SocketAddr, identity: &Arc<Identity>) -> bool {
+impl PeerConnection {
+    fn is_usable(&self, address: SocketAddr, identity: &Arc<Identity>) -> bool {
         let open = self.connection.close_reason().is_none();
-        let fresh = Instant::now() < self.renew_at;
-        open && fresh && self.address == address && Arc::ptr_eq(&self.identity, identity)
+        let below_max_age = Instant::now() < self.renew_at;
+        open && below_max_age && self.address == address && Arc::ptr_eq(&self.identity, identity)
     }
 }
 
-/// Connects from a socket of its own.
+/// Opens a connection from a new socket.
 ///
-/// What lies between two instances may lose track of a flow (one pair of addresses and ports) for good,
-/// while new flows work. A new connection from the same port would be the same flow, and as silent
-/// as the old one; from a new port it is not.
+/// A network device between two instances can drop a flow (one pair of addresses and ports)
+/// permanently while new flows work. A new connection from the same port would belong to the dropped
+/// flow; one from a new port does not.
 async fn dial(
     shared: &Arc<Shared>,
     instance: &str,
     address: SocketAddr,
     identity: Arc<Identity>,
-) -> Result<Wire, Error> {
+) -> Result<PeerConnection, Error> {
     let local = SocketAddr::new(shared.settings.listen.ip(), 0);
     let endpoint = quinn::Endpoint::client(local).context(SocketSnafu)?;
     let connecting = endpoint
@@ -178,33 +181,33 @@
         Err(_) => return Err(Error::Timeout),
     };
     add(&shared.counters.dialled, 1);
-    shared.track(&connection, Kind::Made(endpoint.clone()));
-    Ok(Wire {
+    shared.track(&connection, Direction::Outbound(endpoint.clone()));
+    Ok(PeerConnection {
         endpoint,
         connection,
         address,
         identity,
         renew_at: Instant::now() + shared.settings.limits.renew(),
-        proven: AtomicBool::default(),
+        acknowledged: AtomicBool::default(),
     })
 }
 
-/// Sends one message and waits until the peer's transport has all of it.
+/// Sends one message and waits until the peer's transport has acknowledged all of it.
 ///
-/// A connection that went silent still takes what is written to it. That the acknowledgement fails
-/// to come is the first sign, long before the idle timeout; the connection is then closed, so that the
-/// next message makes a new one.
+/// Writes to a connection whose packets are dropped still succeed. The missing acknowledgement shows
+/// the failure long before the idle timeout; the connection is then closed, so that the next message
+/// opens a new one.
 async fn deliver(
     shared: Arc<Shared>,
-    wire: Arc<Wire>,
+    peer: Arc<PeerConnection>,
     message: Outgoing,
-    _place: OwnedSemaphorePermit,
+    _permit: OwnedSemaphorePermit,
 ) {
     let length = message.frame.len() - 1;
     let limit = shared.settings.limits.acknowledge();
-    match timeout(limit, transmit(&wire.connection, message)).await {
+    match timeout(limit, transmit(&peer.connection, message)).await {
         Ok(true) => {
-            wire.proven.store(true, Ordering::Relaxed);
+            peer.acknowledged.store(true, Ordering::Relaxed);
             add(&shared.counters.sent, 1);
             add(&shared.counters.sent_bytes, length);
         }
@@ -212,14 +215,14 @@
         Err(_) => {
             add(&shared.counters.lost, 1);
             let reason = "no acknowledgement";
-            shared.log(Event::LinkSilent, &wire.address.to_string(), reason);
-            wire.connection.close(SILENT, reason.as_bytes());
+            shared.log(Event::LinkSilent, &peer.address.to_string(), reason);
+            peer.connection.close(ACK_TIMEOUT, reason.as_bytes());
         }
     }
 }
 
-/// Returns whether the message was acknowledged; `false` when the connection ended first or the peer
-/// refused the stream.
+/// Returns whether the message was acknowledged: `false` when the connection ended first or the peer
+/// stopped the stream.
 async fn transmit(connection: &quinn::Connection, message: Outgoing) -> bool {
     let Ok(mut stream) = connection.open_uni().await else {
         return false;
--- a/crates/fescuewell_peer/src/transport/listener.rs
+++ b/crates/fescuewell_peer/src/transport/listener.rs
@@ -1,4 +1,4 @@
-//! Connections taken from peers, and the messages on them.
+//! Listener: accepts connections from peers and receives their messages.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,35 +8,41 @@
 use tokio::time::timeout;
 
 use super::Message;
-use super::shared::{CLOSING, Kind, MALFORMED, NOT_A_PEER, Shared, TOO_MANY};
+use super::shared::{CLOSING, Direction, MALFORMED, NOT_A_PEER, Shared, TOO_MANY};
 use crate::credentials::{instance_name, peer_chain};
 use crate::frame::{self, FRAME_LIMIT};
 use crate::traffic::add;
 
-/// Most connections taken from one peer. One is enough; the others allow for those that the peer
-/// gave up and that have not timed out here.
-const CONNECTIONS_PER_PEER: usize = 8;
+/// Maximum number of inbound connections from one peer. A peer uses one; the rest allows for
+/// connections that the peer has abandoned and that have not timed out on this side.
+const MAX_CONNECTIONS_PER_PEER: usize = 8;
 
-/// Handshakes under way above which a newcomer must first show that its address is its own. Datagrams
-/// with forged addresses could otherwise take up all room, and the answers go to a third party.
-const UNPROVEN_HANDSHAKES: usize = 32;
+/// Handshakes in progress above which new connections must pass address validation (a QUIC Retry).
+/// Otherwise datagrams with spoofed addresses could use up all permits and direct replies at a third party.
+const MAX_UNVALIDATED_HANDSHAKES: usize = 32;
 
 pub(super) async fn run(shared: Arc<Shared>) {
-    let room = Arc::new(Semaphore::new(shared.settings.limits.max_incoming as usize));
-    let handshakes = Arc::new(Semaphore::new(UNPROVEN_HANDSHAKES));
+    let connection_permits = Arc::new(Semaphore::new(shared.settings.limits.max_incoming as usize));
+    let handshake_permits = Arc::new(Semaphore::new(MAX_UNVALIDATED_HANDSHAKES));
     while let Some(incoming) = shared.endpoint.accept().await {
         let from = incoming.remote_address();
-        let Ok(place) = room.clone().try_acquire_owned() else {
+        let Ok(permit) = connection_permits.clone().try_acquire_owned() else {
             incoming.refuse();
             shared.refuse(&from.to_string(), "too many connections");
             continue;
         };
-        let handshake = handshakes.clone().try_acquire_owned().ok();
-        if handshake.is_none() && incoming.may_retry() {
+        let handshake_permit = handshake_permits.clone().try_acquire_owned().ok();
+        if handshake_permit.is_none() && incoming.may_retry() {
             let _ = incoming.retry();
             continue;
         }
-        tokio::spawn(serve(shared.clone(), incoming, from, place, handshake));
+        tokio::spawn(serve(
+            shared.clone(),
+            incoming,
+            from,
+            permit,
+            handshake_permit,
+        ));
     }
 }
 
@@ -44,21 +50,21 @@
     shared: Arc<Shared>,
     incoming: quinn::Incoming,
     address: SocketAddr,
-    _place: OwnedSemaphorePermit,
-    handshake: Option<OwnedSemaphorePermit>,
+    _permit: OwnedSemaphorePermit,
+    handshake_permit: Option<OwnedSemaphorePermit>,
 ) {
     let connected = connect(&shared, incoming).await;
-    drop(handshake);
+    drop(handshake_permit);
     let (connection, from) = match connected {
         Ok(connected) => connected,
         Err(reason) => return shared.refuse(&address.to_string(), &reason),
     };
-    if shared.taken_from(&from) >= CONNECTIONS_PER_PEER {
+    if shared.inbound_count(&from) >= MAX_CONNECTIONS_PER_PEER {
         connection.close(TOO_MANY, b"too many connections");
         return shared.refuse(&from, "too many connections of one peer");
     }
-    shared.track(&connection, Kind::Taken(from.clone()));
-    // The peer ends the connection, or it times out for want of any sign of life.
+    shared.track(&connection, Direction::Inbound(from.clone()));
+    // The loop ends when the peer closes the connection or the idle timeout expires.
     while let Ok(stream) = connection.accept_uni().await {
         let (shared, connection, from) = (shared.clone(), connection.clone(), from.clone());
         tokio::spawn(receive(shared, connection, from, stream));
@@ -81,7 +87,7 @@
     Ok((connection, from))
 }
 
-/// Reads one message. The time limit keeps a peer from holding streams open with half a message.
+/// Receives one message. The timeout keeps a peer from holding streams open with incomplete messages.
 async fn receive(
     shared: Arc<Shared>,
     connection: Connection,
@@ -97,7 +103,7 @@
         Ok(Err(ReadToEndError::TooLong)) => {
             return refuse(&shared, &connection, &from, "a message is too large");
         }
-        // The connection ended, or the peer gave the message up.
+        // The connection ended or the peer reset the stream.
         Ok(Err(ReadToEndError::Read(_))) => return,
         Err(_) => return refuse(&shared, &connection, &from, "a message was not completed"),
     };
--- a/crates/fescuewell_peer/src/transport/shared.rs
+++ b/crates/fescuewell_peer/src/transport/shared.rs
@@ -1,4 +1,4 @@
-//! What the handle, the links and the listener share.
+//! State shared by the transport's handle, its links and its listener.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -12,20 +12,20 @@
 use crate::settings::Settings;
 use crate::traffic::{Counters, Traffic, add};
 
-/// The transport is closing, or the connection is no longer used.
+/// Close code: the transport is closing, or the connection is no longer used.
 pub(super) const CLOSING: VarInt = VarInt::from_u32(0);
-/// The connection stopped acknowledging.
-pub(super) const SILENT: VarInt = VarInt::from_u32(1);
-/// The peer is not, or no longer, a peer.
+/// Close code: a message was not acknowledged in time.
+pub(super) const ACK_TIMEOUT: VarInt = VarInt::from_u32(1);
+/// Close code: the peer's certificate is not, or no longer, accepted.
 pub(super) const NOT_A_PEER: VarInt = VarInt::from_u32(2);
-/// The peer sent something that no peer sends.
+/// Close code: the peer sent an invalid message.
 pub(super) const MALFORMED: VarInt = VarInt::from_u32(3);
-/// Too many connections.
+/// Close code: too many connections.
 pub(super) const TOO_MANY: VarInt = VarInt::from_u32(4);
 
-/// Time between two log lines about refusals or failures; whoever sends rubbish as fast as it can
-/// must not fill the log.
-const LOG_PAUSE: Duration = Duration::from_secs(1);
+/// Minimum interval between two log lines for the same event, so that a flood of invalid packets
+/// cannot fill the log.
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 pub(super) struct Shared {
     pub settings: Settings,
@@ -34,34 +34,34 @@
     pub counters: Counters,
     identity: Mutex<Arc<Identity>>,
     connections: Mutex<Connections>,
-    log_gates: Mutex<HashMap<u16, Gate>>,
+    log_limiters: Mutex<HashMap<u16, LogLimiter>>,
 }
 
-/// The open connections, kept for their byte counts and for reloads.
+/// The open connections, tracked for byte counts and reloads.
 #[derive(Default)]
 struct Connections {
     open: HashMap<usize, Tracked>,
-    next: usize,
-    closed_sent: u64,
-    closed_received: u64,
+    next_id: usize,
+    closed_sent_bytes: u64,
+    closed_received_bytes: u64,
 }
 
 struct Tracked {
     connection: quinn::Connection,
-    kind: Kind,
+    direction: Direction,
 }
 
-/// Which end made a connection.
-pub(super) enum Kind {
-    /// It was taken from this peer.
-    Taken(Arc<str>),
-    /// It was made here, from a socket of its own.
-    Made(quinn::Endpoint),
+/// Which side opened a connection.
+pub(super) enum Direction {
+    /// Opened by this peer.
+    Inbound(Arc<str>),
+    /// Opened by this instance, from a socket of its own.
+    Outbound(quinn::Endpoint),
 }
 
 #[derive(Default)]
-struct Gate {
-    last: Option<Instant>,
+struct LogLimiter {
+    logged_at: Option<Instant>,
     suppressed: u64,
 }
 
@@ -79,7 +79,7 @@
             counters: Counters::default(),
             identity: Mutex::new(Arc::new(identity)),
             connections: Mutex::default(),
-            log_gates: Mutex::default(),
+            log_limiters: Mutex::default(),
         }
     }
 
@@ -93,8 +93,8 @@
         self.endpoint
             .set_server_config(Some(identity.server.clone()));
         for tracked in lock(&self.connections).open.values() {
-            let taken = matches!(tracked.kind, Kind::Taken(_));
-            if taken && !identity.accepts(&peer_chain(&tracked.connection)) {
+            let inbound = matches!(tracked.direction, Direction::Inbound(_));
+            if inbound && !identity.accepts(&peer_chain(&tracked.connection)) {
                 tracked
                     .connection
                     .close(NOT_A_PEER, b"certificate no longer accepted");
@@ -102,40 +102,41 @@
         }
     }
 
-    /// Counts a connection until it ends.
-    pub(super) fn track(self: &Arc<Self>, connection: &quinn::Connection, kind: Kind) {
+    /// Tracks a connection until it ends.
+    pub(super) fn track(self: &Arc<Self>, connection: &quinn::Connection, direction: Direction) {
         let mut connections = lock(&self.connections);
-        let number = connections.next;
-        connections.next += 1;
+        let id = connections.next_id;
+        connections.next_id += 1;
         let tracked = Tracked {
             connection: connection.clone(),
-            kind,
+            direction,
         };
-        connections.open.insert(number, tracked);
+        connections.open.insert(id, tracked);
         drop(connections);
 
         let shared = self.clone();
         let connection = connection.clone();
         tokio::spawn(async move {
             connection.closed().await;
-            lock(&shared.connections).end(number);
+            lock(&shared.connections).remove(id);
         });
     }
 
-    /// How many connections were taken from this peer and are open.
-    pub(super) fn taken_from(&self, peer: &str) -> usize {
+    /// Returns the number of open connections that this peer opened.
+    pub(super) fn inbound_count(&self, peer: &str) -> usize {
         let connections = lock(&self.connections);
-        let taken = connections.open.values();
-        taken
-            .filter(|tracked| matches!(&tracked.kind, Kind::Taken(from) if **from == *peer))
-            .count()
+        let open = connections.open.values();
+        open.filter(
+            |tracked| matches!(&tracked.direction, Direction::Inbound(from) if **from == *peer),
+        )
+        .count()
     }
 
-    /// Tells every peer that its connections end, so that none has to find out by a timeout.
+    /// Sends a close to every peer, so that none has to wait for a timeout.
     pub(super) async fn close(&self) {
         let mut endpoints = vec![self.endpoint.clone()];
         for tracked in lock(&self.connections).open.values() {
-            if let Kind::Made(endpoint) = &tracked.kind {
+            if let Direction::Outbound(endpoint) = &tracked.direction {
                 endpoints.push(endpoint.clone());
             }
         }
@@ -151,8 +152,8 @@
         let connections = lock(&self.connections);
         let mut traffic = self.counters.snapshot();
         traffic.open = connections.open.len() as u64;
-        traffic.wire_sent_bytes = connections.closed_sent;
-        traffic.wire_received_bytes = connections.closed_received;
+        traffic.wire_sent_bytes = connections.closed_sent_bytes;
+        traffic.wire_received_bytes = connections.closed_received_bytes;
         for tracked in connections.open.values() {
             let stats = tracked.connection.stats();
             traffic.wire_sent_bytes += stats.udp_tx.bytes;
@@ -161,24 +162,27 @@
         traffic
     }
 
-    /// Counts and logs something that was turned away.
+    /// Counts and logs a refused connection or message.
     pub(super) fn refuse(&self, from: &str, reason: &str) {
         add(&self.counters.refused, 1);
         self.log(Event::ConnectionRefused, from, reason);
     }
 
-    /// Logs at most one line a second of each event, with the number of those left out since.
+    /// Logs at most one line per second for each event, with the number of lines suppressed since the last.
     pub(super) fn log(&self, event: Event, peer: &str, reason: &str) {
-        let mut gates = lock(&self.log_gates);
-        let gate = gates.entry(event.number()).or_default();
+        let mut limiters = lock(&self.log_limiters);
+        let limiter = limiters.entry(event.number()).or_default();
         let now = Instant::now();
-        if gate.last.is_some_and(|last| now - last < LOG_PAUSE) {
-            gate.suppressed += 1;
+        if limiter
+            .logged_at
+            .is_some_and(|last| now - last < LOG_INTERVAL)
+        {
+            limiter.suppressed += 1;
             return;
         }
-        gate.last = Some(now);
-        let suppressed = std::mem::take(&mut gate.suppressed);
-        drop(gates);
+        limiter.logged_at = Some(now);
+        let suppressed = std::mem::take(&mut limiter.suppressed);
+        drop(limiters);
         fescuewell_core::log_event!(
             event,
             "listener=peer peer={peer} reason=\"{reason}\" suppressed={suppressed}"
@@ -187,13 +191,13 @@
 }
 
 impl Connections {
-    fn end(&mut self, number: usize) {
-        let Some(tracked) = self.open.remove(&number) else {
+    fn remove(&mut self, id: usize) {
+        let Some(tracked) = self.open.remove(&id) else {
             return;
         };
         let stats = tracked.connection.stats();
-        self.closed_sent += stats.udp_tx.bytes;
-        self.closed_received += stats.udp_rx.bytes;
+        self.closed_sent_bytes += stats.udp_tx.bytes;
+        self.closed_received_bytes += stats.udp_rx.bytes;
     }
 }
 
--- a/crates/fescuewell_peer/tests/common/mod.rs
+++ b/crates/fescuewell_peer/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures: nodes, a client that keeps to no rules, and a relay that goes silent.
+//! Fixtures: nodes, a client that sends arbitrary frames, and a UDP relay that can drop flows.
 
 use std::collections::{HashMap, HashSet};
 use std::net::{SocketAddr, UdpSocket};
@@ -13,11 +13,11 @@
 use rustls::pki_types::{CertificateDer, PrivateKeyDer};
 
 /// Capacity of a node's inbox.
-pub const INBOX: usize = 128;
-/// How long a test waits for something that must happen.
-pub const PATIENCE: Duration = Duration::from_secs(20);
-/// How long a sender waits before it sends again, as the protocols above the transport do.
-const RESEND: Duration = Duration::from_millis(100);
+pub const INBOX_CAPACITY: usize = 128;
+/// Timeout for an event that a test expects.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
+/// Interval at which a sender retries, as the protocols above the transport do.
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 pub struct Node {
     pub transport: Transport,
@@ -34,7 +34,7 @@
 
 impl Node {
     pub fn start(settings: Settings) -> Self {
-        let (sender, inbox) = flume::bounded(INBOX);
+        let (sender, inbox) = flume::bounded(INBOX_CAPACITY);
         let transport = Transport::start(settings, sender).unwrap();
         Self { transport, inbox }
     }
@@ -46,23 +46,23 @@
         }
     }
 
-    /// Sends until it arrives, and takes it out of the receiver's inbox.
-    pub fn deliver(&self, to: &Node, payload: &[u8]) -> Message {
-        self.deliver_to(&to.address(), to, payload)
+    /// Sends a message repeatedly until `to` receives it, and removes it from that node's inbox.
+    pub fn send_until_received(&self, to: &Node, payload: &[u8]) -> Message {
+        self.send_until_received_at(&to.address(), to, payload)
     }
 
-    pub fn deliver_to(&self, address: &Address, to: &Node, payload: &[u8]) -> Message {
-        let deadline = Instant::now() + PATIENCE;
+    pub fn send_until_received_at(&self, address: &Address, to: &Node, payload: &[u8]) -> Message {
+        let deadline = Instant::now() + TIMEOUT;
         while Instant::now() < deadline {
             self.transport.send(address.clone(), payload.to_vec());
-            while let Ok(message) = to.inbox.recv_timeout(RESEND) {
+            while let Ok(message) = to.inbox.recv_timeout(RETRY_INTERVAL) {
                 if message.payload == payload {
                     return message;
                 }
             }
         }
         panic!(
-            "{:?} never got the message: {:?}",
+            "{:?} did not receive the message: {:?}",
             address,
             self.transport.traffic()
         );
@@ -74,15 +74,18 @@
 where
     Condition: Fn() -> bool,
 {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TIMEOUT;
     while !condition() {
-        assert!(Instant::now() < deadline, "it never happened");
+        assert!(
+            Instant::now() < deadline,
+            "the condition did not become true"
+        );
         std::thread::park_timeout(Duration::from_millis(2));
     }
 }
 
-/// Connects with a good certificate, writes `frame` on one stream and waits for the connection's end.
-pub fn stranger_client(authority: &Authority, instance: &str, to: &Node, frame: &[u8]) {
+/// Connects with a valid certificate, writes `frame` to one stream and waits until the connection is closed.
+pub fn send_raw_frame(authority: &Authority, instance: &str, to: &Node, frame: &[u8]) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -94,7 +97,7 @@
         let connecting = endpoint.connect_with(config, address.address, &address.instance);
         let connection = connecting.unwrap().await.unwrap();
         let mut stream = connection.open_uni().await.unwrap();
-        // The connection may be closed under the write; that is what the test asks for.
+        // The receiver may close the connection during the write, as the test expects.
         let _ = stream.write_all(frame).await;
         let _ = stream.finish();
         connection.closed().await;
@@ -122,7 +125,7 @@
     quinn::ClientConfig::new(Arc::new(crypto))
 }
 
-/// Passes datagrams between clients and one server. A flow is the client's address and port.
+/// UDP relay between clients and one server. A flow is identified by the client's address and port.
 pub struct Relay {
     pub address: SocketAddr,
     state: Arc<RelayState>,
@@ -133,7 +136,7 @@
     target: SocketAddr,
     socket: UdpSocket,
     flows: Mutex<HashMap<SocketAddr, UdpSocket>>,
-    silent: Mutex<HashSet<SocketAddr>>,
+    blocked: Mutex<HashSet<SocketAddr>>,
     stopped: AtomicBool,
 }
 
@@ -148,11 +151,11 @@
             target,
             socket,
             flows: Mutex::default(),
-            silent: Mutex::default(),
+            blocked: Mutex::default(),
             stopped: AtomicBool::default(),
         });
-        let forward = state.clone();
-        let thread = std::thread::spawn(move || forward.forward());
+        let relay = state.clone();
+        let thread = std::thread::spawn(move || relay.forward_to_server());
         Self {
             address,
             state,
@@ -160,10 +163,10 @@
         }
     }
 
-    /// Drops every datagram of the flows seen so far, from now on.
-    pub fn silence_present_flows(&self) {
+    /// Drops all further datagrams of the flows seen so far.
+    pub fn block_current_flows(&self) {
         let flows = self.state.flows.lock().unwrap();
-        self.state.silent.lock().unwrap().extend(flows.keys());
+        self.state.blocked.lock().unwrap().extend(flows.keys());
     }
 }
 
@@ -177,18 +180,18 @@
 }
 
 impl RelayState {
-    fn is_silent(&self, client: &SocketAddr) -> bool {
-        self.silent.lock().unwrap().contains(client)
+    fn is_blocked(&self, client: &SocketAddr) -> bool {
+        self.blocked.lock().unwrap().contains(client)
     }
 
-    fn forward(self: Arc<Self>) {
+    fn forward_to_server(self: Arc<Self>) {
         let mut buffer = [0; 65_536];
-        let mut backward = Vec::new();
+        let mut reply_threads = Vec::new();
         while !self.stopped.load(Ordering::Acquire) {
             let Ok((length, client)) = self.socket.recv_from(&mut buffer) else {
                 continue;
             };
-            if self.is_silent(&client) {
+            if self.is_blocked(&client) {
                 continue;
             }
             let mut flows = self.flows.lock().unwrap();
@@ -198,25 +201,25 @@
                 flow.set_read_timeout(Some(Duration::from_millis(20)))
                     .unwrap();
                 let (state, flow_end) = (self.clone(), flow.try_clone().unwrap());
-                backward.push(std::thread::spawn(move || {
-                    state.backward(client, &flow_end)
+                reply_threads.push(std::thread::spawn(move || {
+                    state.forward_to_client(client, &flow_end)
                 }));
                 flow
             });
             let _ = flow.send(&buffer[..length]);
         }
-        for thread in backward {
+        for thread in reply_threads {
             let _ = thread.join();
         }
     }
 
-    fn backward(&self, client: SocketAddr, flow: &UdpSocket) {
+    fn forward_to_client(&self, client: SocketAddr, flow: &UdpSocket) {
         let mut buffer = [0; 65_536];
         while !self.stopped.load(Ordering::Acquire) {
             let Ok(length) = flow.recv(&mut buffer) else {
                 continue;
             };
-            if !self.is_silent(&client) {
+            if !self.is_blocked(&client) {
                 let _ = self.socket.send_to(&buffer[..length], client);
             }
         }
--- a/crates/fescuewell_peer/tests/frame.rs
+++ b/crates/fescuewell_peer/tests/frame.rs
@@ -1,4 +1,4 @@
-//! Frames: whatever arrives is either a message or a refusal.
+//! Tests of framing: any received bytes are either decoded to a message or rejected.
 
 use fescuewell_peer::frame::{Error, MESSAGE_LIMIT, decode, encode};
 use proptest::collection::vec;
@@ -43,10 +43,10 @@
 
 #[test]
 fn both_directions_keep_the_limit() {
-    let largest = vec![0; MESSAGE_LIMIT];
+    let max_message = vec![0; MESSAGE_LIMIT];
     let length = MESSAGE_LIMIT + 1;
 
-    assert!(encode(&largest).is_ok());
+    assert!(encode(&max_message).is_ok());
     assert_eq!(encode(&vec![0; length]), Err(Error::TooLarge { length }));
     assert_eq!(decode(vec![1; length + 1]), Err(Error::TooLarge { length }));
 }
--- a/crates/fescuewell_peer/tests/transport.rs
+++ b/crates/fescuewell_peer/tests/transport.rs
@@ -1,11 +1,11 @@
-//! Messages between instances, and what happens when peers or the network misbehave.
+//! Tests of the transport: delivery, authentication, and faults of peers and the network.
 
 mod common;
 
 use std::net::{SocketAddr, UdpSocket};
 use std::time::Duration;
 
-use common::{Node, eventually, loopback, node, stranger_client};
+use common::{Node, eventually, loopback, node, send_raw_frame};
 use fescuewell_peer::frame::MESSAGE_LIMIT;
 use fescuewell_peer::{Error, Transport, testing};
 
@@ -15,8 +15,8 @@
     let a = node(&authority, "instance-a");
     let b = node(&authority, "instance-b");
 
-    let to_b = a.deliver(&b, b"question");
-    let to_a = b.deliver(&a, b"answer");
+    let to_b = a.send_until_received(&b, b"question");
+    let to_a = b.send_until_received(&a, b"answer");
 
     assert_eq!(
         (&*to_b.from, &*to_b.payload),
@@ -26,7 +26,7 @@
         (&*to_a.from, &*to_a.payload),
         ("instance-b", &b"answer"[..])
     );
-    // A sender that waited too long has sent again, so there may be several of the same 8 bytes.
+    // A sender retries after a timeout, so the same 8 bytes may be counted several times.
     eventually(|| {
         let (sent, received) = (a.transport.traffic(), b.transport.traffic());
         let counted = sent.sent > 0 && received.received > 0;
@@ -44,33 +44,34 @@
     let largest = vec![7; MESSAGE_LIMIT];
 
     let refused = a.transport.send(b.address(), vec![7; MESSAGE_LIMIT + 1]);
-    let received = a.deliver(&b, &largest);
+    let received = a.send_until_received(&b, &largest);
 
     assert!(!refused);
     assert_eq!(received.payload, largest);
 }
 
-// Symptom: messages under a name that is not the sender's. Sequence: a process with a certificate of
-// another authority connects. Cause: only the fleet's authority may say who is a peer.
+// Guards against messages under a forged sender name: a process connects with a certificate from
+// another authority. Only certificates of the fleet's authority are accepted.
 #[test]
 fn a_stranger_is_refused_and_peers_are_not_disturbed() {
     let authority = testing::authority();
-    let stranger = node(&testing::authority(), "instance-a");
+    let untrusted = node(&testing::authority(), "instance-a");
     let a = node(&authority, "instance-a");
     let b = node(&authority, "instance-b");
 
-    // The stranger trusts only its own authority; it does not even show its certificate.
-    assert!(stranger.transport.send(b.address(), b"forged".to_vec()));
-    eventually(|| stranger.transport.traffic().dropped > 0);
-    let genuine = a.deliver(&b, b"genuine");
+    // The untrusted process trusts only its own authority, so it ends the handshake before it presents
+    // its certificate.
+    assert!(untrusted.transport.send(b.address(), b"forged".to_vec()));
+    eventually(|| untrusted.transport.traffic().dropped > 0);
+    let genuine = a.send_until_received(&b, b"genuine");
 
     assert_eq!(&*genuine.payload, b"genuine");
     eventually(|| b.transport.traffic().refused > 0);
     assert!(b.inbox.drain().all(|message| message.payload == b"genuine"));
 }
 
-// Symptom: as above. Sequence: the stranger trusts our authority, so its side of the handshake
-// succeeds, and sends at once. Cause: the certificate is checked by the receiver, not by the sender.
+// Guards against the same fault when the untrusted process trusts the fleet's authority: its side of
+// the handshake succeeds and it sends at once. The receiver must verify the sender's certificate.
 #[test]
 fn a_stranger_that_trusts_us_is_refused_too() {
     let ours = testing::authority();
@@ -78,23 +79,23 @@
     let b = node(&ours, "instance-b");
     let mut settings = theirs.settings("instance-a", loopback()).unwrap();
     settings.authority = ours.certificate();
-    let stranger = Node::start(settings);
+    let untrusted = Node::start(settings);
 
     for _ in 0..20 {
-        stranger.transport.send(b.address(), b"forged".to_vec());
+        untrusted.transport.send(b.address(), b"forged".to_vec());
     }
     eventually(|| {
-        let traffic = stranger.transport.traffic();
+        let traffic = untrusted.transport.traffic();
         traffic.lost + traffic.dropped == 20
     });
 
     eventually(|| b.transport.traffic().refused > 0);
     assert!(b.inbox.is_empty());
-    assert_eq!(stranger.transport.traffic().sent, 0);
+    assert_eq!(untrusted.transport.traffic().sent, 0);
 }
 
-// Symptom: a message meant for one instance is read by another. Sequence: an address is given out again
-// after a replacement. Cause: an address does not say who listens there.
+// Guards against delivery to the wrong instance: after an instance is replaced, its address may be
+// reused, and the address alone does not identify the instance that listens there.
 #[test]
 fn a_message_goes_only_to_the_instance_it_names() {
     let authority = testing::authority();
@@ -109,8 +110,8 @@
     assert!(b.inbox.is_empty());
 }
 
-// Symptom: the listener ends. Sequence: something sends datagrams that are no QUIC at all.
-// Cause: anybody can send to an open port.
+// Guards against a listener that stops after datagrams that are not QUIC, which anyone can send to an
+// open port.
 #[test]
 fn stray_datagrams_do_not_disturb_the_listener() {
     let authority = testing::authority();
@@ -125,12 +126,15 @@
         }
     }
 
-    assert_eq!(&*a.deliver(&b, b"still here").payload, b"still here");
+    assert_eq!(
+        &*a.send_until_received(&b, b"still here").payload,
+        b"still here"
+    );
 }
 
-// Symptom: a peer's rubbish is taken for a message, or eats the memory. Sequence: a process with a
-// good certificate sends an unknown format, an empty stream, and a message without end.
-// Cause: a newer or a broken program.
+// Guards against invalid data that is delivered as a message or uses up memory: a process with a valid
+// certificate, of a newer version or faulty, sends an empty stream, an unknown format and an oversized
+// message.
 #[test]
 fn malformed_messages_close_the_connection_and_nothing_else() {
     let authority = testing::authority();
@@ -139,12 +143,15 @@
 
     for frame in [vec![], vec![9, 1, 2], vec![1; MESSAGE_LIMIT + 2]] {
         let refused = b.transport.traffic().refused;
-        stranger_client(&authority, "instance-x", &b, &frame);
+        send_raw_frame(&authority, "instance-x", &b, &frame);
         eventually(|| b.transport.traffic().refused > refused);
     }
 
     assert!(b.inbox.is_empty());
-    assert_eq!(&*a.deliver(&b, b"still here").payload, b"still here");
+    assert_eq!(
+        &*a.send_until_received(&b, b"still here").payload,
+        b"still here"
+    );
 }
 
 #[test]
@@ -152,7 +159,7 @@
     let authority = testing::authority();
     let a = node(&authority, "instance-a");
     let b = node(&authority, "instance-b");
-    let capacity = common::INBOX as u64;
+    let capacity = common::INBOX_CAPACITY as u64;
 
     for _ in 0..capacity + 10 {
         assert!(a.transport.send(b.address(), b"x".to_vec()));
@@ -164,23 +171,23 @@
 
     assert_eq!(b.transport.traffic().overflowed, 10);
     assert_eq!(b.inbox.drain().count() as u64, capacity);
-    assert_eq!(&*a.deliver(&b, b"after").payload, b"after");
+    assert_eq!(&*a.send_until_received(&b, b"after").payload, b"after");
 }
 
-// Symptom: an instance is silent for its peers after a restart. Sequence: it ends without a word and
-// comes back at the same address. Cause: the old connection is unknown to the new process.
+// Guards against a restarted instance that its peers cannot reach: it stops and returns at the same
+// address, where the new process does not know the old connection.
 #[test]
 fn a_restarted_peer_is_found_again() {
     let authority = testing::authority();
     let a = node(&authority, "instance-a");
     let b = node(&authority, "instance-b");
-    a.deliver(&b, b"before");
+    a.send_until_received(&b, b"before");
     let address = b.transport.address();
     b.transport.close(Duration::ZERO);
 
     let b = Node::start(authority.settings("instance-b", address).unwrap());
 
-    assert_eq!(&*a.deliver(&b, b"after").payload, b"after");
+    assert_eq!(&*a.send_until_received(&b, b"after").payload, b"after");
 }
 
 #[test]
@@ -196,15 +203,15 @@
 
     let mut received: Vec<u8> = Vec::new();
     for _ in 0..50 {
-        let message = b.inbox.recv_timeout(common::PATIENCE).unwrap();
+        let message = b.inbox.recv_timeout(common::TIMEOUT).unwrap();
         received.extend(message.payload);
     }
     received.sort_unstable();
     assert!(received.into_iter().eq(0..50));
 }
 
-// Symptom: two instances never talk again although both run. Sequence: something between them drops
-// every datagram of a flow from one moment on, while new flows work. Cause: it lost track of the flow.
+// Guards against a permanent loss of contact between two running instances: a network device between
+// them loses its state for a flow and drops all its datagrams, while new flows work.
 #[test]
 fn a_flow_that_goes_silent_for_good_is_replaced() {
     let authority = testing::authority();
@@ -215,27 +222,27 @@
     let relay = common::Relay::start(b.transport.address());
     let mut address = b.address();
     address.address = relay.address;
-    a.deliver_to(&address, &b, b"before");
+    a.send_until_received_at(&address, &b, b"before");
 
     let dialled = a.transport.traffic().dialled;
-    relay.silence_present_flows();
-    let after = a.deliver_to(&address, &b, b"after");
+    relay.block_current_flows();
+    let after = a.send_until_received_at(&address, &b, b"after");
 
     assert_eq!(&*after.payload, b"after");
     assert!(a.transport.traffic().dialled > dialled);
     assert!(a.transport.traffic().lost > 0);
 }
 
-// Symptom: after a rotation either nobody can talk, or whoever holds an old key still can. Sequence:
-// both authorities are trusted for a while, then only the new one. Cause: rotation without a restart.
+// Guards against a key rotation without a restart after which no instance can connect, or one with an
+// old key still can: both authorities are trusted for a while, then only the new one.
 #[test]
 fn keys_and_authorities_rotate_by_reload() {
     let (old, new) = (testing::authority(), testing::authority());
     let a = node(&old, "instance-a");
     let b = node(&old, "instance-b");
-    let straggler = node(&old, "instance-c");
-    a.deliver(&b, b"old keys");
-    straggler.deliver(&b, b"old keys");
+    let old_key_holder = node(&old, "instance-c");
+    a.send_until_received(&b, b"old keys");
+    old_key_holder.send_until_received(&b, b"old keys");
 
     let both: &str = &format!("{}{}", old.certificate(), new.certificate());
     for authority in [both, &*new.certificate()] {
@@ -245,18 +252,26 @@
             settings.authority = authority.into();
             node.transport.reload(&settings).unwrap();
         }
-        assert_eq!(&*a.deliver(&b, b"new keys").payload, b"new keys");
-        assert_eq!(&*b.deliver(&a, b"new keys").payload, b"new keys");
+        assert_eq!(
+            &*a.send_until_received(&b, b"new keys").payload,
+            b"new keys"
+        );
+        assert_eq!(
+            &*b.send_until_received(&a, b"new keys").payload,
+            b"new keys"
+        );
     }
 
-    let sent = straggler.transport.traffic().sent;
+    let sent = old_key_holder.transport.traffic().sent;
     b.inbox.drain();
-    straggler.transport.send(b.address(), b"old keys".to_vec());
+    old_key_holder
+        .transport
+        .send(b.address(), b"old keys".to_vec());
     eventually(|| {
-        let traffic = straggler.transport.traffic();
+        let traffic = old_key_holder.transport.traffic();
         traffic.lost + traffic.dropped > 0
     });
-    assert_eq!(straggler.transport.traffic().sent, sent);
+    assert_eq!(old_key_holder.transport.traffic().sent, sent);
     assert!(
         b.inbox
             .drain()
@@ -280,7 +295,10 @@
     let message = a.transport.reload(&broken).unwrap_err().to_string();
 
     assert!(message.contains("setting key"), "{message}");
-    assert_eq!(&*a.deliver(&b, b"as before").payload, b"as before");
+    assert_eq!(
+        &*a.send_until_received(&b, b"as before").payload,
+        b"as before"
+    );
 }
 
 #[test]
@@ -316,20 +334,23 @@
     };
     let mut settings = authority.settings("instance-q", loopback()).unwrap();
     settings.limits.handshake_ms = 50;
-    let q = Node::start(settings);
+    let sender = Node::start(settings);
     let mut address = a.address();
     address.address = unused;
 
     for _ in 0..5 {
-        assert!(q.transport.send(address.clone(), b"x".to_vec()));
+        assert!(sender.transport.send(address.clone(), b"x".to_vec()));
     }
-    eventually(|| q.transport.traffic().dropped == 5);
+    eventually(|| sender.transport.traffic().dropped == 5);
 
-    assert_eq!(&*q.deliver(&a, b"elsewhere").payload, b"elsewhere");
+    assert_eq!(
+        &*sender.send_until_received(&a, b"elsewhere").payload,
+        b"elsewhere"
+    );
 }
 
-// Symptom: an instance is still a peer after its certificate has run out. Sequence: it keeps its
-// connection busy. Cause: certificates are looked at only when a connection is made.
+// Guards against an instance that stays connected after its certificate has expired, because it keeps
+// its connection busy and certificates are verified only in the handshake.
 #[test]
 fn a_connection_is_replaced_at_its_age() {
     let authority = testing::authority();
@@ -338,17 +359,17 @@
     let a = Node::start(settings);
     let b = node(&authority, "instance-b");
 
-    a.deliver(&b, b"first");
+    a.send_until_received(&b, b"first");
     eventually(|| {
-        a.deliver(&b, b"again");
+        a.send_until_received(&b, b"again");
         a.transport.traffic().dialled > 1
     });
 
     assert_eq!(a.transport.traffic().lost, 0);
 }
 
-// Symptom: the process runs out of memory or descriptors. Sequence: more connections arrive than the
-// instance has room for. Cause: no bound on connections taken.
+// Guards against running out of memory or file descriptors when more connections arrive than the
+// instance can hold: the number of inbound connections must be bounded.
 #[test]
 fn connections_beyond_the_limit_are_refused_until_there_is_room() {
     let authority = testing::authority();
@@ -357,13 +378,13 @@
     let b = Node::start(settings);
     let a = node(&authority, "instance-a");
     let c = node(&authority, "instance-c");
-    a.deliver(&b, b"first");
+    a.send_until_received(&b, b"first");
 
     c.transport.send(b.address(), b"no room".to_vec());
     eventually(|| c.transport.traffic().dropped > 0);
     eventually(|| b.transport.traffic().refused > 0);
     a.transport.close(Duration::ZERO);
-    let later = c.deliver(&b, b"room again");
+    let later = c.send_until_received(&b, b"room again");
 
     assert_eq!(&*later.from, "instance-c");
 }
--- a/crates/fescuewell_platform/src/settings.rs
+++ b/crates/fescuewell_platform/src/settings.rs
@@ -14,7 +14,7 @@
     /// Address, `http://ip:port` or `https://ip:port`.
     pub address: Arc<str>,
     /// Certificates of the authorities trusted to sign an `https` store's certificate: the path of a PEM file, or the PEM
-    /// text itself. The system's root certificates are not trusted.
+    /// text itself. No other authorities are trusted.
     #[serde(default)]
     pub authority: Option<Arc<str>>,
     /// Source of the bearer token, if the store requires one.
