--- a/crates/fescuewell_platform/src/settings.rs
+++ b/crates/fescuewell_platform/src/settings.rs
@@ -66,7 +66,7 @@
         reason: Arc<str>,
     },
     /// A timeout is zero.
-    #[snafu(display("the timeouts of {address:?} must be at least 1 ms"))]
+    #[snafu(display("the time limits of {address:?} must be at least 1 ms"))]
     Timeout {
         /// The address as set.
         address: Arc<str>,
