--- a/crates/fescuewell_peer/src/credentials/authority.rs
+++ b/crates/fescuewell_peer/src/credentials/authority.rs
@@ -1,4 +1,4 @@
-//! A certificate authority of our own, for the demo and for tests.
+//! In-memory certificate authority for the demo and for tests.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,29 +10,29 @@
 
 use crate::settings::{Limits, Settings};
 
-/// An authority that signs instances' certificates, held in memory.
+/// A certificate authority that signs instances' certificates and exists only in memory.
 ///
-/// Operators of a real fleet use their own; nothing here stores or renews anything.
+/// It is not meant for production: it does not store or renew certificates.
 pub struct Authority {
     certificate: Arc<str>,
     issuer: Issuer<'static, KeyPair>,
 }
 
-/// What an authority issued to one instance.
+/// A certificate and its private key, issued to one instance.
 #[derive(Clone)]
-pub struct Issued {
+pub struct CertifiedKey {
     /// The instance's certificate, as PEM.
     pub certificate: Arc<str>,
-    /// Its private key, as PEM.
+    /// The certificate's private key, as PEM.
     pub key: Arc<str>,
 }
 
 impl Authority {
-    /// Makes an authority with a fresh key.
+    /// Creates an authority with a new key.
     ///
     /// # Errors
     ///
-    /// When no key can be generated.
+    /// When key generation fails.
     pub fn new(name: &str) -> Result<Self, rcgen::Error> {
         let key = KeyPair::generate()?;
         let mut params = CertificateParams::new(Vec::new())?;
@@ -47,26 +47,26 @@
         })
     }
 
-    /// The authority's certificate, as PEM.
+    /// Returns the authority's certificate, as PEM.
     pub fn certificate(&self) -> Arc<str> {
         self.certificate.clone()
     }
 
-    /// Signs a certificate for an instance.
+    /// Issues a certificate for an instance.
     ///
     /// # Errors
     ///
-    /// When the name cannot stand in a certificate or no key can be generated.
-    pub fn issue(&self, instance: &str) -> Result<Issued, rcgen::Error> {
-        self.issue_for(vec![instance.into()])
+    /// When the name is not a valid DNS name or key generation fails.
+    pub fn issue(&self, instance: &str) -> Result<CertifiedKey, rcgen::Error> {
+        self.issue_for_names(vec![instance.into()])
     }
 
-    /// Signs a certificate with these DNS names, one or not.
+    /// Issues a certificate with any number of DNS names; only one with exactly one name is accepted.
     ///
     /// # Errors
     ///
     /// Those of [`Self::issue`].
-    pub fn issue_for(&self, names: Vec<String>) -> Result<Issued, rcgen::Error> {
+    pub fn issue_for_names(&self, names: Vec<String>) -> Result<CertifiedKey, rcgen::Error> {
         let key = KeyPair::generate()?;
         let mut params = CertificateParams::new(names)?;
         params.key_usages = vec![KeyUsagePurpose::DigitalSignature];
@@ -75,13 +75,13 @@
             ExtendedKeyUsagePurpose::ClientAuth,
         ];
         let certificate = params.signed_by(&key, &self.issuer)?;
-        Ok(Issued {
+        Ok(CertifiedKey {
             certificate: certificate.pem().into(),
             key: key.serialize_pem().into(),
         })
     }
 
-    /// Settings for an instance that trusts this authority and got its certificate from it.
+    /// Returns settings for an instance with a certificate of this authority, which it also trusts.
     ///
     /// # Errors
     ///
--- a/crates/fescuewell_platform/src/memory/objects.rs
+++ b/crates/fescuewell_platform/src/memory/objects.rs
@@ -1,11 +1,11 @@
-//! The in-memory object store.
+//! In-memory object store.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use fescuewell_core::platform::{self, Error};
 
-use super::fault::{Fate, Fault};
+use super::fault::{CallResult, Fault};
 
 const SERVICE: &str = "object store";
 
@@ -19,12 +19,12 @@
 type Content = BTreeMap<Arc<str>, Arc<[u8]>>;
 
 impl Objects {
-    /// The controls of this store's faults.
+    /// Returns the fault controls of this store.
     pub fn fault(&self) -> &Fault {
         &self.fault
     }
 
-    /// The names of all objects, whatever the faults.
+    /// Returns the names of all objects, ignoring any faults.
     pub fn names(&self) -> Vec<Arc<str>> {
         self.lock().keys().cloned().collect()
     }
@@ -35,15 +35,15 @@
 
     fn store(&self, name: &str, content: &[u8]) {
         self.lock().insert(name.into(), content.into());
-        self.fault.wrote(1);
+        self.fault.record_writes(1);
     }
 }
 
-fn failed(fate: Fate) -> Error {
-    let reason = match fate {
-        Fate::Down => "switched off",
-        Fate::Busy => "over its limit",
-        Fate::Answered | Fate::ReplyLost | Fate::RequestLost => "no reply",
+fn error_of(result: CallResult) -> Error {
+    let reason = match result {
+        CallResult::Down => "service is down",
+        CallResult::Busy => "rate limit exceeded",
+        CallResult::Completed | CallResult::ReplyLost | CallResult::RequestLost => "no reply",
     };
     Error {
         service: SERVICE,
@@ -53,20 +53,20 @@
 
 impl platform::ObjectStore for Objects {
     fn put(&self, name: &str, content: &[u8]) -> Result<(), Error> {
-        let fate = self.fault.on_transaction(1);
-        if matches!(fate, Fate::Answered | Fate::ReplyLost) {
+        let result = self.fault.on_transaction(1);
+        if matches!(result, CallResult::Completed | CallResult::ReplyLost) {
             self.store(name, content);
         }
-        match fate {
-            Fate::Answered => Ok(()),
-            _ => Err(failed(fate)),
+        match result {
+            CallResult::Completed => Ok(()),
+            _ => Err(error_of(result)),
         }
     }
 
     fn get(&self, name: &str) -> Result<Option<Vec<u8>>, Error> {
         match self.fault.on_read() {
-            Fate::Answered => Ok(self.lock().get(name).map(|content| content.to_vec())),
-            fate => Err(failed(fate)),
+            CallResult::Completed => Ok(self.lock().get(name).map(|content| content.to_vec())),
+            result => Err(error_of(result)),
         }
     }
 }
--- a/crates/fescuewell_router/src/daemon.rs
+++ b/crates/fescuewell_router/src/daemon.rs
@@ -241,7 +241,7 @@
     settings: &Settings,
     events: &flume::Sender<NodeEvent>,
 ) -> Result<Arc<Transport>, Error> {
-    let (inbox, messages) = flume::bounded::<fescuewell_peer::Incoming>(PEER_CHANNEL_CAPACITY);
+    let (inbox, messages) = flume::bounded::<fescuewell_peer::Message>(PEER_CHANNEL_CAPACITY);
     let transport = Transport::start(settings.peers.clone(), inbox).context(PeersSnafu)?;
     let events = events.clone();
     std::thread::Builder::new()
@@ -252,7 +252,7 @@
 }
 
 fn decode_messages(
-    messages: &flume::Receiver<fescuewell_peer::Incoming>,
+    messages: &flume::Receiver<fescuewell_peer::Message>,
     events: &flume::Sender<NodeEvent>,
 ) {
     for incoming in messages.iter() {
