--- a/tests/scenario/proxy.rs
+++ b/tests/scenario/proxy.rs
@@ -7,24 +7,26 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// What the proxy's threads share.
+/// State shared by the threads of a proxy.
 #[derive(Default)]
 struct State {
-    is_cut: AtomicBool,
-    /// The listener is to be dropped.
+    /// New connections are closed at once.
+    is_partitioned: AtomicBool,
+    /// The accept loop is to drop the listener and end.
     is_closed: AtomicBool,
-    /// Connections up to this number pass nothing any more and stay open.
-    silenced: AtomicU64,
-    /// Connections up to this number pass nothing back to the client any more and stay open.
-    deafened: AtomicU64,
-    /// Connections made so far.
-    made: AtomicU64,
-    open: Mutex<HashMap<u64, [TcpStream; 2]>>,
+    /// Highest number of the connections that stay open but forward nothing.
+    blackholed: AtomicU64,
+    /// Highest number of the connections that stay open but forward nothing to the client.
+    replies_dropped: AtomicU64,
+    /// Number of connections accepted so far.
+    accepted: AtomicU64,
+    /// Both streams of each open connection, by its number.
+    connections: Mutex<HashMap<u64, [TcpStream; 2]>>,
 }
 
-/// A proxy before one upstream address. It lives as long as the test's process.
+/// A proxy in front of one upstream address. Its listener thread runs until [`Proxy::close`] or the end of the test process.
 pub struct Proxy {
-    /// Where to connect.
+    /// Address on which the proxy listens.
     pub address: SocketAddr,
     state: Arc<State>,
 }
@@ -47,103 +49,110 @@
         Self { address, state }
     }
 
-    /// Breaks every connection and refuses new ones.
-    pub fn cut(&self) {
-        self.state.is_cut.store(true, Ordering::SeqCst);
+    /// Closes every connection, and closes new ones right after accepting them.
+    pub fn partition(&self) {
+        self.state.is_partitioned.store(true, Ordering::SeqCst);
         self.drop_connections();
     }
 
-    /// Lets new connections through again.
+    /// Accepts new connections again after [`Proxy::partition`].
     pub fn heal(&self) {
-        self.state.is_cut.store(false, Ordering::SeqCst);
+        self.state.is_partitioned.store(false, Ordering::SeqCst);
     }
 
-    /// Breaks every connection and drops the listener for good: connections are refused by the system, so
-    /// that a client knows that nothing was sent.
+    /// Closes every connection and the listener for good. The system then refuses connections, so that a client knows
+    /// that nothing was sent.
     pub fn close(&self) {
         self.state.is_closed.store(true, Ordering::SeqCst);
-        // Ends the wait for the next connection. The listener is gone once a connection is refused.
+        // Each attempt unblocks the accept loop. A refused one shows that the listener is closed.
         while TcpStream::connect(self.address).is_ok() {
             thread::yield_now();
         }
         self.drop_connections();
     }
 
-    /// Breaks every connection; new ones work.
+    /// Closes every open connection. New ones are forwarded.
     pub fn drop_connections(&self) {
-        let open = std::mem::take(&mut *self.state.open.lock().expect("no panic holds the lock"));
-        for stream in open.into_values().flatten() {
+        let connections = std::mem::take(
+            &mut *self
+                .state
+                .connections
+                .lock()
+                .expect("no panic holds the lock"),
+        );
+        for stream in connections.into_values().flatten() {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
-    /// Lets the connections that are open now pass nothing more; new ones work.
-    pub fn silence(&self) {
-        let made = self.state.made.load(Ordering::SeqCst);
-        self.state.silenced.store(made, Ordering::SeqCst);
+    /// Keeps the current connections open but forwards nothing on them. New ones are forwarded.
+    pub fn blackhole(&self) {
+        let accepted = self.state.accepted.load(Ordering::SeqCst);
+        self.state.blackholed.store(accepted, Ordering::SeqCst);
     }
 
-    /// Lets the connections that are open now pass nothing more back to the client: what it sends still arrives.
+    /// Stops forwarding replies on the current connections. Requests of the client still reach the upstream.
     #[allow(dead_code, reason = "each test program uses its own part of the proxy")]
-    pub fn deafen(&self) {
-        let made = self.state.made.load(Ordering::SeqCst);
-        self.state.deafened.store(made, Ordering::SeqCst);
+    pub fn drop_replies(&self) {
+        let accepted = self.state.accepted.load(Ordering::SeqCst);
+        self.state.replies_dropped.store(accepted, Ordering::SeqCst);
     }
 }
 
 fn serve(client: TcpStream, upstream: SocketAddr, state: &Arc<State>) {
-    if state.is_cut.load(Ordering::SeqCst) {
+    if state.is_partitioned.load(Ordering::SeqCst) {
         return;
     }
     let Ok(server) = TcpStream::connect(upstream) else {
         return;
     };
-    let number = state.made.fetch_add(1, Ordering::SeqCst) + 1;
+    let number = state.accepted.fetch_add(1, Ordering::SeqCst) + 1;
     let _ = client.set_nodelay(true);
     let _ = server.set_nodelay(true);
     if let (Ok(client), Ok(server)) = (client.try_clone(), server.try_clone()) {
-        let mut open = state.open.lock().expect("no panic holds the lock");
-        open.insert(number, [client, server]);
+        let mut connections = state.connections.lock().expect("no panic holds the lock");
+        connections.insert(number, [client, server]);
     }
-    for (from, to, is_back) in [(&client, &server, false), (&server, &client, true)] {
+    for (from, to, to_client) in [(&client, &server, false), (&server, &client, true)] {
         let (Ok(from), Ok(to)) = (from.try_clone(), to.try_clone()) else {
             return;
         };
         let state = state.clone();
-        thread::spawn(move || copy(from, to, Way { number, is_back }, &state));
+        thread::spawn(move || copy(from, to, Direction { number, to_client }, &state));
     }
 }
 
-/// One direction of one connection.
+/// One direction of a connection.
 #[derive(Clone, Copy)]
-struct Way {
+struct Direction {
     number: u64,
-    is_back: bool,
+    to_client: bool,
 }
 
-fn copy(mut from: TcpStream, mut to: TcpStream, way: Way, state: &State) {
+fn copy(mut from: TcpStream, mut to: TcpStream, direction: Direction, state: &State) {
     let mut buffer = [0u8; 16 * 1024];
     while let Ok(count) = from.read(&mut buffer) {
-        let silenced = state.silenced.load(Ordering::SeqCst);
-        let deafened = state.deafened.load(Ordering::SeqCst);
-        let is_silent = way.number <= silenced || (way.is_back && way.number <= deafened);
-        if count == 0 && is_silent {
+        let blackholed = state.blackholed.load(Ordering::SeqCst);
+        let replies_dropped = state.replies_dropped.load(Ordering::SeqCst);
+        let is_dropped = direction.number <= blackholed
+            || (direction.to_client && direction.number <= replies_dropped);
+        if count == 0 && is_dropped {
             return;
         }
         if count == 0 {
             break;
         }
-        if !is_silent && to.write_all(&buffer[..count]).is_err() {
+        if !is_dropped && to.write_all(&buffer[..count]).is_err() {
             break;
         }
     }
-    // One end closed: nothing more is expected in either direction of these protocols. Kept descriptors
-    // would use up the process's limit after some hundred connections.
+    // Closes both directions once one end closes, as these protocols send nothing afterwards. Descriptors left open would
+    // exhaust the limit of the process after some hundred connections.
     let _ = to.shutdown(Shutdown::Both);
     let _ = from.shutdown(Shutdown::Both);
     state
-        .open
+        .connections
         .lock()
         .expect("no panic holds the lock")
-        .remove(&way.number);
+        .remove(&direction.number);
 }
--- a/tests/scenario/runner.rs
+++ b/tests/scenario/runner.rs
@@ -315,11 +315,11 @@
     fn proxy(&mut self, action: &str, name: &str) -> Shown {
         let proxy = self.fleet().proxies.get(name).ok_or("no such proxy")?;
         match action {
-            "cut" => proxy.cut(),
+            "cut" => proxy.partition(),
             "heal" => proxy.heal(),
             "drop" => proxy.drop_connections(),
             "close" => proxy.close(),
-            _ => proxy.silence(),
+            _ => proxy.blackhole(),
         }
         Ok(String::new())
     }
--- a/tests/soak/caller.rs
+++ b/tests/soak/caller.rs
@@ -1,4 +1,4 @@
-//! Callers that send requests of all kinds and note what comes back.
+//! Threads that send random requests to the instances and record the responses.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -12,14 +12,14 @@
 
 use crate::fixture::{Request, Response, read_response};
 
-/// Tokens of a prompt.
-pub const PROMPT: u64 = 500;
-/// Most tokens of an answer.
-pub const MOST_OUTPUT: u64 = 100;
-/// Longest wait for an answer: longer than any deadline.
-const PATIENCE: Duration = Duration::from_secs(12);
+/// Prompt tokens that each streaming request declares.
+pub const PROMPT_TOKENS: u64 = 500;
+/// Upper bound of output tokens that each streaming request declares.
+pub const MAX_OUTPUT_TOKENS: u64 = 100;
+/// Socket read timeout. Exceeds every request deadline, so that a late response is still recorded.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// What a caller asked for.
+/// Kind of request: whether it streams and whether a server may run it more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
     Safe,
@@ -28,34 +28,39 @@
     StreamOnce,
 }
 
-/// One request and what became of it.
+/// A request and the response to it, or `None` if no response was read.
 #[derive(Debug, Clone)]
-pub struct Note {
+pub struct Exchange {
     pub id: String,
     pub kind: Kind,
-    pub answer: Option<Response>,
+    pub response: Option<Response>,
 }
 
-/// A thread that goes on until it is told to stop.
+/// A thread that sends requests until `stop` is set.
 pub struct Caller {
-    thread: JoinHandle<Vec<Note>>,
+    thread: JoinHandle<Vec<Exchange>>,
 }
 
 impl Caller {
-    pub fn start(seed: u64, name: usize, fronts: Vec<SocketAddr>, stop: Arc<AtomicBool>) -> Self {
-        let random = SmallRng::seed_from_u64(seed * 1_000 + name as u64);
-        let thread = std::thread::spawn(move || run(random, name, &fronts, &stop));
+    pub fn start(seed: u64, index: usize, fronts: Vec<SocketAddr>, stop: Arc<AtomicBool>) -> Self {
+        let random = SmallRng::seed_from_u64(seed * 1_000 + index as u64);
+        let thread = std::thread::spawn(move || run(random, index, &fronts, &stop));
         Self { thread }
     }
 
-    pub fn join(self) -> Vec<Note> {
+    pub fn join(self) -> Vec<Exchange> {
         self.thread.join().unwrap_or_default()
     }
 }
 
-fn run(mut random: SmallRng, name: usize, fronts: &[SocketAddr], stop: &AtomicBool) -> Vec<Note> {
-    let mut notes = Vec::new();
-    let mut kept: Vec<Option<TcpStream>> = fronts.iter().map(|_| None).collect();
+fn run(
+    mut random: SmallRng,
+    index: usize,
+    fronts: &[SocketAddr],
+    stop: &AtomicBool,
+) -> Vec<Exchange> {
+    let mut exchanges = Vec::new();
+    let mut idle: Vec<Option<TcpStream>> = fronts.iter().map(|_| None).collect();
     for number in 0.. {
         if stop.load(Ordering::Acquire) {
             break;
@@ -67,29 +72,29 @@
             2 => Kind::Stream,
             _ => Kind::StreamOnce,
         };
-        let id = format!("c{name}-{number}");
-        // Open connections are used until their process is gone.
-        let connection = kept[at].take().or_else(|| open(fronts[at]));
+        let id = format!("c{index}-{number}");
+        // Reuses the connection until the instance closes it or ends.
+        let connection = idle[at].take().or_else(|| connect(fronts[at]));
         let Some(mut connection) = connection else {
             std::thread::sleep(Duration::from_millis(random.random_range(1..20)));
             continue;
         };
-        let answer = ask(&mut connection, kind, &id);
-        if let Some(answer) = &answer
-            && answer.is_complete
-            && answer.header("connection") != Some("close")
+        let response = send_request(&mut connection, kind, &id);
+        if let Some(response) = &response
+            && response.is_complete
+            && response.header("connection") != Some("close")
         {
-            kept[at] = Some(connection);
+            idle[at] = Some(connection);
         }
-        notes.push(Note { id, kind, answer });
+        exchanges.push(Exchange { id, kind, response });
         std::thread::sleep(Duration::from_millis(random.random_range(1..15)));
     }
-    notes
+    exchanges
 }
 
-fn open(front: SocketAddr) -> Option<TcpStream> {
+fn connect(front: SocketAddr) -> Option<TcpStream> {
     let connection = TcpStream::connect_timeout(&front, Duration::from_secs(1)).ok()?;
-    connection.set_read_timeout(Some(PATIENCE)).ok()?;
+    connection.set_read_timeout(Some(RESPONSE_TIMEOUT)).ok()?;
     Some(connection)
 }
 
@@ -103,11 +108,11 @@
 }
 
 fn stream(line: &str, id: &str) -> Request {
-    let request = Request::new(line, id).with_tokens(PROMPT, MOST_OUTPUT);
+    let request = Request::new(line, id).with_tokens(PROMPT_TOKENS, MAX_OUTPUT_TOKENS);
     request.with_body(b"prompt")
 }
 
-fn ask(connection: &mut TcpStream, kind: Kind, id: &str) -> Option<Response> {
+fn send_request(connection: &mut TcpStream, kind: Kind, id: &str) -> Option<Response> {
     connection.write_all(&request(kind, id).bytes()).ok()?;
     read_response(connection)
 }
--- a/tests/soak/fault.rs
+++ b/tests/soak/fault.rs
@@ -1,58 +1,58 @@
-//! What is done to the system from outside.
+//! Faults that the soak injects into the system from outside.
 
 use fescuewell::standin::rows;
 use fescuewell::standin::worker::Behaviour;
 use rand::Rng;
 use rand::rngs::SmallRng;
 
-/// One fault, with what it strikes.
+/// A fault and the index of the instance or backend server that it affects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// An instance stands still.
+    /// Suspends an instance with SIGSTOP.
     Pause(usize),
-    /// An instance is killed and started again.
+    /// Kills an instance and later restarts it.
     Kill(usize),
-    /// An instance is asked to stop and started again.
+    /// Stops an instance with SIGTERM and later restarts it.
     Stop(usize),
-    /// All instances are killed at once.
+    /// Kills all instances at once.
     KillAll,
-    /// An instance loses the way to the store.
-    Cut(usize),
-    /// Its connections to the store go silent.
-    Silence(usize),
-    /// The store's answers to it go missing.
-    Deafen(usize),
-    /// Its connections to the store are reset.
+    /// Closes the connections of an instance to the store, and new ones right after accepting them.
+    Partition(usize),
+    /// Stops forwarding on the open connections of an instance to the store, in both directions.
+    Blackhole(usize),
+    /// Drops the replies of the store to an instance.
+    DropReplies(usize),
+    /// Closes the open connections of an instance to the store.
     Reset(usize),
-    /// The store misbehaves for all.
+    /// Makes the store fail for all instances.
     Store(rows::Fault),
-    /// The store forgets its history.
+    /// Compacts the history of the store.
     Compact,
-    /// A backend server misbehaves with its next requests.
-    Worker(usize, Behaviour),
-    /// A backend server drains and comes back.
+    /// Makes a backend server fail its next requests.
+    Server(usize, Behaviour),
+    /// Registers a backend server as draining and later as ready.
     Drain(usize),
-    /// The operator tops the account up.
+    /// Adds prepaid tokens to the client account.
     TopUp,
 }
 
-/// Draws a fault.
-pub fn draw(random: &mut SmallRng, instances: usize, workers: usize) -> Fault {
+/// Draws a random fault.
+pub fn draw(random: &mut SmallRng, instances: usize, servers: usize) -> Fault {
     let instance = random.random_range(0..instances);
-    let worker = random.random_range(0..workers);
+    let server = random.random_range(0..servers);
     match random.random_range(0..16) {
         0 => Fault::Pause(instance),
         1 => Fault::Kill(instance),
         2 => Fault::Stop(instance),
         3 => Fault::KillAll,
-        4 => Fault::Cut(instance),
-        5 => Fault::Silence(instance),
-        6 => Fault::Deafen(instance),
+        4 => Fault::Partition(instance),
+        5 => Fault::Blackhole(instance),
+        6 => Fault::DropReplies(instance),
         7 => Fault::Reset(instance),
         8 => Fault::Store(store(random)),
         9 => Fault::Compact,
-        10..=12 => Fault::Worker(worker, behaviour(random)),
-        13 => Fault::Drain(worker),
+        10..=12 => Fault::Server(server, behaviour(random)),
+        13 => Fault::Drain(server),
         _ => Fault::TopUp,
     }
 }
--- a/tests/soak/instance.rs
+++ b/tests/soak/instance.rs
@@ -1,4 +1,4 @@
-//! One instance as a process of its own.
+//! An instance that runs as a child process.
 
 use std::net::{IpAddr, SocketAddr, TcpListener};
 use std::path::PathBuf;
@@ -9,39 +9,40 @@
 
 use crate::proxy::Proxy;
 
-/// A loopback address for each instance of each test process: the metrics port is the same everywhere.
-fn own_address(index: usize) -> IpAddr {
+/// Returns a loopback address unique to this instance and test process, as all instances use the same metrics port.
+fn loopback_address(index: usize) -> IpAddr {
     let process = std::process::id();
     let [high, low] = [(process / 250 % 250) as u8, (process % 250) as u8];
     IpAddr::from([127, high + 1, low + 1, index as u8 + 1])
 }
 
-/// Two free ports of an address. Both are held until both are known: one that is let go at once may be given out again, and a
-/// process that is told to listen on it twice ends at its start.
+/// Returns two free ports of an address. Both probes stay bound until both ports are known: the system may assign a released
+/// port again, and an instance with the same port for two listeners exits at start.
 fn free_ports(address: IpAddr) -> [SocketAddr; 2] {
     let probes = [(); 2].map(|()| TcpListener::bind((address, 0)).unwrap());
     probes.map(|probe| probe.local_addr().unwrap())
 }
 
-/// Port for messages between instances. Each has an address of its own.
+/// Port for messages between instances. The same for all, as each instance has its own address.
 const PEER_PORT: u16 = 18_500;
-/// Port of the metrics.
+/// Port of the metrics endpoint.
 const METRICS_PORT: u16 = 9_464;
 
+/// An instance with its settings file and its proxy to the store. Dropping it kills the process.
 pub struct Instance {
     pub front: SocketAddr,
     ready: SocketAddr,
     settings: PathBuf,
-    /// Between the instance and the store.
+    /// Proxy between the instance and the store, which injects network faults.
     pub proxy: Proxy,
     child: Option<Child>,
 }
 
 impl Instance {
-    /// Writes the settings; nothing runs yet.
+    /// Writes the settings file and starts the proxy, but not the process.
     pub fn new(index: usize, seed: u64, store: SocketAddr) -> Self {
         let proxy = Proxy::start(store);
-        let [front, ready] = free_ports(own_address(index));
+        let [front, ready] = free_ports(loopback_address(index));
         let name = format!("fescuewell-soak-{}-{seed}-{index}.conf", std::process::id());
         let settings = std::env::temp_dir().join(name);
         let text = format!(
@@ -71,7 +72,7 @@
         self.child = Some(child);
     }
 
-    /// With `SOAK_LOGS` set, logs are kept in that folder.
+    /// Returns the log file in the folder `SOAK_LOGS`, or discards the log if the variable is unset.
     fn log(&self) -> Stdio {
         let Some(folder) = std::env::var_os("SOAK_LOGS") else {
             return Stdio::null();
@@ -93,7 +94,7 @@
         wait_until(|| crate::fixture::status(self.ready, crate::wire::READY_PATH) == Some(200))
     }
 
-    /// Waits until its metrics show so many quarantined requests.
+    /// Waits until the metrics of the instance report `count` quarantined requests.
     pub fn wait_quarantined(&self, count: u64) -> bool {
         let address = SocketAddr::new(self.front.ip(), METRICS_PORT);
         let line = format!("of=\"quarantined\",otel_scope_name=\"fescuewell\"}} {count}\n");
@@ -107,7 +108,7 @@
         let Some(child) = &self.child else {
             return;
         };
-        // Only a process that this instance started, by its id.
+        // Signals only the child process, by its id.
         if let Some(pid) = Pid::from_raw(child.id().cast_signed()) {
             let _ = kill_process(pid, signal);
         }
@@ -126,8 +127,8 @@
         self.reap();
     }
 
-    /// Asks it to stop, and waits for its end. One that is paused goes on first: the request would wait as long as the pause, which
-    /// nobody ends meanwhile.
+    /// Sends SIGTERM and waits for the process to exit. Also resumes it: a suspended process would not handle the signal, and
+    /// the wait would never end.
     pub fn stop(&mut self) {
         self.signal(Signal::TERM);
         self.resume();
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -1,8 +1,8 @@
-//! A randomized soak of the forwarding path: real processes of the program, faults from outside, promises checked by what
-//! callers and backend servers see.
+//! A randomized soak test of the forwarding path. It runs instances as processes, injects faults from outside, and checks the
+//! guarantees against what callers and backend servers observe.
 //!
 //! ```sh
-//! cargo test --test soak                                    # the regression seeds and two more
+//! cargo test --test soak                                    # the regression seeds and seeds 1 and 2
 //! SOAK_SEED=100 SOAK_SEEDS=50 cargo test --release --test soak    # fifty seeds from 100 on
 //! ```
 
@@ -18,16 +18,16 @@
 mod proxy;
 mod verdict;
 #[path = "../forward/wire.rs"]
-#[allow(dead_code, reason = "the soak uses a part of the names")]
+#[allow(dead_code, reason = "the soak uses a part of the constants")]
 mod wire;
 mod world;
 
 use world::World;
 
-/// Seeds that ever failed, with the cause of each; see `regressions.txt`.
+/// Seeds that failed before, each with its cause.
 const REGRESSIONS: &str = include_str!("regressions.txt");
-/// Seeds of a run in CI beside those.
-const SEEDS: u64 = 2;
+/// Number of seeds, from 1, that run by default in addition to the regressions.
+const DEFAULT_SEEDS: u64 = 2;
 
 fn seeds() -> Vec<u64> {
     let number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse().ok());
@@ -36,17 +36,17 @@
     }
     let known = REGRESSIONS.lines().filter(|line| !line.starts_with('#'));
     let known = known.filter_map(|line| line.split_whitespace().next()?.parse().ok());
-    known.chain(1..=SEEDS).collect()
+    known.chain(1..=DEFAULT_SEEDS).collect()
 }
 
-/// Symptom looked for: any broken promise. Sequence: drawn from the seed. Each failure names its seed, which goes into
-/// `regressions.txt` with a line on the cause.
+/// Guards against violated guarantees under a random sequence of faults drawn from the seed. Add the seed of a failure to
+/// `regressions.txt`, with a line on the cause.
 #[test]
 fn promises_hold_under_drawn_faults() {
     for seed in seeds() {
         let mut world = World::start(seed);
-        world.play();
-        let broken = world.finish();
-        assert!(broken.is_empty(), "seed {seed}: {broken:#?}");
+        world.inject_faults();
+        let violations = world.finish();
+        assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
     }
 }
--- a/tests/soak/verdict.rs
+++ b/tests/soak/verdict.rs
@@ -1,95 +1,110 @@
-//! The promises, as callers and backend servers see them.
+//! Checks of the guarantees against what callers and backend servers observed.
 
 use std::collections::HashMap;
 
 use fescuewell::standin::worker::{EVENTS, Run};
 
-use crate::caller::{Kind, Note, PROMPT};
+use crate::caller::{Exchange, Kind, PROMPT_TOKENS};
 use crate::poison;
 
-/// Output tokens of one event, as the configuration says.
+/// Output tokens of one event, as set in the configuration.
 const TOKENS_PER_EVENT: u64 = 7;
 
-/// Every broken promise, in words.
-pub fn broken(notes: &[Note], runs: &[Vec<Run>], prepaid: u64) -> Vec<String> {
-    let mut count: HashMap<&str, usize> = HashMap::new();
+/// Describes every violated guarantee.
+pub fn violations(exchanges: &[Exchange], runs: &[Vec<Run>], prepaid: u64) -> Vec<String> {
+    let mut run_counts: HashMap<&str, usize> = HashMap::new();
     for run in runs.iter().flatten() {
-        *count.entry(&run.id).or_default() += 1;
+        *run_counts.entry(&run.id).or_default() += 1;
     }
-    let mut broken = Vec::new();
-    for note in notes {
-        let ran = count.get(note.id.as_str()).copied().unwrap_or_default();
-        broken.extend(fault(note, ran));
+    let mut violations = Vec::new();
+    for exchange in exchanges {
+        let run_count = run_counts
+            .get(exchange.id.as_str())
+            .copied()
+            .unwrap_or_default();
+        violations.extend(violation(exchange, run_count));
     }
-    let served = notes.iter().filter(|note| is_success(note)).count();
+    let served = exchanges
+        .iter()
+        .filter(|exchange| is_success(exchange))
+        .count();
     if served == 0 {
-        broken.push("nothing was served".into());
+        violations.push("no request was served".into());
     }
-    let spent = spent(notes, &count);
-    if spent > prepaid {
-        broken.push(format!("{spent} tokens of {prepaid}"));
+    let consumed_tokens = consumed_tokens(exchanges, &run_counts);
+    if consumed_tokens > prepaid {
+        violations.push(format!(
+            "{consumed_tokens} tokens were consumed of {prepaid} prepaid"
+        ));
     }
-    broken
+    violations
 }
 
-fn is_success(note: &Note) -> bool {
-    note.answer
+fn is_success(exchange: &Exchange) -> bool {
+    exchange
+        .response
         .as_ref()
-        .is_some_and(|answer| answer.status == 200)
+        .is_some_and(|response| response.status == 200)
 }
 
-fn fault(note: &Note, ran: usize) -> Option<String> {
-    let may_repeat = matches!(note.kind, Kind::Safe | Kind::Stream);
-    if !may_repeat && ran > 1 {
-        return Some(format!("{} ran {ran} times", note.id));
+fn violation(exchange: &Exchange, run_count: usize) -> Option<String> {
+    let may_repeat = matches!(exchange.kind, Kind::Safe | Kind::Stream);
+    if !may_repeat && run_count > 1 {
+        return Some(format!("{} ran {run_count} times", exchange.id));
     }
-    let answer = note.answer.as_ref()?;
-    if poison::is_quarantined(answer) {
-        return Some(format!("{} crashes nothing and is quarantined", note.id));
+    let response = exchange.response.as_ref()?;
+    if poison::is_quarantined(response) {
+        return Some(format!(
+            "{} crashes nothing and is quarantined",
+            exchange.id
+        ));
     }
-    let says_not_run = matches!(answer.status, 402 | 408 | 421 | 429 | 503);
-    if says_not_run && !may_repeat && ran > 0 {
+    let claims_not_run = matches!(response.status, 402 | 408 | 421 | 429 | 503);
+    if claims_not_run && !may_repeat && run_count > 0 {
         return Some(format!(
             "{} was answered {} and ran",
-            note.id, answer.status
+            exchange.id, response.status
         ));
     }
-    if answer.status != 200 {
+    if response.status != 200 {
         return None;
     }
-    let seal = answer
+    let seal = response
         .header("x-fescuewell-response-seal")
         .unwrap_or_default();
-    if !seal.ends_with(&format!(".{}", note.id)) {
-        return Some(format!("{} got the seal {seal}", note.id));
+    if !seal.ends_with(&format!(".{}", exchange.id)) {
+        return Some(format!("{} got the seal {seal}", exchange.id));
     }
-    if matches!(note.kind, Kind::Stream | Kind::StreamOnce) {
-        let events = answer.events();
+    if matches!(exchange.kind, Kind::Stream | Kind::StreamOnce) {
+        let events = response.events();
         let expected: Vec<u64> = (1..=events.len() as u64).collect();
-        let is_cut = answer.is_complete && events.len() as u64 != EVENTS;
-        let wrong = events != expected || is_cut;
+        let is_truncated = response.is_complete && events.len() as u64 != EVENTS;
+        let wrong = events != expected || is_truncated;
         return wrong.then(|| {
             format!(
-                "{} got the events {events:?}, whole {}",
-                note.id, answer.is_complete
+                "{} got the events {events:?}, complete: {}",
+                exchange.id, response.is_complete
             )
         });
     }
-    let wrong = answer.is_complete && answer.text() != format!("{} ran", note.id);
-    wrong.then(|| format!("{} got {:?}", note.id, answer.text()))
+    let wrong = response.is_complete && response.text() != format!("{} ran", exchange.id);
+    wrong.then(|| format!("{} got {:?}", exchange.id, response.text()))
 }
 
-/// Tokens that were certainly consumed: prompts that ran, once for each request, and events that came.
-fn spent(notes: &[Note], count: &HashMap<&str, usize>) -> u64 {
-    let streams = notes.iter();
-    let streams = streams.filter(|note| matches!(note.kind, Kind::Stream | Kind::StreamOnce));
-    let ran = streams.filter(|note| count.contains_key(note.id.as_str()));
-    ran.map(|note| {
-        let events = note
-            .answer
-            .as_ref()
-            .map_or(0, |answer| answer.events().len() as u64);
-        PROMPT + events * TOKENS_PER_EVENT
-    })
-    .sum()
+/// Returns a lower bound of the tokens consumed: the prompt of each streaming request that ran, counted once, and the
+/// events received.
+fn consumed_tokens(exchanges: &[Exchange], run_counts: &HashMap<&str, usize>) -> u64 {
+    let streams = exchanges.iter();
+    let streams =
+        streams.filter(|exchange| matches!(exchange.kind, Kind::Stream | Kind::StreamOnce));
+    let started = streams.filter(|exchange| run_counts.contains_key(exchange.id.as_str()));
+    started
+        .map(|exchange| {
+            let events = exchange
+                .response
+                .as_ref()
+                .map_or(0, |response| response.events().len() as u64);
+            PROMPT_TOKENS + events * TOKENS_PER_EVENT
+        })
+        .sum()
 }
--- a/tests/soak/world.rs
+++ b/tests/soak/world.rs
@@ -1,4 +1,4 @@
-//! The system under the soak, and the course of one seed.
+//! The system under test, and the sequence of faults of one seed.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,35 +13,35 @@
 use crate::fault::{self, Fault};
 use crate::fixture::{Fixture, configuration, send};
 use crate::instance::Instance;
-use crate::poison::{self, Poisoner};
+use crate::poison::{self, PoisonCaller};
 use crate::verdict;
 
 const INSTANCES: usize = 3;
-const WORKERS: usize = 3;
+const SERVERS: usize = 3;
 const CALLERS: usize = 6;
-/// Tries within which a request that crashes each server is quarantined at an instance that hears of nothing else.
-const MOST_TRIES: usize = 6;
-/// Crashes of one request that are allowed.
-const MOST_CRASHES: u64 = 3;
-/// Faults of one seed.
-const FAULTS: usize = 10;
-/// Most faults between a copy of the store and its return.
-const MOST_LOST: usize = 4;
-/// The account's first total, in tokens: gone after some hundred requests.
-const PREPAID: u64 = 150_000;
-/// What a top-up adds.
-const TOP_UP: u64 = 40_000;
+/// Attempts within which an instance must quarantine the poison request, even without reports from other instances.
+const MAX_QUARANTINE_ATTEMPTS: usize = 6;
+/// Crashes that one request may cause without a quarantine.
+const MAX_CRASHES: u64 = 3;
+const FAULTS_PER_SEED: usize = 10;
+/// Upper bound of faults between a copy of the store and its restore.
+const MAX_FAULTS_BEFORE_RESTORE: usize = 4;
+/// Initial prepaid total of the client account. Some hundred requests exhaust it.
+const INITIAL_PREPAID_TOKENS: u64 = 150_000;
+/// Tokens that each top-up adds.
+const TOP_UP_TOKENS: u64 = 40_000;
 
+/// The instances under test, the stand-ins they use, and the callers.
 pub struct World {
     random: SmallRng,
-    /// The faults after which the store is copied and comes back from the copy. Drawn apart, so that the faults of a seed stay the
-    /// same.
-    drill: (usize, usize),
+    /// Indices of the faults before which the store is copied and restored. Drawn from a separate generator, so that the faults
+    /// of a seed stay the same.
+    restore_schedule: (usize, usize),
     copy: Option<rows::Copy>,
     platform: Fixture,
     instances: Vec<Instance>,
     callers: Vec<Caller>,
-    poisoner: Poisoner,
+    poison_caller: PoisonCaller,
     stop: Arc<AtomicBool>,
     version: u64,
     prepaid: u64,
@@ -49,7 +49,7 @@
 
 impl World {
     pub fn start(seed: u64) -> Self {
-        let platform = Fixture::without_instance(WORKERS, PREPAID);
+        let platform = Fixture::without_instance(SERVERS, INITIAL_PREPAID_TOKENS);
         let store = platform.store.address();
         let mut instances: Vec<Instance> = (0..INSTANCES)
             .map(|index| Instance::new(index, seed, store))
@@ -66,53 +66,54 @@
         let stop = Arc::new(AtomicBool::new(false));
         let fronts: Vec<_> = instances.iter().map(|instance| instance.front).collect();
         let callers = (0..CALLERS)
-            .map(|name| Caller::start(seed, name, fronts.clone(), stop.clone()))
+            .map(|index| Caller::start(seed, index, fronts.clone(), stop.clone()))
             .collect();
         platform.crash_on(poison::BODY);
-        let poisoner = Poisoner::start(seed, fronts, stop.clone());
-        let mut apart = SmallRng::seed_from_u64(!seed);
-        let copied = apart.random_range(0..FAULTS - 1);
-        let returned = (copied + apart.random_range(1..=MOST_LOST)).min(FAULTS - 1);
+        let poison_caller = PoisonCaller::start(seed, fronts, stop.clone());
+        let mut restore_random = SmallRng::seed_from_u64(!seed);
+        let copied = restore_random.random_range(0..FAULTS_PER_SEED - 1);
+        let returned = (copied + restore_random.random_range(1..=MAX_FAULTS_BEFORE_RESTORE))
+            .min(FAULTS_PER_SEED - 1);
         Self {
             random: SmallRng::seed_from_u64(seed),
-            drill: (copied, returned),
+            restore_schedule: (copied, returned),
             copy: None,
             platform,
             instances,
             callers,
-            poisoner,
+            poison_caller,
             stop,
             version: 1,
-            prepaid: PREPAID,
+            prepaid: INITIAL_PREPAID_TOKENS,
         }
     }
 
-    /// Faults in series, some of which overlap.
-    pub fn play(&mut self) {
-        let mut open: Vec<Fault> = Vec::new();
-        for number in 0..FAULTS {
-            self.drill(number);
-            self.revive();
-            let fault = fault::draw(&mut self.random, INSTANCES, WORKERS);
-            self.begin(fault);
-            open.push(fault);
+    /// Injects a sequence of faults, some of which overlap.
+    pub fn inject_faults(&mut self) {
+        let mut active: Vec<Fault> = Vec::new();
+        for number in 0..FAULTS_PER_SEED {
+            self.copy_or_restore(number);
+            self.restart_crashed_servers();
+            let fault = fault::draw(&mut self.random, INSTANCES, SERVERS);
+            self.inject(fault);
+            active.push(fault);
             let pause = Duration::from_millis(self.random.random_range(50..700));
             std::thread::sleep(pause);
             if self.random.random_bool(0.6) {
-                for fault in open.drain(..) {
-                    self.end(fault);
+                for fault in active.drain(..) {
+                    self.clear(fault);
                 }
             }
         }
-        for fault in open {
-            self.end(fault);
+        for fault in active {
+            self.clear(fault);
         }
     }
 
-    /// The store is copied, and some faults later it comes back from the copy. Then the operator and the servers write again what they
-    /// wrote since.
-    fn drill(&mut self, number: usize) {
-        let (copied, returned) = self.drill;
+    /// Copies the store, and some faults later restores the copy. After the restore, writes the current configuration and
+    /// registrations again, as the operator and the backend servers do.
+    fn copy_or_restore(&mut self, number: usize) {
+        let (copied, returned) = self.restore_schedule;
         if number == copied {
             self.copy = Some(self.platform.store.copy());
         }
@@ -124,42 +125,42 @@
         }
         let now = configuration(self.version, self.prepaid);
         self.platform.configure(&now);
-        for at in 0..WORKERS {
-            self.platform.register(at, "ready");
+        for index in 0..SERVERS {
+            self.platform.register(index, "ready");
         }
     }
 
-    fn begin(&mut self, fault: Fault) {
+    fn inject(&mut self, fault: Fault) {
         match fault {
-            Fault::Pause(at) => self.instances[at].pause(),
-            Fault::Kill(at) => self.instances[at].kill(),
-            Fault::Stop(at) => self.instances[at].stop(),
+            Fault::Pause(index) => self.instances[index].pause(),
+            Fault::Kill(index) => self.instances[index].kill(),
+            Fault::Stop(index) => self.instances[index].stop(),
             Fault::KillAll => self.instances.iter_mut().for_each(Instance::kill),
-            Fault::Cut(at) => self.instances[at].proxy.cut(),
-            Fault::Silence(at) => self.instances[at].proxy.silence(),
-            Fault::Deafen(at) => self.instances[at].proxy.deafen(),
-            Fault::Reset(at) => self.instances[at].proxy.drop_connections(),
+            Fault::Partition(index) => self.instances[index].proxy.partition(),
+            Fault::Blackhole(index) => self.instances[index].proxy.blackhole(),
+            Fault::DropReplies(index) => self.instances[index].proxy.drop_replies(),
+            Fault::Reset(index) => self.instances[index].proxy.drop_connections(),
             Fault::Store(fault) => self.platform.store.set_fault(fault),
             Fault::Compact => self.platform.store.compact(),
-            Fault::Worker(at, behaviour) => self.platform.workers[at].next(&[behaviour; 3]),
-            Fault::Drain(at) => self.platform.register(at, "draining"),
+            Fault::Server(index, behaviour) => self.platform.workers[index].next(&[behaviour; 3]),
+            Fault::Drain(index) => self.platform.register(index, "draining"),
             Fault::TopUp => self.top_up(),
         }
     }
 
-    fn end(&mut self, fault: Fault) {
+    fn clear(&mut self, fault: Fault) {
         match fault {
-            Fault::Pause(at) => self.instances[at].resume(),
-            Fault::Cut(at) => self.instances[at].proxy.heal(),
+            Fault::Pause(index) => self.instances[index].resume(),
+            Fault::Partition(index) => self.instances[index].proxy.heal(),
             Fault::Store(_) => self.platform.store.set_fault(rows::Fault::None),
-            Fault::Drain(at) => self.platform.register(at, "ready"),
+            Fault::Drain(index) => self.platform.register(index, "ready"),
             Fault::Kill(_) | Fault::Stop(_) | Fault::KillAll => self.start_missing(),
             _ => {}
         }
     }
 
-    /// Starts the backend servers that have crashed again.
-    fn revive(&self) {
+    /// Restarts the backend servers that have crashed.
+    fn restart_crashed_servers(&self) {
         for (index, worker) in self.platform.workers.iter().enumerate() {
             if worker.has_crashed() && wait_until(|| worker.is_down()) {
                 self.platform.restart_server(index);
@@ -167,36 +168,36 @@
         }
     }
 
-    /// A request under which servers crash is quarantined at all instances, and reaches no server then. Once the account is
-    /// exhausted it reaches none anyway.
+    /// Checks that all instances quarantine the poison request and that it reaches no backend server from then on. If the client
+    /// account is exhausted, the request reaches no server even without a quarantine, so only the crashes are counted.
     fn check_quarantine(&self) -> Option<String> {
         let start = self.platform.crashes();
-        let mut tries = 0..MOST_TRIES;
+        let mut attempts = 0..MAX_QUARANTINE_ATTEMPTS;
         let is_quarantined = |number| {
-            let answer = send(
+            let response = send(
                 self.instances[0].front,
                 &poison::request(&format!("q-{number}")),
             );
-            self.revive();
-            answer.is_some_and(|answer| poison::is_quarantined(&answer))
+            self.restart_crashed_servers();
+            response.is_some_and(|response| poison::is_quarantined(&response))
         };
-        if !tries.any(is_quarantined) {
+        if !attempts.any(is_quarantined) {
             let crashes = self.platform.crashes() - start;
-            let is_broken = crashes > MOST_CRASHES;
-            return is_broken.then(|| format!("{crashes} crashes without a quarantine"));
+            let is_violated = crashes > MAX_CRASHES;
+            return is_violated.then(|| format!("{crashes} crashes without a quarantine"));
         }
-        for (at, instance) in self.instances.iter().enumerate() {
+        for (index, instance) in self.instances.iter().enumerate() {
             if !instance.wait_quarantined(1) {
-                return Some(format!("instance {at} never knows the quarantine"));
+                return Some(format!("instance {index} does not learn of the quarantine"));
             }
         }
         let before = self.platform.crashes();
-        for (at, instance) in self.instances.iter().enumerate() {
-            // The answer is of no interest: no server must have crashed.
-            let _ = send(instance.front, &poison::request(&format!("after-{at}")));
+        for (index, instance) in self.instances.iter().enumerate() {
+            // Ignores the response: the check counts server crashes instead.
+            let _ = send(instance.front, &poison::request(&format!("after-{index}")));
         }
         let crashes = self.platform.crashes() - before;
-        (crashes > 0).then(|| format!("{crashes} crashes by a quarantined request"))
+        (crashes > 0).then(|| format!("{crashes} crashes caused by a quarantined request"))
     }
 
     fn start_missing(&mut self) {
@@ -208,33 +209,36 @@
 
     fn top_up(&mut self) {
         self.version += 1;
-        self.prepaid += TOP_UP;
+        self.prepaid += TOP_UP_TOKENS;
         let next = configuration(self.version, self.prepaid);
         self.platform.configure(&next);
     }
 
-    /// Ends the faults, waits for the recovery, and returns the promises that were broken.
+    /// Restarts what is down, waits for recovery, and returns the violated guarantees.
     pub fn finish(mut self) -> Vec<String> {
         self.start_missing();
-        self.poisoner.stop();
-        self.revive();
-        let mut broken = Vec::new();
-        for (at, instance) in self.instances.iter().enumerate() {
+        self.poison_caller.stop();
+        self.restart_crashed_servers();
+        let mut violations = Vec::new();
+        for (index, instance) in self.instances.iter().enumerate() {
             if !instance.wait_ready() {
-                broken.push(format!("instance {at} is not ready after the faults"));
+                violations.push(format!("instance {index} is not ready after the faults"));
                 continue;
             }
             let serves = || {
-                let answer = send(instance.front, &request(Kind::Safe, &format!("last-{at}")));
-                answer.is_some_and(|answer| answer.status == 200)
+                let response = send(
+                    instance.front,
+                    &request(Kind::Safe, &format!("last-{index}")),
+                );
+                response.is_some_and(|response| response.status == 200)
             };
             if !wait_until(serves) {
-                broken.push(format!("instance {at} serves nothing after the faults"));
+                violations.push(format!("instance {index} serves nothing after the faults"));
             }
         }
-        broken.extend(self.check_quarantine());
+        violations.extend(self.check_quarantine());
         self.stop.store(true, Ordering::Release);
-        let notes = self
+        let exchanges = self
             .callers
             .drain(..)
             .flat_map(Caller::join)
@@ -245,7 +249,7 @@
             .iter()
             .map(|worker| worker.runs())
             .collect();
-        broken.extend(verdict::broken(&notes, &runs, self.prepaid));
-        broken
+        violations.extend(verdict::violations(&exchanges, &runs, self.prepaid));
+        violations
     }
 }
