--- a/examples/choice.rs
+++ b/examples/choice.rs
@@ -1,19 +1,20 @@
-//! Shows how one instance chooses backend servers: own sends count at once, and a known prompt returns to its cache.
+//! Shows how an instance chooses backend servers: requests in flight count as load at once, and a repeated prompt goes to the
+//! server that has its prefix cached.
 
 use std::sync::Arc;
 
 use fescuewell::core::prelude::*;
 use fescuewell::routing::prelude::*;
 
-/// Blocks of the long prompt.
-const BLOCKS: u128 = 16;
-/// Its tokens.
+/// Prefix blocks of the long prompt.
+const PREFIX_BLOCKS: u128 = 16;
+/// Prompt tokens of each request.
 const PROMPT_TOKENS: u32 = 1_024;
 
 fn main() {
     let now = Instant::from_millis(0);
     let mut router = Router::new(Settings::default(), "bne-a".into(), 1);
-    router.set_servers(now, &["bne-a", "bne-b", "bne-c"].map(policy));
+    router.set_servers(now, &["bne-a", "bne-b", "bne-c"].map(spec));
     let reach = [ServerKey(0), ServerKey(1), ServerKey(2)];
 
     println!("six short prompts at once, none of them finished:");
@@ -25,14 +26,16 @@
     }
 
     println!("a long prompt, then the same one again:");
-    let prompt: Vec<Digest> = (0..BLOCKS).map(|block| Digest(0xfe5c + block)).collect();
+    let prompt: Vec<Digest> = (0..PREFIX_BLOCKS)
+        .map(|block| Digest(0xfe5c + block))
+        .collect();
     for number in 10..12 {
         send(&mut router, now, Ticket(number), &reach, &prompt);
         finish(&mut router, now, Ticket(number));
     }
 }
 
-fn policy(zone: &str) -> Spec {
+fn spec(zone: &str) -> Spec {
     let number = match zone {
         "bne-a" => 0,
         "bne-b" => 1,
--- a/examples/fleet.rs
+++ b/examples/fleet.rs
@@ -1,4 +1,4 @@
-//! Shows the demo's fleet in this process: it starts three routers on embedded stand-ins, sends one request and drains.
+//! Runs the demo fleet in this process: starts three routers with embedded stand-ins, sends one request and drains the fleet.
 
 use std::error::Error;
 
@@ -9,7 +9,7 @@
 fn main() -> Result<(), Box<dyn Error>> {
     let fleet = Fleet::start(&Settings::default())?;
     if !fleet.wait_ready() {
-        return Err("a router ended before it was ready".into());
+        return Err("a router exited before it was ready".into());
     }
     let address = fleet.addresses()[0];
 
@@ -18,14 +18,14 @@
         "max_tokens": 32,
         "messages": [{"role": "user", "content": "Summarise job 7"}],
     });
-    let answer: Value = attohttpc::post(format!("http://{address}/v1/chat/completions"))
+    let response: Value = attohttpc::post(format!("http://{address}/v1/chat/completions"))
         .bearer_auth(HANDSIGN_KEY)
         .header("Idempotency-Key", "summary-7")
         .json(&body)?
         .send()?
         .json()?;
-    println!("answer: {}", answer["choices"][0]["message"]["content"]);
-    println!("usage:  {}", answer["usage"]);
+    println!("answer: {}", response["choices"][0]["message"]["content"]);
+    println!("usage:  {}", response["usage"]);
 
     fleet.stop();
     Ok(())
--- a/examples/ledger.rs
+++ b/examples/ledger.rs
@@ -1,4 +1,5 @@
-//! Shows how one instance spends a prepaid budget: draw an allowance, hold, settle, bill, and say truthfully when it is spent.
+//! Shows how an instance spends a prepaid budget: it draws an allowance, holds and settles tokens for each request, records the
+//! bill, and refuses requests once the budget is exhausted.
 
 use std::time::Duration;
 
@@ -7,13 +8,13 @@
 use fescuewell::core::table::{Table, Transaction, execute};
 use fescuewell::platform::memory;
 
-/// Worst case of each request.
-const BOUND: Tokens = Tokens(400);
-/// What each request turns out to cost.
+/// Upper bound of the cost of each request, held before it runs.
+const MAX_COST: Tokens = Tokens(400);
+/// Actual cost of each request.
 const COST: Tokens = Tokens(150);
-/// Simulated time between two looks at the ledger.
+/// Simulated time between two table operations of the ledger.
 const STEP: Duration = Duration::from_millis(10);
-/// Requests to try; more than the budget pays for.
+/// Number of requests, more than the budget covers.
 const REQUESTS: u32 = 20;
 
 fn main() {
@@ -25,8 +26,8 @@
 
     for number in 1..=REQUESTS {
         let hold = loop {
-            match ledger.hold(now, group, BOUND) {
-                Err(Shortage::Pending) => now = serve(&mut ledger, &table, now),
+            match ledger.hold(now, group, MAX_COST) {
+                Err(Shortage::Pending) => now = run_table_step(&mut ledger, &table, now),
                 outcome => break outcome,
             }
         };
@@ -38,9 +39,9 @@
             }
         };
         ledger.settle(now, hold, COST);
-        // The slot's log has the bill: only now is the cost spent.
+        // The bill is durable in the log of the slot. Only now does the cost count as spent.
         ledger.bill_durable(now, hold, COST);
-        println!("request {number}: held {BOUND}, cost {COST}");
+        println!("request {number}: held {MAX_COST}, cost {COST}");
     }
 
     for line in ledger.snapshot() {
@@ -51,7 +52,7 @@
     }
 }
 
-/// A table whose only budget has `prepaid` tokens.
+/// Returns a table with one budget of `prepaid` tokens.
 fn table_with(group: &str, prepaid: Tokens) -> memory::Table {
     let table = memory::Table::default();
     let top_up =
@@ -70,8 +71,8 @@
     }
 }
 
-/// Lets the ledger do its next piece of table work, and time pass.
-fn serve(ledger: &mut Ledger, table: &dyn Table, now: Instant) -> Instant {
+/// Executes the next table operation of the ledger, if any, and returns the time after it.
+fn run_table_step(ledger: &mut Ledger, table: &dyn Table, now: Instant) -> Instant {
     if let Some(step) = ledger.next_step(now) {
         ledger.reply(now, execute(table, &step));
     }
--- a/examples/work.rs
+++ b/examples/work.rs
@@ -1,11 +1,11 @@
-//! What a request costs an instance: processor time and switches by thread.
+//! Measures what a request costs an instance: processor time and voluntary context switches by thread.
 //!
 //! ```sh
 //! cargo build --release && cargo run --release --example work -- target/release/fescuewell 1000
 //! ```
 //!
-//! Starts the stand-ins of store and backend servers, one instance as a process of its own, and callers that open a connection
-//! for each request: half of them streams of six events with 4 kB prompts, half short answers.
+//! Starts stand-ins of the store and the backend servers, one instance as a child process, and callers that open a connection
+//! for each request. Half of the requests are streams of six events with 4 kB prompts, half have short responses.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -17,19 +17,19 @@
 use fescuewell::standin::sample::{self, HOST, KEY};
 use fescuewell::standin::worker::{Worker, wait_until};
 
-/// Callers that send at the same time.
+/// Number of concurrent callers.
 const CALLERS: u64 = 4;
-/// Time from one request of a caller to its next.
-const EVERY: Duration = Duration::from_millis(20);
-/// Ticks of a second in which the kernel counts processor time.
-const TICKS: f64 = 100.0;
+/// Time between the starts of two requests of a caller.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
+/// Ticks per second in which [`thread_usage`] reports processor time.
+const TICKS_PER_SECOND: f64 = 100.0;
 
-fn any() -> SocketAddr {
+fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-fn free() -> SocketAddr {
-    TcpListener::bind(any()).unwrap().local_addr().unwrap()
+fn free_address() -> SocketAddr {
+    TcpListener::bind(any_port()).unwrap().local_addr().unwrap()
 }
 
 fn main() {
@@ -41,17 +41,17 @@
         .next()
         .and_then(|text| text.parse().ok())
         .unwrap_or(1_000);
-    let store = Rows::start(any()).unwrap();
+    let store = Rows::start(any_port()).unwrap();
     let configuration = sample::configuration(1, 1_000_000_000).to_string();
     store.put("op", "", "config", configuration.as_bytes());
-    let workers: Vec<Worker> = (0..4)
-        .map(|index| Worker::start(any(), &format!("i-{index}")).unwrap())
+    let servers: Vec<Worker> = (0..4)
+        .map(|index| Worker::start(any_port(), &format!("i-{index}")).unwrap())
         .collect();
-    for (index, worker) in workers.iter().enumerate() {
-        let entry = sample::entry(worker.address(), "ready").to_string();
+    for (index, server) in servers.iter().enumerate() {
+        let entry = sample::entry(server.address(), "ready").to_string();
         store.put("servers", "", &format!("i-{index}"), entry.as_bytes());
     }
-    let (front, ready) = (free(), free());
+    let (front, ready) = (free_address(), free_address());
     let settings =
         std::env::temp_dir().join(format!("fescuewell-work-{}.conf", std::process::id()));
     let text = format!(
@@ -66,42 +66,42 @@
         .spawn()
         .unwrap();
     let is_ready = wait_until(|| {
-        ask(
+        exchange(
             ready,
             "GET /-/readyz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n",
         )
         .contains("200")
     });
-    assert!(is_ready, "the instance never became ready");
+    assert!(is_ready, "the instance did not become ready");
     std::thread::sleep(Duration::from_secs(1));
 
-    let idle = usage(&instance);
+    let idle = thread_usage(&instance);
     std::thread::sleep(Duration::from_secs(3));
-    let before = usage(&instance);
-    show("idle, a second", &idle, &before, 3.0);
+    let before = thread_usage(&instance);
+    print_usage("idle, a second", &idle, &before, 3.0);
     let started = Instant::now();
     let callers = (0..CALLERS)
-        .map(|caller| std::thread::spawn(move || call(front, caller, requests / CALLERS)));
+        .map(|caller| std::thread::spawn(move || run_caller(front, caller, requests / CALLERS)));
     let served: u64 = callers
         .collect::<Vec<_>>()
         .into_iter()
         .map(|caller| caller.join().unwrap())
         .sum();
-    let after = usage(&instance);
+    let after = thread_usage(&instance);
     println!(
         "{served} of {requests} served in {:.1} s",
         started.elapsed().as_secs_f64()
     );
-    show("a request", &before, &after, requests as f64);
+    print_usage("a request", &before, &after, requests as f64);
     let _ = instance.kill();
     let _ = instance.wait();
     let _ = std::fs::remove_file(&settings);
 }
 
-fn call(front: SocketAddr, caller: u64, requests: u64) -> u64 {
+fn run_caller(front: SocketAddr, caller: u64, requests: u64) -> u64 {
     let mut served = 0;
     for number in 0..requests {
-        let begun = Instant::now();
+        let started = Instant::now();
         let head = format!(
             "Host: {HOST}\r\nX-Fescuewell-Key: {KEY}\r\nX-Fescuewell-Deadline-Ms: 5000\r\nConnection: close\r\nX-Fescuewell-Request-Id: r-{caller}-{number}\r\n"
         );
@@ -112,25 +112,25 @@
             ),
             _ => format!("GET /safe/x HTTP/1.1\r\n{head}\r\n"),
         };
-        served += u64::from(ask(front, &text).starts_with("HTTP/1.1 200"));
-        std::thread::sleep(EVERY.saturating_sub(begun.elapsed()));
+        served += u64::from(exchange(front, &text).starts_with("HTTP/1.1 200"));
+        std::thread::sleep(REQUEST_INTERVAL.saturating_sub(started.elapsed()));
     }
     served
 }
 
-fn ask(address: SocketAddr, text: &str) -> String {
-    let mut answer = String::new();
+fn exchange(address: SocketAddr, text: &str) -> String {
+    let mut response = String::new();
     let Ok(mut connection) = TcpStream::connect(address) else {
-        return answer;
+        return response;
     };
-    // A connection that fails shows as an answer that is not served.
+    // A failed connection leaves a response without status 200, which is not counted as served.
     let _ = connection.write_all(text.as_bytes());
-    let _ = connection.read_to_string(&mut answer);
-    answer
+    let _ = connection.read_to_string(&mut response);
+    response
 }
 
-/// Processor ticks and voluntary switches of each thread, by its name.
-fn usage(child: &Child) -> BTreeMap<String, (f64, f64)> {
+/// Returns the processor ticks and voluntary context switches of the threads of a process, by thread name.
+fn thread_usage(child: &Child) -> BTreeMap<String, (f64, f64)> {
     let mut usage = BTreeMap::new();
     for task in std::fs::read_dir(format!("/proc/{}/task", child.id()))
         .unwrap()
@@ -152,13 +152,13 @@
             .and_then(|text| text.trim().parse().ok())
             .unwrap_or(0.0);
         let entry = usage.entry(name).or_insert((0.0, 0.0));
-        entry.0 += nanoseconds / 1e9 * TICKS;
+        entry.0 += nanoseconds / 1e9 * TICKS_PER_SECOND;
         entry.1 += switches;
     }
     usage
 }
 
-fn show(
+fn print_usage(
     what: &str,
     before: &BTreeMap<String, (f64, f64)>,
     after: &BTreeMap<String, (f64, f64)>,
@@ -167,7 +167,7 @@
     println!("{what}: thread, microseconds of processor time, voluntary switches");
     for (name, (ticks, switches)) in after {
         let (old_ticks, old_switches) = before.get(name).copied().unwrap_or_default();
-        let micros = (ticks - old_ticks) / TICKS * 1e6 / count;
+        let micros = (ticks - old_ticks) / TICKS_PER_SECOND * 1e6 / count;
         println!(
             "  {name:16} {micros:10.1} {:8.2}",
             (switches - old_switches) / count
--- a/tools/reference/src/lib.rs
+++ b/tools/reference/src/lib.rs
@@ -1,4 +1,4 @@
-//! The generated reference pages of the result codes and log events.
+//! Generates the reference pages of the result codes and log events.
 //!
 //! ```
 //! let page = reference::codes();
@@ -11,20 +11,20 @@
 use fescuewell_core::code::{Code, Run};
 use fescuewell_core::event::Event;
 
-/// What stands before the table of codes.
+/// Text above the table of result codes.
 const CODES_HEAD: &str = include_str!("codes_head.md");
-/// What stands before the table of events.
+/// Text above the table of log events.
 const EVENTS_HEAD: &str = include_str!("events_head.md");
 
-/// One generated file.
+/// A generated page.
 pub struct Page {
-    /// Where it belongs.
+    /// Path of the committed file.
     pub path: PathBuf,
-    /// What it should hold.
+    /// Generated content.
     pub text: String,
 }
 
-/// Every generated page.
+/// Generates every page.
 pub fn pages() -> Vec<Page> {
     let docs = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs");
     vec![
@@ -39,7 +39,7 @@
     ]
 }
 
-/// The page of result codes.
+/// Generates the page of result codes.
 pub fn codes() -> String {
     let mut text = CODES_HEAD.to_owned();
     text.push_str(
@@ -60,7 +60,7 @@
     text
 }
 
-/// The page of log events.
+/// Generates the page of log events.
 pub fn events() -> String {
     let mut text = EVENTS_HEAD.to_owned();
     text.push_str("| event | title | level | meaning |\n| --- | --- | --- | --- |\n");
@@ -83,7 +83,7 @@
     let _ = writeln!(text, "| {} |", cells.join(" | "));
 }
 
-/// The name in an error body.
+/// Returns the value of the field `run` in an error body.
 fn run_name(run: Run) -> &'static str {
     match run {
         Run::NotRun => "not_run",
--- a/tools/reference/src/main.rs
+++ b/tools/reference/src/main.rs
@@ -1,4 +1,4 @@
-//! `cargo run -p reference` writes the generated pages anew.
+//! Writes the generated reference pages: `cargo run -p reference`.
 
 use std::io;
 
--- a/tools/reference/tests/committed.rs
+++ b/tools/reference/tests/committed.rs
@@ -1,13 +1,12 @@
-//! The committed pages are those that the code gives.
+//! Checks that the committed reference pages match the code.
 
 use std::collections::BTreeSet;
 
 use fescuewell_core::code::Code;
 use fescuewell_core::event::Event;
 
-// Symptom: an operator looks a code up and finds another meaning, or none.
-// Sequence: a code or event was added or reworded; the page was not generated anew.
-// Cause: two copies of one table.
+// Guards against stale pages, in which an operator finds a wrong meaning of a code or none. A page becomes stale when a code
+// or event is added or reworded and the page, a second copy of the table, is not regenerated.
 #[test]
 fn the_committed_pages_match_the_code() {
     for page in reference::pages() {
--- a/tools/reference/tests/hazards.rs
+++ b/tools/reference/tests/hazards.rs
@@ -1,9 +1,9 @@
-//! Every module, test and scenario that docs/HAZARDS.md names is in the tree.
+//! Checks that every module, test and scenario named in docs/HAZARDS.md exists.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Hazards that the page has to speak of.
+/// Number of hazards that the page must cover.
 const HAZARDS: usize = 30;
 
 fn root() -> PathBuf {
@@ -14,7 +14,7 @@
     fs::read_to_string(root().join("docs/HAZARDS.md")).expect("the page is committed")
 }
 
-/// Paths in backquotes, but for the two forms that the page's head explains.
+/// Returns the paths in backquotes, except the example forms in the head of the page.
 fn names(page: &str) -> Vec<String> {
     let quoted = page.split('`').skip(1).step_by(2);
     let examples = [
@@ -29,7 +29,7 @@
     paths.map(str::to_owned).collect()
 }
 
-/// The file of a path below `directory`: `a/b.rs`, `a/b/mod.rs` or `a/b/main.rs`.
+/// Returns the source file of a module path below `directory`: `a/b.rs`, `a/b/mod.rs` or `a/b/main.rs`.
 fn file(directory: &Path, parts: &[&str]) -> Option<PathBuf> {
     let path: PathBuf = parts
         .iter()
@@ -67,9 +67,8 @@
     })
 }
 
-// Symptom: the page says that a hazard is tested, and nothing tests it.
-// Sequence: a test or module was renamed or taken out; the page stayed as it was.
-// Cause: names that nobody looks up.
+// Guards against a page that lists a test for a hazard where no test exists, after a test or module was renamed or removed
+// without an update of the page.
 #[test]
 fn every_name_on_the_page_is_in_the_tree() {
     let page = page();
@@ -88,9 +87,12 @@
     let mut rest = page.as_str();
     for number in 1..=HAZARDS {
         let start = format!("\n**{number}. ");
-        let at = rest.find(&start);
-        assert!(at.is_some(), "hazard {number} is missing or out of order");
-        rest = &rest[at.unwrap_or_default() + 1..];
+        let offset = rest.find(&start);
+        assert!(
+            offset.is_some(),
+            "hazard {number} is missing or out of order"
+        );
+        rest = &rest[offset.unwrap_or_default() + 1..];
     }
 }
 
--- a/tools/reference/tests/sources.rs
+++ b/tools/reference/tests/sources.rs
@@ -1,10 +1,10 @@
-//! What the sources may not say.
+//! Checks that decision crates do not read the time of day or name a deployment.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Crates that decide: time comes to them as an argument.
-const DECIDING: [&str; 10] = [
+/// Crates that make decisions. They receive the time as an argument.
+const DECISION_CRATES: [&str; 10] = [
     "budget",
     "claims",
     "document",
@@ -16,8 +16,9 @@
     "queue",
     "routing",
 ];
-/// Names of deployments, of their places and kinds of request, and of the bench. A policy that knows one of them fits it.
-const DEPLOYMENTS: [&str; 14] = [
+/// Names of deployments, of their locations and request types, and of the benchmark. A policy that refers to one of them is
+/// fitted to it.
+const DEPLOYMENT_NAMES: [&str; 14] = [
     "pilgerpass",
     "hcq-",
     "teinte",
@@ -58,11 +59,11 @@
     found
 }
 
-/// Symptom: an instance went on with a decision that was seconds old, or dropped one that was fresh. Sequence: the time of day of
-/// its machine jumps. Cause: a decision that went by the time of day instead of a steady clock.
+/// Guards against decisions based on the time of day instead of a monotonic clock: when the time of day jumps, an instance
+/// would follow a decision that is seconds old or drop a fresh one.
 #[test]
 fn nothing_that_decides_reads_the_time_of_day() {
-    for name in DECIDING {
+    for name in DECISION_CRATES {
         let found = crate_sources(&format!("fescuewell_{name}"));
         assert!(!found.is_empty(), "{name} has no sources");
         for (path, text) in found {
@@ -71,19 +72,22 @@
     }
 }
 
-/// The demo and the load tool may name their samples; what decides, and the adapter, may not.
+/// The demo and the load tool may name their sample deployments; decision crates and the adapter may not.
 #[test]
 fn no_decision_names_a_deployment() {
     let mut found = Vec::new();
-    for name in DECIDING {
+    for name in DECISION_CRATES {
         found.extend(crate_sources(&format!("fescuewell_{name}")));
     }
     sources(&root().join("platform/src"), &mut found);
 
     for (path, text) in &found {
         let text = text.to_lowercase();
-        let named = DEPLOYMENTS.iter().find(|name| text.contains(**name));
+        let named = DEPLOYMENT_NAMES.iter().find(|name| text.contains(**name));
         assert_eq!(named, None, "{}", path.display());
     }
-    assert!(found.len() > DECIDING.len(), "the sources were not found");
+    assert!(
+        found.len() > DECISION_CRATES.len(),
+        "the sources were not found"
+    );
 }
