--- a/tests/scenario/audit.rs
+++ b/tests/scenario/audit.rs
@@ -1,4 +1,4 @@
-//! The audit at the end of a scenario: what was billed, from the slots' own rows.
+//! The audit at the end of a scenario: reads from the rows of the slots and budgets what was billed.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,10 +11,10 @@
 use fescuewell::core::time::Instant;
 use fescuewell::core::tokens::Tokens;
 
-/// Slots of the fleet.
+/// Number of slots of the fleet.
 const SLOTS: u16 = 64;
 
-/// Reads the slots once no router runs any more, as a successor would.
+/// Reads the slots after all routers have exited, as a new holder does.
 pub struct Audit<'a> {
     table: &'a dyn Table,
     arbiter: Arbiter,
@@ -22,7 +22,7 @@
 }
 
 impl<'a> Audit<'a> {
-    /// Takes over every slot, whoever held it.
+    /// Acquires every slot, whoever held it before.
     pub fn begin(table: &'a dyn Table) -> Self {
         let settings = Settings {
             slots: SLOTS,
@@ -45,7 +45,7 @@
         audit
     }
 
-    /// Every holder that slots' rows or budgets' grants name.
+    /// Returns the holders named in the rows of the slots.
     fn holders(&self) -> Vec<Arc<str>> {
         let mut holders = Vec::new();
         for row in self.scan("slot/") {
@@ -69,7 +69,7 @@
         }
     }
 
-    fn ask(&mut self, slot: SlotKey, request: &Request) -> Reply {
+    fn send_request(&mut self, slot: SlotKey, request: &Request) -> Reply {
         self.arbiter.request(self.now, 1, slot, request);
         loop {
             if let Some((_, reply)) = self.arbiter.take_replies().pop() {
@@ -79,17 +79,17 @@
         }
     }
 
-    /// What is known of a request.
+    /// Looks up the state of a request in its slot.
     pub fn lookup(&mut self, request: Digest) -> RequestState {
         let slot = fescuewell::claims::message::slot_of(request, SLOTS);
-        match self.ask(slot, &Request::Lookup { request }) {
+        match self.send_request(slot, &Request::Lookup { request }) {
             Reply::Known(known) => known,
-            other => panic!("a look-up gave {other:?}"),
+            other => panic!("unexpected reply to a lookup: {other:?}"),
         }
     }
 
-    /// Tokens charged to each group: what closed holders spent, by the budget's row, and what the slots charged
-    /// to those that still have a grant there.
+    /// Returns the tokens charged to each group: those spent by closed holders, from the row of the budget, plus those that
+    /// the slots charged to holders with a remaining grant.
     pub fn charged(&mut self) -> BTreeMap<Arc<str>, Tokens> {
         let mut sums = BTreeMap::new();
         for row in self.scan("budget/") {
@@ -112,7 +112,7 @@
                 holder: holder.into(),
                 phase: Phase::Freeze,
             };
-            let Reply::Closed { totals, .. } = self.ask(slot, &close) else {
+            let Reply::Closed { totals, .. } = self.send_request(slot, &close) else {
                 panic!("the slot did not close");
             };
             let own = totals.into_iter().filter(|(name, _)| **name == *group);
--- a/tests/scenario/caller.rs
+++ b/tests/scenario/caller.rs
@@ -1,4 +1,4 @@
-//! Callers: send a request, read the answer, tell how it came out.
+//! Callers, which send a request and classify the response.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -6,27 +6,27 @@
 
 use serde_json::{Value, json};
 
-/// Longest wait of a caller for one request.
-const CALLER_PATIENCE: Duration = Duration::from_secs(30);
+/// Time limit of one request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How a request came out, as its caller saw it.
+/// Outcome of a request as the caller observed it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
-    /// The whole answer arrived.
-    Whole {
-        /// Its text or body.
+    /// The complete response arrived.
+    Complete {
+        /// Text of the chat, or body of the call.
         text: String,
-        /// Tokens that the answer says were used; 0 for calls.
+        /// Total tokens that the response reports; 0 for calls.
         tokens: u64,
     },
-    /// A truthful refusal.
+    /// The request was refused with an error body.
     Refused {
         /// Number of the result code.
         code: u64,
         /// `not_run`, `unknown` or `ran`.
         run: String,
     },
-    /// The connection broke.
+    /// The connection broke before the response was complete.
     Broken {
         /// Number of the last event received.
         last: u64,
@@ -34,63 +34,65 @@
 }
 
 impl Outcome {
-    /// The line that scenarios show.
+    /// Returns the line that scripts match.
     pub fn line(&self) -> String {
         match self {
-            Self::Whole { .. } => "whole".into(),
+            Self::Complete { .. } => "whole".into(),
             Self::Refused { code, run } => format!("refused {code} {run}"),
             Self::Broken { .. } => "broken".into(),
         }
     }
 }
 
-/// One request.
+/// A request of a caller.
 #[derive(Debug, Clone)]
-pub struct Ask {
-    /// Key of the account.
+pub struct Request {
+    /// API key of the client account.
     pub key: String,
     /// Idempotency key.
     pub id: String,
-    /// Output limit, for a model; body text.
+    /// Limit of output tokens; unused for calls.
     pub tokens: u64,
-    /// Text of the prompt, or the booking.
+    /// Prompt of the chat, or booking of the call.
     pub text: String,
-    /// Last event that the caller has.
+    /// Number of the last event that the caller received before, or 0.
     pub after: u64,
 }
 
 fn post(
     address: SocketAddr,
     path: &str,
-    ask: &Ask,
+    request: &Request,
     body: &Value,
 ) -> attohttpc::Result<attohttpc::Response> {
     attohttpc::post(format!("http://{address}{path}"))
         .proxy_settings(attohttpc::ProxySettings::builder().build())
-        .timeout(CALLER_PATIENCE)
-        .bearer_auth(&ask.key)
-        .header("Idempotency-Key", &ask.id)
-        .header("Last-Event-ID", ask.after)
+        .timeout(REQUEST_TIMEOUT)
+        .bearer_auth(&request.key)
+        .header("Idempotency-Key", &request.id)
+        .header("Last-Event-ID", request.after)
         .text(body.to_string())
         .send()
 }
 
-/// Asks for a streamed chat; the answer is whole when every event arrived once and in order.
-pub fn chat(address: SocketAddr, model: &str, ask: &Ask) -> Outcome {
+/// Requests a streamed chat. Panics if an event is repeated or skipped.
+pub fn chat(address: SocketAddr, model: &str, request: &Request) -> Outcome {
     let body = json!({
         "model": model,
         "stream": true,
         "stream_options": {"include_usage": true},
-        "max_tokens": ask.tokens,
-        "messages": [{"role": "user", "content": ask.text}],
+        "max_tokens": request.tokens,
+        "messages": [{"role": "user", "content": request.text}],
     });
-    match post(address, "/v1/chat/completions", ask, &body) {
-        Err(_) => Outcome::Broken { last: ask.after },
+    match post(address, "/v1/chat/completions", request, &body) {
+        Err(_) => Outcome::Broken {
+            last: request.after,
+        },
         Ok(response) if response.is_success() => {
-            // The earlier run could not be found, for instance since the holder of its claim died with it: the
-            // answer begins anew, says so in a header, and its caller drops what it has.
+            // The earlier run was not found, for example because the holder of its claim crashed. The response then
+            // restarts from the first event, as its header indicates, and the caller discards the events it has.
             let is_restarted = response.headers().contains_key("x-answer-restarted");
-            let after = if is_restarted { 0 } else { ask.after };
+            let after = if is_restarted { 0 } else { request.after };
             read_stream(response, after)
         }
         Ok(response) => refusal(response),
@@ -98,12 +100,12 @@
 }
 
 /// Calls a plain service.
-pub fn call(address: SocketAddr, name: &str, ask: &Ask) -> Outcome {
+pub fn call(address: SocketAddr, name: &str, request: &Request) -> Outcome {
     let path = format!("/v1/services/desk/{name}");
-    match post(address, &path, ask, &json!({"booking": ask.text})) {
+    match post(address, &path, request, &json!({"booking": request.text})) {
         Err(_) => Outcome::Broken { last: 0 },
         Ok(response) if response.is_success() => match response.text() {
-            Ok(text) => Outcome::Whole { text, tokens: 0 },
+            Ok(text) => Outcome::Complete { text, tokens: 0 },
             Err(_) => Outcome::Broken { last: 0 },
         },
         Ok(response) => refusal(response),
@@ -140,7 +142,7 @@
             continue;
         };
         if data == "[DONE]" {
-            return Outcome::Whole { text, tokens };
+            return Outcome::Complete { text, tokens };
         }
         let value: Value = serde_json::from_str(data).expect("events are JSON");
         if value["error"].is_object() {
--- a/tests/scenario/fleet.rs
+++ b/tests/scenario/fleet.rs
@@ -1,4 +1,4 @@
-//! The system under test: stand-ins in this process, routers in processes of their own.
+//! The system under test: stand-ins in this process and routers as child processes.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,20 +22,20 @@
 use super::process::{Process, wait_for};
 use super::proxy::Proxy;
 
-/// Zones of the fleet.
+/// Availability zones, assigned to routers and backend servers in turn.
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
-/// Everything that runs.
+/// The stand-ins, the routers and the proxies between them.
 pub struct Fleet {
-    /// The platform's stand-in.
+    /// Stand-in of the platform.
     pub platform: Platform,
     /// Engines `e1`, `e2` and so on.
     pub engines: BTreeMap<String, Engine>,
     /// Plain services `s1` and so on.
     pub services: BTreeMap<String, Service>,
-    /// Routers `r1` and so on, that run now.
+    /// Running routers: `r1` and so on.
     pub routers: BTreeMap<String, Process>,
-    /// Proxies: one before each engine, and one between each router and the platform.
+    /// Proxies: one in front of each backend server, and one between each router and the platform.
     pub proxies: BTreeMap<String, Proxy>,
     authority: Authority,
     directory: PathBuf,
@@ -44,8 +44,8 @@
 }
 
 impl Fleet {
-    /// Starts the stand-ins and accepts the first document.
-    pub fn start(name: &str, engines: usize, services: usize, teinte: Option<u64>) -> Self {
+    /// Starts the stand-ins and writes the first document.
+    pub fn start(name: &str, engines: usize, services: usize, teinte_prepaid: Option<u64>) -> Self {
         let directory = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
         std::fs::create_dir_all(&directory).expect("a folder for logs");
         let platform =
@@ -74,7 +74,7 @@
             fleet.services.insert(name, service);
         }
         let mut document = document::document(&fleet.places());
-        if let Some(prepaid) = teinte {
+        if let Some(prepaid) = teinte_prepaid {
             document.groups[1].prepaid = fescuewell::core::tokens::Tokens(prepaid);
         }
         fleet
@@ -98,7 +98,7 @@
         self.engines.insert(name.into(), engine);
     }
 
-    /// Backend servers as the document names them: by the addresses of their proxies.
+    /// Returns the backend servers with the addresses of their proxies, as the document lists them.
     pub fn places(&self) -> Vec<Place> {
         let engines = self.engines.keys().map(|name| (name, ServerRole::Engine));
         let services = self.services.keys().map(|name| (name, ServerRole::Service));
@@ -114,12 +114,12 @@
         places.collect()
     }
 
-    /// The platform's rows.
+    /// Connects to the table of the platform.
     pub fn table(&self) -> Arc<dyn Table> {
         self.services().table
     }
 
-    /// The console's way to the document.
+    /// Opens the document store as the console does.
     pub fn store(&self) -> Store {
         let services = self.services();
         Store::new(services.table, services.objects)
@@ -140,7 +140,7 @@
             .map_err(|refusal| refusal.message.to_string())
     }
 
-    /// Starts routers `r1` to `rN`, all at once, and waits until they take requests.
+    /// Starts routers `r1` to `rN` concurrently and waits until all are ready.
     pub fn start_routers(&mut self, count: u32) {
         self.routers_wanted = count;
         for index in 1..=count {
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Starts one router; one of the same name must have ended.
+    /// Starts one router. No router of the same name may be running.
     pub fn start_router(&mut self, name: &str) {
         let platform = self.platform.address();
         let proxy = self
@@ -170,7 +170,7 @@
                 .authority
                 .settings(name, loopback())
                 .expect("a certificate"),
-            platform: through(&self.platform, proxy.address),
+            platform: settings_through(&self.platform, proxy.address),
             fleet: self.routers_wanted,
             limits: Limits::default(),
             timing: Timing {
@@ -190,11 +190,11 @@
         std::fs::write(&file, text).expect("the settings can be written");
         let log = self.directory.join(format!("{name}-{}.log", self.starts));
         let process = Process::start(&file, &log);
-        self.list(name, process.callers, State::Live);
+        self.set_router_state(name, process.callers, State::Live);
         self.routers.insert(name.into(), process);
     }
 
-    /// Waits until a router takes requests and every slot is held by somebody.
+    /// Waits until a router reports that it is ready, which requires that every slot has a holder.
     pub fn wait_ready(&self, name: &str) {
         let address = self.routers[name].callers;
         wait_for("readiness", || {
@@ -205,26 +205,26 @@
         });
     }
 
-    /// Waits until all slots are held by live routers.
+    /// Waits until running routers hold all slots.
     pub fn wait_slots(&self) {
-        self.wait_slots_but(None);
+        self.wait_slots_except(None);
     }
 
-    /// The same, not counting one router that cannot be asked.
-    pub fn wait_slots_but(&self, but: Option<&str>) {
-        wait_for("an owner for every slot", || {
+    /// Waits until running routers hold all slots, without querying the router `except`.
+    pub fn wait_slots_except(&self, except: Option<&str>) {
+        wait_for("a holder of every slot", || {
             let held: u64 = self
                 .routers
                 .iter()
-                .filter(|(name, _)| Some(name.as_str()) != but)
+                .filter(|(name, _)| Some(name.as_str()) != except)
                 .map(|(_, router)| state_of(router)["slots"].as_u64().unwrap_or_default())
                 .sum();
             (held == 64).then_some(())
         });
     }
 
-    /// Notes the state of an entry instance in the platform's list.
-    pub fn list(&self, name: &str, address: SocketAddr, state: State) {
+    /// Sets the state of a router in the instance list of the platform.
+    pub fn set_router_state(&self, name: &str, address: SocketAddr, state: State) {
         self.platform.content().instances.put(Listing {
             name: name.into(),
             role: Role::Entry,
@@ -234,8 +234,8 @@
         });
     }
 
-    /// Notes the state of a backend server in the platform's list.
-    pub fn list_server(&self, name: &str, state: State) {
+    /// Sets the state of a backend server in the instance list of the platform.
+    pub fn set_server_state(&self, name: &str, state: State) {
         let role = if self.engines.contains_key(name) {
             Role::Engine
         } else {
@@ -251,7 +251,7 @@
     }
 }
 
-/// What a router shows operators.
+/// Reads the state that a router reports to operators, or null if the request fails.
 pub fn state_of(router: &Process) -> serde_json::Value {
     let response = attohttpc::get(format!("http://{}/v1/state", router.operators)).send();
     response
@@ -263,8 +263,11 @@
     "127.0.0.1:0".parse().expect("an address")
 }
 
-// The router's clients talk to the platform through its own proxy.
-fn through(platform: &Platform, proxy: SocketAddr) -> fescuewell::platform::settings::Settings {
+// Returns client settings of the platform with its address replaced by that of the proxy.
+fn settings_through(
+    platform: &Platform,
+    proxy: SocketAddr,
+) -> fescuewell::platform::settings::Settings {
     let settings = platform.client_settings();
     let text = serde_json::to_string(&settings).expect("settings are data");
     let text = text.replace(&platform.address().to_string(), &proxy.to_string());
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! The runner of scenarios; it stays small, since the scenarios matter.
+//! The scenario runner: starts the fleet, executes the commands of a script and audits the result.
 
 pub mod audit;
 pub mod caller;
--- a/tests/scenario/permit.rs
+++ b/tests/scenario/permit.rs
@@ -1,27 +1,27 @@
-//! Bounds how many scenarios run at once, whatever the test harness's number of threads.
+//! Limits how many scenarios run concurrently, regardless of the number of test threads.
 //!
-//! Each scenario starts several processes. With a dozen of them on a small machine, processes would wait for
-//! the processor longer than the leases and time limits that the scenarios set, and fail for no fault.
+//! Each scenario starts several processes. With a dozen scenarios on a small machine, processes would wait for the processor
+//! longer than the leases and time limits of the scenarios, and the tests would fail without a fault.
 
 use std::sync::{Condvar, Mutex};
 
-/// Scenarios that run at once.
-const MOST: usize = 3;
+/// Maximum number of scenarios that run concurrently.
+const MAX_RUNNING: usize = 3;
 
 static RUNNING: Mutex<usize> = Mutex::new(0);
 static ENDED: Condvar = Condvar::new();
 
-/// The right to run a scenario, given back when dropped.
+/// A permit to run one scenario, released on drop.
 pub struct Permit(());
 
 impl Permit {
-    /// Waits for its turn.
-    pub fn take() -> Self {
+    /// Waits until fewer than [`MAX_RUNNING`] scenarios run, and acquires a permit.
+    pub fn acquire() -> Self {
         let running = RUNNING
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner());
-        let free = ENDED.wait_while(running, |running| *running >= MOST);
-        *free.unwrap_or_else(|poisoned| poisoned.into_inner()) += 1;
+        let running = ENDED.wait_while(running, |running| *running >= MAX_RUNNING);
+        *running.unwrap_or_else(|poisoned| poisoned.into_inner()) += 1;
         Self(())
     }
 }
--- a/tests/scenario/process.rs
+++ b/tests/scenario/process.rs
@@ -1,4 +1,4 @@
-//! Router processes.
+//! Router processes, and a helper that waits for a condition.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -10,20 +10,20 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Maximum number of polls; 20 s unless the whole machine is suspended.
 const POLLS: u32 = 2_000;
-/// Longest wait for anything that must happen.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Time limit of [`wait_for`].
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A router process.
+/// A router process. Dropping it kills the process.
 pub struct Process {
     child: Child,
-    /// Where callers connect.
+    /// Address of the listener for callers.
     pub callers: SocketAddr,
-    /// Where operators connect.
+    /// Address of the listener for operators.
     pub operators: SocketAddr,
 }
 
 impl Process {
-    /// Starts a router and reads its addresses from its first line.
+    /// Starts a router and reads its addresses from the first line of its output.
     pub fn start(settings: &Path, log: &Path) -> Self {
         let log = std::fs::File::create(log).expect("the log can be written");
         let mut child = Command::new(env!("CARGO_BIN_EXE_fescuewell"))
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Sends a signal by name, to this process only.
+    /// Sends the signal `name` to this process only.
     pub fn signal(&self, name: &str) {
         let status = Command::new("kill")
             .args(["-s", name, &self.child.id().to_string()])
@@ -63,7 +63,7 @@
         );
     }
 
-    /// Waits until the process has ended; returns whether it ended well.
+    /// Waits for the process to exit and returns whether it succeeded.
     pub fn wait(&mut self) -> bool {
         for _ in 0..POLLS {
             if let Some(status) = self.child.try_wait().expect("the process can be asked") {
@@ -71,7 +71,7 @@
             }
             std::thread::sleep(POLL_INTERVAL);
         }
-        panic!("the process did not end");
+        panic!("the process did not exit");
     }
 }
 
@@ -82,17 +82,17 @@
     }
 }
 
-/// Waits until `holds` gives something; panics after [`PATIENCE`].
-pub fn wait_for<Value, Holds>(what: &str, mut holds: Holds) -> Value
+/// Calls `poll` every 10 ms and returns its first value. Panics after [`WAIT_TIMEOUT`].
+pub fn wait_for<Value, Poll>(what: &str, mut poll: Poll) -> Value
 where
-    Holds: FnMut() -> Option<Value>,
+    Poll: FnMut() -> Option<Value>,
 {
-    let until = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
-        if let Some(value) = holds() {
+        if let Some(value) = poll() {
             return value;
         }
-        assert!(Instant::now() < until, "{what} did not happen");
+        assert!(Instant::now() < deadline, "{what} did not happen");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
--- a/tests/scenario/runner.rs
+++ b/tests/scenario/runner.rs
@@ -1,23 +1,23 @@
-//! The commands of the test language.
+//! The commands of scenario scripts.
 //!
 //! | command | effect |
 //! | --- | --- |
 //! | `start NAME routers=N engines=N services=N [teinte=TOKENS]` | starts the fleet |
-//! | `chat ROUTER ID [group=teinte] [tokens=N]` | asks for a chat and shows how it came out |
+//! | `chat ROUTER ID [group=teinte] [tokens=N]` | sends a chat request and prints the outcome |
 //! | `begin ROUTER ID [group=..] [tokens=N]`, `begun ID`, `await ID` | the same in the background |
-//! | `again ROUTER ID` | sends the same request once more, after the last event received |
-//! | `confirm ROUTER ID`, `press ROUTER ID` | books: a call that may not be repeated; the second in the background |
+//! | `again ROUTER ID` | sends the same request again, resuming after the last event received |
+//! | `confirm ROUTER ID`, `press ROUTER ID` | calls a non-idempotent service that books; the second in the background |
 //! | `covered [but=ROUTER]` | waits until the other routers hold every slot |
-//! | `close SERVER` | a backend server's address refuses connections from now on |
-//! | `status ROUTER ID` | asks for a status: a call that may be repeated |
+//! | `close SERVER` | the address of a backend server refuses connections from now on |
+//! | `status ROUTER ID` | calls an idempotent service that returns a status |
 //! | `kill`, `pause`, `resume`, `drain ROUTER`, `exited ROUTER`, `restart ROUTER` | router processes |
-//! | `terminated ROUTER`, `leaving SERVER` | the platform's instance list |
+//! | `terminated ROUTER`, `leaving SERVER` | the instance list of the platform |
 //! | `table down`, `table up`, `table lose=N` | the table service |
-//! | `cut NAME`, `heal NAME`, `drop NAME`, `silence NAME` | a proxy: a router's way to the platform, or a backend server |
+//! | `cut NAME`, `heal NAME`, `drop NAME`, `silence NAME` | the proxy between a router and the platform, or in front of a backend server |
 //! | `service NAME drop-reply=N` | faults of a plain service |
-//! | `topup TOKENS [but=ROUTER]`, `everywhere`, `race` | operators; the first two wait until it is in force |
-//! | `settled ROUTER` | waits until what a terminated router left is settled |
-//! | `audit` | drains the routers and checks every promise |
+//! | `topup TOKENS [but=ROUTER]`, `everywhere`, `race` | changes by operators; the first two wait until routers apply the document |
+//! | `settled ROUTER` | waits until no budget has a grant of a terminated router |
+//! | `audit` | drains the routers and checks every guarantee |
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -32,40 +32,40 @@
 use goldenscript::{Command, Context};
 
 use super::audit::Audit;
-use super::caller::{self, Ask, Outcome};
+use super::caller::{self, Outcome, Request};
 use super::fleet::{Fleet, state_of};
 use super::permit::Permit;
 use super::process::wait_for;
 
-/// Output tokens unless a scenario says otherwise.
-const TOKENS: u64 = 60;
+/// Limit of output tokens unless a script sets one.
+const DEFAULT_TOKENS: u64 = 60;
 
-/// A request that a scenario sent.
-struct Sent {
-    ask: Ask,
+/// A request of a script and its latest outcome.
+struct SentRequest {
+    request: Request,
     account: &'static str,
     group: &'static str,
     is_chat: bool,
     outcome: Option<Outcome>,
-    under_way: Option<JoinHandle<Outcome>>,
+    in_flight: Option<JoinHandle<Outcome>>,
 }
 
-/// Runs one scenario.
+/// Executes the commands of one script.
 #[derive(Default)]
 pub struct Runner {
     fleet: Option<Fleet>,
-    sent: BTreeMap<String, Sent>,
+    sent: BTreeMap<String, SentRequest>,
     prepaid: BTreeMap<&'static str, u64>,
-    /// Last, so that it is given back after the fleet has ended.
+    /// The last field, so that the permit is released after the fleet is dropped.
     permit: Option<Permit>,
 }
 
-type Shown = Result<String, Box<dyn Error>>;
+type Output = Result<String, Box<dyn Error>>;
 
 impl goldenscript::Runner for Runner {
     type Command = Command;
 
-    fn run(&mut self, command: &Command, _: &Context) -> Shown {
+    fn run(&mut self, command: &Command, _: &Context) -> Output {
         let mut args = command.consume_args();
         let first = args.next_pos().unwrap_or_default().to_owned();
         let second = args.next_pos().unwrap_or_default().to_owned();
@@ -88,7 +88,7 @@
             }
             "chat" | "begin" => {
                 let group = keys.get("group").map_or("handsign", String::as_str);
-                self.new_chat(&second, group, number("tokens", TOKENS)?)?;
+                self.new_chat(&second, group, number("tokens", DEFAULT_TOKENS)?)?;
                 self.send(&first, &second, command.name == "begin")
             }
             "confirm" | "status" => {
@@ -116,7 +116,7 @@
             "everywhere" => self.everywhere(None),
             "race" => self.race(),
             "audit" => self.audit(),
-            other => Err(format!("there is no command {other}").into()),
+            other => Err(format!("unknown command {other}").into()),
         }
     }
 }
@@ -133,8 +133,8 @@
         engines: u64,
         services: u64,
         teinte: Option<u64>,
-    ) -> Shown {
-        self.permit = Some(Permit::take());
+    ) -> Output {
+        self.permit = Some(Permit::acquire());
         let mut fleet = Fleet::start(name, engines as usize, services as usize, teinte);
         fleet.start_routers(routers as u32);
         fleet.wait_slots();
@@ -158,7 +158,7 @@
         let (key, account, group) = match group {
             "handsign" => (HANDSIGN_KEY, "signwise", "handsign"),
             "teinte" => (TEINTE_KEY, "salon-anfa", "teinte"),
-            other => return Err(format!("there is no group {other}").into()),
+            other => return Err(format!("unknown group {other}").into()),
         };
         self.sent
             .insert(id.into(), sent(id, key, account, group, tokens, true));
@@ -170,63 +170,63 @@
         self.sent.entry(id.into()).or_insert_with(new);
     }
 
-    fn send(&mut self, router: &str, id: &str, in_background: bool) -> Shown {
+    fn send(&mut self, router: &str, id: &str, in_background: bool) -> Output {
         let address = self.fleet().routers[router].callers;
-        let sent = self.sent.get_mut(id).expect("the request was just made");
-        let ask = sent.ask.clone();
+        let sent = self.sent.get_mut(id).expect("the request was added before");
+        let request = sent.request.clone();
         if in_background {
-            sent.under_way = Some(std::thread::spawn(move || {
-                caller::chat(address, MODEL, &ask)
+            sent.in_flight = Some(std::thread::spawn(move || {
+                caller::chat(address, MODEL, &request)
             }));
             return Ok(String::new());
         }
-        let outcome = caller::chat(address, MODEL, &ask);
-        self.note(id, outcome)
+        let outcome = caller::chat(address, MODEL, &request);
+        self.record(id, outcome)
     }
 
-    fn note(&mut self, id: &str, outcome: Outcome) -> Shown {
+    fn record(&mut self, id: &str, outcome: Outcome) -> Output {
         let line = format!("{}\n", outcome.line());
         let sent = self.sent.get_mut(id).ok_or("no such request")?;
-        if let (Some(Outcome::Whole { text: old, .. }), Outcome::Whole { text, .. }) =
+        if let (Some(Outcome::Complete { text: old, .. }), Outcome::Complete { text, .. }) =
             (&sent.outcome, &outcome)
         {
-            assert_eq!(old, text, "a repeat gives the same answer");
+            assert_eq!(old, text, "a repeated request got a different response");
         }
         if let Outcome::Broken { last } = outcome {
-            sent.ask.after = last;
+            sent.request.after = last;
         }
         sent.outcome = Some(outcome);
         Ok(line)
     }
 
-    fn call(&mut self, router: &str, id: &str, name: &str) -> Shown {
+    fn call(&mut self, router: &str, id: &str, name: &str) -> Output {
         let address = self.fleet().routers[router].callers;
-        let ask = self.sent[id].ask.clone();
-        let outcome = caller::call(address, name, &ask);
-        self.note(id, outcome)
+        let request = self.sent[id].request.clone();
+        let outcome = caller::call(address, name, &request);
+        self.record(id, outcome)
     }
 
-    fn press(&mut self, router: &str, id: &str) -> Shown {
+    fn press(&mut self, router: &str, id: &str) -> Output {
         self.new_call(id);
         let address = self.fleet().routers[router].callers;
-        let sent = self.sent.get_mut(id).expect("the request was just made");
-        let ask = sent.ask.clone();
-        sent.under_way = Some(std::thread::spawn(move || {
-            caller::call(address, "confirm", &ask)
+        let sent = self.sent.get_mut(id).expect("the request was added before");
+        let request = sent.request.clone();
+        sent.in_flight = Some(std::thread::spawn(move || {
+            caller::call(address, "confirm", &request)
         }));
         Ok(String::new())
     }
 
-    fn covered(&mut self, but: Option<&str>) -> Shown {
-        self.fleet().wait_slots_but(but);
+    fn covered(&mut self, except: Option<&str>) -> Output {
+        self.fleet().wait_slots_except(except);
         Ok(String::new())
     }
 
-    fn again(&mut self, router: &str, id: &str) -> Shown {
+    fn again(&mut self, router: &str, id: &str) -> Output {
         self.send(router, id, false)
     }
 
-    fn begun(&mut self, _: &str) -> Shown {
+    fn begun(&mut self, _: &str) -> Output {
         let fleet = self.fleet();
         wait_for("a stream", || {
             let running: usize = fleet.engines.values().map(|engine| engine.load().0).sum();
@@ -235,14 +235,19 @@
         Ok(String::new())
     }
 
-    fn finish(&mut self, id: &str) -> Shown {
+    fn finish(&mut self, id: &str) -> Output {
         let sent = self.sent.get_mut(id).ok_or("no such request")?;
-        let thread = sent.under_way.take().ok_or("it is not under way")?;
-        let outcome = thread.join().map_err(|_| "the caller saw a wrong answer")?;
-        self.note(id, outcome)
+        let thread = sent
+            .in_flight
+            .take()
+            .ok_or("the request is not in flight")?;
+        let outcome = thread
+            .join()
+            .map_err(|_| "the caller panicked, as the response was invalid")?;
+        self.record(id, outcome)
     }
 
-    fn kill(&mut self, router: &str) -> Shown {
+    fn kill(&mut self, router: &str) -> Output {
         // Dropping a process kills it.
         self.fleet()
             .routers
@@ -251,12 +256,12 @@
         Ok(String::new())
     }
 
-    fn signal(&mut self, router: &str, signal: &str) -> Shown {
+    fn signal(&mut self, router: &str, signal: &str) -> Output {
         self.fleet().routers[router].signal(signal);
         Ok(String::new())
     }
 
-    fn exited(&mut self, router: &str) -> Shown {
+    fn exited(&mut self, router: &str) -> Output {
         let mut process = self
             .fleet()
             .routers
@@ -265,33 +270,34 @@
         Ok(if process.wait() { "well\n" } else { "badly\n" }.into())
     }
 
-    fn restart(&mut self, router: &str) -> Shown {
+    fn restart(&mut self, router: &str) -> Output {
         let fleet = self.fleet();
         fleet.start_router(router);
         fleet.wait_ready(router);
         Ok("ready\n".into())
     }
 
-    fn terminated(&mut self, router: &str) -> Shown {
+    fn terminated(&mut self, router: &str) -> Output {
         let address = "127.0.0.1:1".parse()?;
-        self.fleet().list(router, address, State::Terminated);
+        self.fleet()
+            .set_router_state(router, address, State::Terminated);
         Ok(String::new())
     }
 
-    fn leaving(&mut self, server: &str) -> Shown {
+    fn leaving(&mut self, server: &str) -> Output {
         let fleet = self.fleet();
-        fleet.list_server(server, State::Leaving);
-        wait_for("the word that the server leaves", || {
-            let heard = fleet
+        fleet.set_server_state(server, State::Leaving);
+        wait_for("the leaving state of the server at every router", || {
+            let is_applied = fleet
                 .routers
                 .values()
                 .all(|router| is_leaving(&state_of(router), server));
-            heard.then_some(())
+            is_applied.then_some(())
         });
         Ok(String::new())
     }
 
-    fn settled(&mut self, router: &str) -> Shown {
+    fn settled(&mut self, router: &str) -> Output {
         let prefix = format!("{router}.");
         let fleet = self.fleet();
         wait_for("the settlement", || {
@@ -302,7 +308,7 @@
         Ok("settled\n".into())
     }
 
-    fn table(&mut self, state: &str, lose: u64) -> Shown {
+    fn table(&mut self, state: &str, lose: u64) -> Output {
         let fault = self.fleet().platform.content().fault().clone();
         match state {
             "down" => fault.set_down(true),
@@ -312,7 +318,7 @@
         Ok(String::new())
     }
 
-    fn proxy(&mut self, action: &str, name: &str) -> Shown {
+    fn proxy(&mut self, action: &str, name: &str) -> Output {
         let proxy = self.fleet().proxies.get(name).ok_or("no such proxy")?;
         match action {
             "cut" => proxy.partition(),
@@ -324,7 +330,7 @@
         Ok(String::new())
     }
 
-    fn service(&mut self, name: &str, drop_reply: u32) -> Shown {
+    fn service(&mut self, name: &str, drop_reply: u32) -> Output {
         let control = service::Control {
             drop_reply: Some(drop_reply),
             ..service::Control::default()
@@ -333,7 +339,7 @@
         Ok(String::new())
     }
 
-    fn topup(&mut self, tokens: u64, but: Option<&str>) -> Shown {
+    fn topup(&mut self, tokens: u64, except: Option<&str>) -> Output {
         let store = self.fleet().store();
         let base = store
             .current()
@@ -344,29 +350,29 @@
             .accept(&base, &document, "operator")
             .map_err(|refusal| refusal.message.to_string())?;
         self.prepaid.insert("teinte", tokens);
-        self.everywhere(but)
+        self.everywhere(except)
     }
 
-    fn everywhere(&mut self, but: Option<&str>) -> Shown {
+    fn everywhere(&mut self, except: Option<&str>) -> Output {
         let current = self.fleet().store().current();
         let wanted = current.map_err(|refusal| refusal.message.to_string())?;
         let wanted = Some(wanted.version().0);
         let fleet = self.fleet();
-        wait_for("the newest version", || {
+        wait_for("the newest document version at the routers", || {
             let asked = fleet
                 .routers
                 .iter()
-                .filter(|(name, _)| Some(name.as_str()) != but);
+                .filter(|(name, _)| Some(name.as_str()) != except);
             let mut versions = asked.map(|(_, router)| state_of(router)["version"].as_u64());
             versions.all(|version| version == wanted).then_some(())
         });
-        Ok(match but {
+        Ok(match except {
             None => "in force everywhere\n".into(),
             Some(name) => format!("in force but at {name}\n"),
         })
     }
 
-    fn race(&mut self) -> Shown {
+    fn race(&mut self) -> Output {
         let store = self.fleet().store();
         let base = store
             .current()
@@ -388,41 +394,41 @@
         ))
     }
 
-    fn audit(&mut self) -> Shown {
+    fn audit(&mut self) -> Output {
         let fleet = self.fleet.as_mut().expect("a scenario begins with start");
         for router in fleet.routers.values() {
             router.signal("TERM");
         }
         for (name, router) in &mut fleet.routers {
-            assert!(router.wait(), "{name} ended badly");
+            assert!(router.wait(), "{name} exited with a failure");
         }
         fleet.routers.clear();
         let table = fleet.table();
         let mut audit = Audit::begin(&*table);
         let mut unbilled = Vec::new();
-        let mut seen: BTreeMap<&str, u64> = BTreeMap::new();
+        let mut reported: BTreeMap<&str, u64> = BTreeMap::new();
         for (id, sent) in &self.sent {
-            let Some(Outcome::Whole { tokens, .. }) = sent.outcome else {
+            let Some(Outcome::Complete { tokens, .. }) = sent.outcome else {
                 continue;
             };
-            *seen.entry(sent.group).or_default() += if sent.is_chat { tokens } else { 0 };
+            *reported.entry(sent.group).or_default() += if sent.is_chat { tokens } else { 0 };
             let key = RequestKey::new(sent.account, id.as_str());
             if !matches!(audit.lookup(key.digest()), RequestState::Done { .. }) {
                 unbilled.push(id.clone());
             }
         }
-        assert!(unbilled.is_empty(), "answered but not billed: {unbilled:?}");
+        assert!(unbilled.is_empty(), "served but not billed: {unbilled:?}");
         let charged = audit.charged();
         for (group, prepaid) in &self.prepaid {
             let charged = charged.get(*group).copied().unwrap_or_default().0;
-            let least = seen.get(group).copied().unwrap_or_default();
+            let minimum = reported.get(group).copied().unwrap_or_default();
             assert!(
                 charged <= *prepaid,
                 "{group} overspent: {charged} of {prepaid}"
             );
             assert!(
-                charged >= least,
-                "{group} was charged {charged}, answers say {least}"
+                charged >= minimum,
+                "{group} was charged {charged}, responses report {minimum}"
             );
         }
         self.check_runs();
@@ -439,7 +445,7 @@
             let runs = engine.counters().runs;
             assert!(runs.values().all(|runs| *runs <= 1), "a stream ran twice");
         }
-        // Runs are counted by stream id there; over all attempts at one request they must still be one.
+        // Services count runs by stream id. All attempts at one request together must add up to at most one run.
         for (id, sent) in &self.sent {
             if sent.is_chat {
                 continue;
@@ -466,9 +472,9 @@
     group: &'static str,
     tokens: u64,
     is_chat: bool,
-) -> Sent {
-    Sent {
-        ask: Ask {
+) -> SentRequest {
+    SentRequest {
+        request: Request {
             key: key.into(),
             id: id.into(),
             tokens,
@@ -479,7 +485,7 @@
         group,
         is_chat,
         outcome: None,
-        under_way: None,
+        in_flight: None,
     }
 }
 
--- a/tests/soak/world.rs
+++ b/tests/soak/world.rs
@@ -72,11 +72,11 @@
         let poison_caller = PoisonCaller::start(seed, fronts, stop.clone());
         let mut restore_random = SmallRng::seed_from_u64(!seed);
         let copied = restore_random.random_range(0..FAULTS_PER_SEED - 1);
-        let returned = (copied + restore_random.random_range(1..=MAX_FAULTS_BEFORE_RESTORE))
+        let restored = (copied + restore_random.random_range(1..=MAX_FAULTS_BEFORE_RESTORE))
             .min(FAULTS_PER_SEED - 1);
         Self {
             random: SmallRng::seed_from_u64(seed),
-            restore_schedule: (copied, returned),
+            restore_schedule: (copied, restored),
             copy: None,
             platform,
             instances,
@@ -113,11 +113,11 @@
     /// Copies the store, and some faults later restores the copy. After the restore, writes the current configuration and
     /// registrations again, as the operator and the backend servers do.
     fn copy_or_restore(&mut self, number: usize) {
-        let (copied, returned) = self.restore_schedule;
+        let (copied, restored) = self.restore_schedule;
         if number == copied {
             self.copy = Some(self.platform.store.copy());
         }
-        if number != returned {
+        if number != restored {
             return;
         }
         if let Some(copy) = &self.copy {
